--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -541,8 +541,8 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(Fleet, ColdBudget,
-                         ::testing::Combine(::testing::ValuesIn(kColdCases), ::testing::Values(25, 300),
-                                            ::testing::Values(1u, 2u)),
+                         ::testing::Combine(::testing::ValuesIn(kColdCases),
+                                            ::testing::Values(1, 3, 25, 300, 900), ::testing::Values(1u, 2u)),
                          [](const auto& info) {
                            return std::string(std::get<0>(info.param).name) + "_" +
                                   std::to_string(std::get<1>(info.param)) + "_seed" +
