--- a/node/listener.cpp
+++ b/node/listener.cpp
@@ -702,9 +702,10 @@
   ScheduleSweep();
 }
 
-void Listener::Drain(bool handed_over, std::function<void()> done) {
+void Listener::Drain(bool handed_over, TimePoint stop_by, std::function<void()> done) {
   if (drained_) return;
   drained_ = std::move(done);
+  stop_by_ = stop_by;
   handed_over_ = handed_over;
   error_code ignored;
   if (handed_over) acceptor_.close(ignored);  // its queue stays open there
@@ -728,10 +729,12 @@
   const TimePoint now = Now();
   const std::vector<std::shared_ptr<Connection>> all(connections_.begin(), connections_.end());
   for (const auto& connection : all) {
-    if (Leaving() && !connection->Fresh(now) && connection->SparesClose()) connection->End();
+    const bool awaits_request = connection->Fresh(now) && now < stop_by_;
+    if (Leaving() && !awaits_request && connection->SparesClose()) connection->End();
     connection->CloseIfOverdue(now);
   }
-  if (drained_ && acceptor_.is_open() && now - drain_started_ > kAcceptWhileDraining) CloseAcceptor();
+  const bool accepts = now - drain_started_ <= kAcceptWhileDraining && now < stop_by_;
+  if (drained_ && acceptor_.is_open() && !accepts) CloseAcceptor();
 }
 
 // What waits in the backlog counts as taken: it is served before the socket closes.
--- a/node/listener.h
+++ b/node/listener.h
@@ -46,7 +46,8 @@
   void SendAway(bool away);
   // A planned stop: serves what still comes for a while, tells each client to close, then calls `done`. Where
   // another process takes the clients from the same socket by now, `handed_over`, that one serves what comes.
-  void Drain(bool handed_over, std::function<void()> done);
+  // From `stop_by` on no connection is accepted, or left open for a first request.
+  void Drain(bool handed_over, TimePoint stop_by, std::function<void()> done);
 
  private:
   class Connection;
@@ -77,6 +78,7 @@
   bool away_ = false;
   std::function<void()> drained_;  // set while draining
   TimePoint drain_started_;
+  TimePoint stop_by_ = TimePoint::max();
 };
 
 }  // namespace mothrack
--- a/node/sidecar.cpp
+++ b/node/sidecar.cpp
@@ -32,6 +32,12 @@
 constexpr std::size_t kMostEndedIds = 8192;
 // A client that says it waits longer than this many of its class's deadlines has no idea what it says.
 constexpr int kMostDeadlines = 2;
+// A planned stop: SIGKILL comes no sooner after SIGTERM than the deployment's longest deadline, counted as
+// kLongestCounted at most, and kKillGrace (PROTOCOL, "Figures"). What is taken meanwhile is answered
+// kStopMargin ahead of that: the process may be held up, and the answer has to reach its client.
+constexpr Duration kLongestCounted = std::chrono::seconds(3);
+constexpr Duration kKillGrace = milliseconds(700);
+constexpr Duration kStopMargin = milliseconds(150);
 // So long the list as last held is not good enough to be called ready: discovery answers at once unless it is
 // down.
 constexpr Duration kListPatience = std::chrono::seconds(2);
@@ -103,6 +109,13 @@
   bool& flag_;
 };
 
+// How long after SIGTERM the last answer has to be out.
+Duration TimeToStop(const kestrellb::Settings& settings) {
+  Duration longest{};
+  for (const auto& request_class : settings.classes) longest = std::max(longest, request_class.deadline);
+  return std::min(longest, kLongestCounted) + kKillGrace - kStopMargin;
+}
+
 // What the process before hands over, if it listens where this one is to.
 std::optional<int> Listening(Handover& handover, const Endpoint& endpoint) {
   const auto listening = handover.Take();
@@ -206,8 +219,8 @@
 }
 
 void Sidecar::Drain(std::function<void()> done) {
-  stopping_ = true;
-  listener_.Drain(handover_.next_serves(), std::move(done));
+  if (!std::exchange(stopping_, true)) stop_by_ = Now() + TimeToStop(settings_);
+  listener_.Drain(handover_.next_serves(), stop_by_, std::move(done));
 }
 
 void Sidecar::Reconfigure(const Config& config) {
@@ -341,7 +354,7 @@
   kestrellb::RequestArrived event;
   event.request = RequestId{++last_request_};
   event.request_class = cls->second;
-  event.deadline = now + std::max<Duration>(milliseconds(*timeout) - kTrip, milliseconds(1));
+  event.deadline = DeadlineOf(now, std::max<Duration>(milliseconds(*timeout) - kTrip, milliseconds(1)));
   if (const auto tenant = tenants_.find(std::string(request["X-Tenant-Id"])); tenant != tenants_.end()) {
     event.tenant = tenant->second;
   }
@@ -366,10 +379,14 @@
   return [this, id] { Gone(id); };
 }
 
+TimePoint Sidecar::DeadlineOf(TimePoint complete, Duration timeout) const {
+  return std::max(complete, std::min(complete + timeout, stop_by_));
+}
+
 void Sidecar::BodyEnded(RequestId id, Duration timeout) {
   const auto it = requests_.find(id);
   if (it == requests_.end() || !it->second.reply || !it->second.body->finished()) return;
-  it->second.deadline = Now() + timeout;
+  it->second.deadline = DeadlineOf(Now(), timeout);
   Deliver(kestrellb::RequestWhole{id, it->second.deadline});
 }
 
--- a/node/sidecar.h
+++ b/node/sidecar.h
@@ -61,6 +61,9 @@
   void Pump();
   void Apply(MembershipList list);
   Listener::OnGone Take(HttpRequest request, Body body, Listener::Reply reply, Listener::Here here);
+  // By when a request that was complete at `complete` has to have its answer: within `timeout`, and in a
+  // planned stop before the process may be killed. At `complete` itself where that has passed.
+  TimePoint DeadlineOf(TimePoint complete, Duration timeout) const;
   // The last byte of a request that passes through has come, or it never will.
   void BodyEnded(kestrellb::RequestId id, Duration timeout);
   void Started(kestrellb::RequestId id, kestrellb::AttemptId attempt, HttpResponse head, Body body);
@@ -124,7 +127,8 @@
   boost::asio::steady_timer patience_;  // for discovery's first list
   bool serving_ = false;
   bool stopping_ = false;
-  Listener listener_;  // it takes requests from here on
+  TimePoint stop_by_ = TimePoint::max();  // the last answer of a planned stop
+  Listener listener_;                     // it takes requests from here on
   std::optional<Kept> kept_;
   std::optional<Admin> admin_;  // last: it speaks of all the others, and goes first
 };
