--- a/tests/peers.cpp
+++ b/tests/peers.cpp
@@ -296,6 +296,7 @@
     ::setenv("LB_CONFIG", config_path_.c_str(), 1);
     if (!options.admin.empty()) ::setenv("LB_ADMIN", options.admin.c_str(), 1);
     if (!options.tmpdir.empty()) ::setenv("TMPDIR", options.tmpdir.c_str(), 1);
+    for (const auto& [name, value] : options.environment) ::setenv(name.c_str(), value.c_str(), 1);
     for (const auto& name : options.unset) ::unsetenv(name.c_str());
     ::execl(MOTHRACK_PROGRAM, MOTHRACK_PROGRAM, nullptr);
     ::_exit(127);
--- a/tests/peers.h
+++ b/tests/peers.h
@@ -13,6 +13,7 @@
 #include <condition_variable>
 #include <functional>
 #include <future>
+#include <map>
 #include <memory>
 #include <mutex>
 #include <optional>
@@ -180,7 +181,8 @@
     std::string admin;   // the operators' address; empty: none
     std::string tmpdir;  // empty: the test's own
     std::vector<std::string> unset;
-    std::string config_text;  // in place of the JSON made from the rest
+    std::map<std::string, std::string> environment;  // what is set besides
+    std::string config_text;                         // in place of the JSON made from the rest
   };
   explicit Node(const Options& options);
   ~Node();
