--- a/lab/deployment.cpp
+++ b/lab/deployment.cpp
@@ -210,6 +210,7 @@
       event.upstreams = UpstreamsOfZone(deployment.upstreams, event.zone);
       break;
     case FaultKind::kSidecarsKilled:
+    case FaultKind::kSidecarsStopped:
       event.sidecars = DrawShare(deployment.sidecars.size(), event.share, generator);
       break;
     case FaultKind::kRegionCut:
@@ -217,6 +218,9 @@
     case FaultKind::kNoticesLate:
     case FaultKind::kNoticesSilent:
     case FaultKind::kNoticesLost:
+    case FaultKind::kClientsStalled:
+    case FaultKind::kNewConfigurations:
+    case FaultKind::kDiscoverySlow:
     case FaultKind::kBurst:
       break;  // strike all alike
   }
--- a/lab/discovery_server.cpp
+++ b/lab/discovery_server.cpp
@@ -35,6 +35,17 @@
 constexpr std::size_t kOtherDescriptors = 64;
 // Answers are kept for callers that come soon after; the rest are made anew.
 constexpr std::size_t kMostAnswers = 64;
+// Of slow discovery: until an answer's first byte, between its pieces, and which connections and calls are
+// turned away.
+constexpr auto kSlowStart = milliseconds(300);
+constexpr auto kSlowPause = milliseconds(100);
+constexpr std::size_t kSlowPieces = 4;
+constexpr std::uint64_t kConnectionTurnedAway = 3;  // every third
+constexpr std::uint64_t kCallTurnedAway = 4;
+// When at the latest a change counts as told, after the watch fell silent or it could be had on request, and
+// after discovery was moved.
+constexpr Duration kLongestSilence = std::chrono::seconds(6);
+constexpr Duration kLongestMove = std::chrono::seconds(4);
 constexpr auto kAcceptPause = milliseconds(20);  // after a failure, such as want of descriptors
 
 enum class QueryFault { kNone, kNotFound, kBad };
@@ -139,7 +150,7 @@
 // What stands on one sidecar's machine for discovery.
 struct DiscoveryServer::Agent {
   Agent(boost::asio::io_context& io, std::size_t number, std::optional<std::size_t> service_of_list)
-      : index(number), service(service_of_list), acceptor(io), pause(io) {}
+      : index(number), service(service_of_list), acceptor(io), pause(io), excuse(io) {}
 
   const std::size_t index;
   const std::optional<std::size_t> service;
@@ -149,6 +160,10 @@
   std::uint64_t revision = 1;  // what the sidecar can be told
   std::uint64_t newest = 1;    // the last that concerns it, told or not
   std::uint64_t missed = 1;    // the last notice that was lost
+  std::uint64_t told = 1;      // what counts as told
+  std::uint64_t address = 0;   // how many it had before this one
+  bool excused = false;        // what it is told does not count yet
+  boost::asio::steady_timer excuse;
   std::vector<std::shared_ptr<Session>> watches;
   AgentCounters counters;
 };
@@ -157,7 +172,11 @@
 class DiscoveryServer::Session : public std::enable_shared_from_this<Session> {
  public:
   Session(DiscoveryServer& server, Agent& agent, tcp::socket socket)
-      : server_(server), agent_(agent), socket_(std::move(socket)), wait_over_(server.io_) {
+      : server_(server),
+        agent_(agent),
+        address_(agent.address),
+        socket_(std::move(socket)),
+        wait_over_(server.io_) {
     error_code ignored;
     socket_.set_option(tcp::no_delay(true), ignored);
   }
@@ -194,12 +213,16 @@
   void Handle() {
     ++agent_.counters.calls;
     keep_alive_ = parser_->get().keep_alive();
-    if (server_.down_) return WatchForClose();
+    if (server_.down_ || address_ != agent_.address) return WatchForClose();
     if (parser_->get().method() != http::verb::get) return AnswerBad("400 Bad Request", keep_alive_);
     const auto target = parser_->get().target();
+    if (server_.slow_ && ++server_.calls_while_slow_ % kCallTurnedAway == 0) {
+      return AnswerBad("503 Service Unavailable", keep_alive_);
+    }
     const Query query = ParseTarget({target.data(), target.size()});
     if (query.fault == QueryFault::kNotFound) return AnswerBad("404 Not Found", keep_alive_);
     if (query.fault == QueryFault::kBad) return AnswerBad("400 Bad Request", keep_alive_);
+    agent_.excused = false;
     server_.Advance(agent_, agent_.missed);
     const bool nothing_newer = query.index && *query.index == agent_.revision;
     if (!nothing_newer || query.wait == milliseconds::zero()) return AnswerList(query.index);
@@ -253,15 +276,42 @@
   void Write(const char* status, const std::string& body, bool keep_alive) {
     ++turn_;
     head_ = Head(status, body.size(), keep_alive);
+    if (server_.slow_) return WriteSlowly(head_ + body);
     const std::array<boost::asio::const_buffer, 2> parts = {boost::asio::buffer(head_),
                                                             boost::asio::buffer(body)};
-    boost::asio::async_write(socket_, parts,
-                             [self = shared_from_this()](error_code error, std::size_t bytes) {
-                               self->agent_.counters.bytes_out += bytes;
-                               self->answer_.reset();
-                               if (error || !self->keep_alive_) return self->Close();
-                               self->Read();
-                             });
+    boost::asio::async_write(
+        socket_, parts,
+        [self = shared_from_this()](error_code error, std::size_t bytes) { self->OnWritten(error, bytes); });
+  }
+
+  void WriteSlowly(std::string text) {
+    slow_text_ = std::move(text);
+    piece_ = slow_text_.size() / kSlowPieces + 1;
+    WritePiece(0, kSlowStart);
+  }
+
+  void WritePiece(std::size_t from, milliseconds pause) {
+    wait_over_.expires_after(pause);
+    wait_over_.async_wait([self = shared_from_this(), from](error_code stopped) {
+      if (stopped) return;
+      const auto piece = boost::asio::buffer(self->slow_text_) + from;
+      boost::asio::async_write(self->socket_, boost::asio::buffer(piece, self->piece_),
+                               [self, from](error_code error, std::size_t bytes) {
+                                 const std::size_t written = from + bytes;
+                                 if (!error && written < self->slow_text_.size()) {
+                                   return self->WritePiece(written, kSlowPause);
+                                 }
+                                 self->OnWritten(error, written);
+                               });
+    });
+  }
+
+  void OnWritten(error_code error, std::size_t bytes) {
+    agent_.counters.bytes_out += bytes;
+    if (!error && answer_) server_.CountAsTold(agent_, answer_->revision);
+    answer_.reset();
+    if (error || !keep_alive_) return Close();
+    Read();
   }
 
   void Close() {
@@ -272,6 +322,7 @@
 
   DiscoveryServer& server_;
   Agent& agent_;
+  const std::uint64_t address_;  // of the agent, as it was when this came
   tcp::socket socket_;
   boost::asio::steady_timer wait_over_;
   boost::beast::flat_buffer buffer_;
@@ -280,6 +331,8 @@
   std::optional<std::uint64_t> index_;  // what the watch waits to pass
   std::uint64_t turn_ = 0;              // grows as a call goes on: older waits are void
   std::string head_;
+  std::string slow_text_;  // of an answer in pieces
+  std::size_t piece_ = 0;  // bytes of each
   std::shared_ptr<const Answer> answer_;
 };
 
@@ -322,7 +375,10 @@
 }
 
 void DiscoveryServer::SilenceWatches() {
-  boost::asio::post(io_, [this] { SilenceAll(); });
+  boost::asio::post(io_, [this] {
+    SilenceAll();
+    for (const auto& agent : agents_) ExcuseFor(*agent, kLongestSilence);
+  });
 }
 
 void DiscoveryServer::SetDown(bool down) {
@@ -330,10 +386,33 @@
     if (down_ == down) return;
     down_ = down;
     if (down) return SilenceAll();
-    for (const auto& agent : agents_) Advance(*agent, agent->newest);
+    for (const auto& agent : agents_) {
+      agent->excused = false;
+      Advance(*agent, agent->newest);
+    }
   });
 }
 
+void DiscoveryServer::SetSlow(bool slow) {
+  boost::asio::post(io_, [this, slow] { slow_ = slow; });
+}
+
+mothrack::Endpoint DiscoveryServer::Move(std::size_t sidecar) {
+  return OnServerThread([this, sidecar] { return MoveNow(*agents_.at(sidecar)); });
+}
+
+mothrack::Endpoint DiscoveryServer::MoveNow(Agent& agent) {
+  const auto open = agent.watches;
+  for (const auto& session : open) session->Silence();
+  ++agent.address;
+  error_code ignored;
+  agent.pause.cancel();
+  agent.acceptor.close(ignored);
+  Listen(agent);
+  ExcuseFor(agent, kLongestMove);
+  return agent.endpoint;
+}
+
 std::size_t DiscoveryServer::OpenWatches() {
   return OnServerThread([this] {
     std::size_t open = 0;
@@ -370,10 +449,12 @@
 
 void DiscoveryServer::Accept(Agent& agent) {
   agent.acceptor.async_accept([this, &agent](error_code error, tcp::socket socket) {
+    if (!error && slow_ && ++connections_while_slow_ % kConnectionTurnedAway == 0) return Accept(agent);
     if (!error) {
       std::make_shared<Session>(*this, agent, std::move(socket))->Read();
       return Accept(agent);
     }
+    if (error == boost::asio::error::operation_aborted) return;  // moved
     agent.pause.expires_after(kAcceptPause);
     agent.pause.async_wait([this, &agent](error_code stopped) {
       if (!stopped) Accept(agent);
@@ -433,6 +514,32 @@
   for (const auto& session : open) {
     if (session->held() < agent.revision) session->AnswerWatch();
   }
+  if (options_.on_request || slow_) return CountAsToldLater(agent, kLongestSilence);
+  if (!agent.excused) CountAsTold(agent, agent.revision);
+}
+
+void DiscoveryServer::CountAsTold(Agent& agent, std::uint64_t revision) {
+  if (!options_.on_told || revision <= agent.told) return;
+  const auto view = registry_.SinceAsOf(agent.told, revision, agent.service);
+  for (const MembershipEntry& entry : view.entries) options_.on_told(agent.index, entry, mothrack::Now());
+  agent.told = revision;
+}
+
+void DiscoveryServer::CountAsToldLater(Agent& agent, Duration wait) {
+  if (!options_.on_told || agent.revision <= agent.told) return;
+  const auto timer = std::make_shared<boost::asio::steady_timer>(io_, wait);
+  timer->async_wait([this, timer, &agent, revision = agent.revision](error_code error) {
+    if (!error && !down_) CountAsTold(agent, revision);
+  });
+}
+
+void DiscoveryServer::ExcuseFor(Agent& agent, Duration wait) {
+  agent.excused = true;
+  agent.excuse.expires_after(wait);
+  agent.excuse.async_wait([this, &agent](error_code error) {
+    if (error || !std::exchange(agent.excused, false) || down_) return;
+    CountAsTold(agent, agent.revision);
+  });
 }
 
 std::shared_ptr<const DiscoveryServer::Answer> DiscoveryServer::AnswerFor(Agent& agent,
--- a/lab/discovery_server.h
+++ b/lab/discovery_server.h
@@ -50,6 +50,11 @@
   std::uint64_t seed = 1;
   // What each sidecar's list holds: the upstreams of one service, or all where absent. One for each sidecar.
   std::vector<std::optional<std::size_t>> services;
+  // A change counts as told to a sidecar, on the server's thread; empty: nobody wants to know. It counts once
+  // its agent has it; 6 s after the watch fell silent or 4 s after discovery was moved, where the sidecar
+  // does not call before; with the answer to a call, or 6 s after it could be had, where `on_request`.
+  std::function<void(std::size_t sidecar, const MembershipEntry& entry, TimePoint at)> on_told;
+  bool on_request = false;
 };
 
 // Raises this process's soft limit of descriptors to `needed` where it is lower. Throws std::runtime_error
@@ -69,7 +74,7 @@
   DiscoveryServer(const DiscoveryServer&) = delete;
   DiscoveryServer& operator=(const DiscoveryServer&) = delete;
 
-  // Where sidecar `sidecar` (from 0) finds its agent: an address of loopback.
+  // Where sidecar `sidecar` (from 0) finds its agent at the start: an address of loopback.
   mothrack::Endpoint endpoint(std::size_t sidecar) const;
 
   // A new state, weight or start of one entry. Returns the revision that it makes. Throws std::out_of_range
@@ -82,6 +87,10 @@
   void SilenceWatches();        // watches that are open now are never answered
   // While down, nobody is answered, also not later. At the return all that happened is told at once.
   void SetDown(bool down);
+  // While slow, answers come late and in pieces; some connections are closed, some calls answered 503.
+  void SetSlow(bool slow);
+  // The sidecar's agent listens at another address, which it returns, and is heard of no more at the old one.
+  mothrack::Endpoint Move(std::size_t sidecar);
 
   // Watches that wait for something newer now, over all sidecars.
   std::size_t OpenWatches();
@@ -118,6 +127,10 @@
   void ArmNotices();
   void DeliverNotices();
   void Advance(Agent& agent, std::uint64_t revision);
+  void CountAsTold(Agent& agent, std::uint64_t revision);
+  void CountAsToldLater(Agent& agent, Duration wait);
+  void ExcuseFor(Agent& agent, Duration wait);
+  mothrack::Endpoint MoveNow(Agent& agent);
   std::shared_ptr<const Answer> AnswerFor(Agent& agent, std::optional<std::uint64_t> held);
   Answer MakeAnswer(const AnswerKey& key) const;
   // Runs `read` on the server's thread and waits for what it gives.
@@ -139,6 +152,9 @@
   double late_factor_ = 1;
   double lost_share_ = 0;
   bool down_ = false;
+  bool slow_ = false;
+  std::uint64_t connections_while_slow_ = 0;
+  std::uint64_t calls_while_slow_ = 0;
   std::thread thread_;
 };
 
--- a/lab/experiment.cpp
+++ b/lab/experiment.cpp
@@ -64,6 +64,10 @@
       {.kind = FaultKind::kNoticesSilent, .name = "notices_silent"},
       {.kind = FaultKind::kNoticesLost, .name = "notices_lost", .lasts = kNeeded, .share = kNeeded},
       {.kind = FaultKind::kSidecarsKilled, .name = "sidecars_killed", .share = kNeeded},
+      {.kind = FaultKind::kSidecarsStopped, .name = "sidecars_stopped", .lasts = kMay, .share = kNeeded},
+      {.kind = FaultKind::kClientsStalled, .name = "clients_stalled", .lasts = kMay, .count = kMay},
+      {.kind = FaultKind::kNewConfigurations, .name = "new_configurations", .lasts = kMay, .count = kMay},
+      {.kind = FaultKind::kDiscoverySlow, .name = "discovery_slow", .lasts = kNeeded},
       {.kind = FaultKind::kBurst, .name = "burst", .lasts = kNeeded, .factor = kNeeded, .least_factor = 0.01},
   };
   return kForms;
@@ -192,6 +196,7 @@
   table.ReadNumber("try_share", spec.try_share, {0.01, 1});
   table.ReadTime("backoff_ms", spec.backoff, milliseconds(1), {0, 60'000});
   table.ReadNumber("heeds_retry_after", spec.heeds_retry_after, kShare);
+  table.ReadTime("listens_on_s", spec.listens_on, seconds(1), {0, 10});
   table.Finish();
 }
 
@@ -240,6 +245,10 @@
   }
 }
 
+bool NeedsRealSidecars(FaultKind kind) {
+  return kind == FaultKind::kClientsStalled || kind == FaultKind::kNewConfigurations;
+}
+
 FaultSpec ReadFault(TableReader& table, const Experiment& experiment) {
   FaultSpec spec;
   table.Require({"kind", "at_s"});
@@ -258,6 +267,12 @@
     table.Fail("lasts_s", "the fault lasts beyond the run's end (length_s)");
   }
   if (table.Has("zone")) CheckZone(table, experiment, spec.zone);
+  if (NeedsRealSidecars(spec.kind) && experiment.sidecars.real == 0) {
+    table.Fail("kind", "a fault " + std::string(form.name) + " needs real sidecars");
+  }
+  if (spec.kind == FaultKind::kDiscoverySlow && experiment.clock == ClockKind::kVirtual) {
+    table.Fail("kind", "a fault discovery_slow needs clock = \"real\"");
+  }
   if (spec.kind == FaultKind::kRegionCut && experiment.regions < 2) {
     table.Fail("kind", "a fault region_cut needs two regions");
   }
--- a/lab/experiment.h
+++ b/lab/experiment.h
@@ -104,6 +104,8 @@
   double try_share = 0.6;  // of the class's deadline, after which a try is given up
   Duration backoff = std::chrono::milliseconds(100);  // before the first retry, doubled for the next ones
   double heeds_retry_after = 1;                       // share of clients that wait for Retry-After
+  // How long after its time a client still listens for its final answer; 0: it closes the connection.
+  Duration listens_on{};
 };
 
 struct LoadSpec {
@@ -128,19 +130,26 @@
 };
 
 enum class FaultKind {
-  kCrash,           // `share` of the upstreams die at once and come back cold after `lasts`
-  kHang,            // `share` take requests and answer none
-  kSlow,            // `share` are `factor` times slower
-  kRestart,         // `share` are replaced one after another over `lasts`: drained, gone, back cold
-  kChange,          // one listed upstream's weight changes, `count` times evenly over `lasts`
-  kZoneLost,        // the upstreams of `zone` vanish without a word and come back cold
-  kRegionCut,       // the regions can't see each other
-  kDiscoveryDown,   // discovery answers nobody; what happens meanwhile is told at its return
-  kNoticesLate,     // notices take `factor` times as long
-  kNoticesSilent,   // all open watches fall silent once, at `at`
-  kNoticesLost,     // `share` of the notices are not delivered; the next call brings what was missed
-  kSidecarsKilled,  // `share` of the sidecars are killed at once and start anew
-  kBurst,           // `factor` times the load
+  kCrash,            // `share` of the upstreams die at once and come back cold after `lasts`
+  kHang,             // `share` take requests and answer none
+  kSlow,             // `share` are `factor` times slower
+  kRestart,          // `share` are replaced one after another over `lasts`: drained, gone, back cold
+  kChange,           // one listed upstream's weight changes, `count` times evenly over `lasts`
+  kZoneLost,         // the upstreams of `zone` vanish without a word and come back cold
+  kRegionCut,        // the regions can't see each other
+  kDiscoveryDown,    // discovery answers nobody; what happens meanwhile is told at its return
+  kNoticesLate,      // notices take `factor` times as long
+  kNoticesSilent,    // all open watches fall silent once, at `at`
+  kNoticesLost,      // `share` of the notices are not delivered; the next call brings what was missed
+  kSidecarsKilled,   // `share` of the sidecars are killed at once and start anew
+  kSidecarsStopped,  // `share` get SIGTERM over `lasts`, SIGKILL when it is due, and start anew
+  kClientsStalled,   // `count` clients of each real sidecar stop in the middle of a request, over `lasts`
+  // Each real sidecar is given `count` new configurations, evenly over `lasts`: one in the middle is
+  // malformed, the others move discovery to another address.
+  kNewConfigurations,
+  // Discovery answers late and in pieces, and turns some connections and calls away.
+  kDiscoverySlow,
+  kBurst,  // `factor` times the load
 };
 
 // As in experiment files: `crash`, `zone_lost` and so on.
--- a/lab/fault_player.cpp
+++ b/lab/fault_player.cpp
@@ -1,27 +1,18 @@
 #include "fault_player.h"
 
-#include <chrono>
 #include <utility>
 
 namespace aspendyke::lab {
-namespace {
-
-// A killed sidecar takes so long to start anew.
-constexpr Duration kSidecarRestart = std::chrono::milliseconds(500);
-
-}  // namespace
-
-FaultPlayer::FaultPlayer(const Experiment& experiment, const Deployment& deployment, Scheduler& scheduler,
-                         DiscoveryServer& discovery, HollowFleet& hollow, RealFleet* real,
-                         UpstreamOperator& upstreams, KillReal kill_real)
-    : experiment_(experiment),
-      deployment_(deployment),
+FaultPlayer::FaultPlayer(const Deployment& deployment, Scheduler& scheduler, DiscoveryServer& discovery,
+                         HollowFleet& hollow, RealFleet* real, SidecarOperator* real_operator,
+                         UpstreamOperator& upstreams)
+    : deployment_(deployment),
       scheduler_(scheduler),
       discovery_(discovery),
       hollow_(hollow),
       real_(real),
-      upstreams_(upstreams),
-      kill_real_(std::move(kill_real)) {}
+      real_operator_(real_operator),
+      upstreams_(upstreams) {}
 
 void FaultPlayer::Schedule(TimePoint start) {
   for (const FaultEvent& fault : deployment_.faults) {
@@ -68,6 +59,18 @@
     case FaultKind::kSidecarsKilled:
       KillSidecars(fault);
       break;
+    case FaultKind::kSidecarsStopped:
+      BeginStops(fault);
+      break;
+    case FaultKind::kClientsStalled:
+      BeginStalls(fault);
+      break;
+    case FaultKind::kNewConfigurations:
+      BeginConfigurations(fault);
+      break;
+    case FaultKind::kDiscoverySlow:
+      discovery_.SetSlow(true);
+      break;
     case FaultKind::kBurst:
       SetLoadFactor(load_factor_ * fault.factor);
       break;
@@ -94,6 +97,9 @@
     case FaultKind::kDiscoveryDown:
       discovery_.SetDown(false);
       break;
+    case FaultKind::kDiscoverySlow:
+      discovery_.SetSlow(false);
+      break;
     case FaultKind::kNoticesLate:
       discovery_.SetLate(1);
       break;
@@ -107,43 +113,72 @@
     case FaultKind::kChange:
     case FaultKind::kNoticesSilent:
     case FaultKind::kSidecarsKilled:
+    case FaultKind::kSidecarsStopped:
+    case FaultKind::kClientsStalled:
+    case FaultKind::kNewConfigurations:
       break;  // they end by themselves
   }
 }
 
-void FaultPlayer::BeginRestarts(const FaultEvent& fault) {
-  const auto count = static_cast<Duration::rep>(fault.upstreams.size());
-  for (Duration::rep i = 0; i < count; ++i) {
-    const std::size_t upstream = fault.upstreams[static_cast<std::size_t>(i)];
-    scheduler_.After((fault.until - fault.at) * i / count,
-                     [this, upstream] { upstreams_.Restart(upstream); });
+void FaultPlayer::Spread(const FaultEvent& fault, std::size_t count, std::function<void(std::size_t)> turn) {
+  const auto turns = static_cast<Duration::rep>(count);
+  for (Duration::rep i = 0; i < turns; ++i) {
+    scheduler_.After((fault.until - fault.at) * i / turns, [turn, i] { turn(static_cast<std::size_t>(i)); });
   }
 }
 
+void FaultPlayer::BeginRestarts(const FaultEvent& fault) {
+  Spread(fault, fault.upstreams.size(),
+         [this, &fault](std::size_t i) { upstreams_.Restart(fault.upstreams[i]); });
+}
+
 void FaultPlayer::BeginChanges(const FaultEvent& fault) {
   if (fault.upstreams.empty()) return;
-  for (int i = 0; i < fault.count; ++i) {
-    const auto turn = static_cast<std::size_t>(i);
-    const std::size_t upstream = fault.upstreams[turn % fault.upstreams.size()];
-    const bool up = turn / fault.upstreams.size() % 2 == 0;
-    scheduler_.After((fault.until - fault.at) * i / fault.count,
-                     [this, upstream, up] { upstreams_.ChangeWeight(upstream, up ? kChangedWeight : 1); });
-  }
+  Spread(fault, static_cast<std::size_t>(fault.count), [this, &fault](std::size_t i) {
+    const bool up = i / fault.upstreams.size() % 2 == 0;
+    upstreams_.ChangeWeight(fault.upstreams[i % fault.upstreams.size()], up ? kChangedWeight : 1);
+  });
+}
+
+void FaultPlayer::RestartHollow(std::size_t sidecar) {
+  hollow_.KillSidecar(sidecar);
+  scheduler_.After(kSidecarRestart,
+                   [this, sidecar] { hollow_.StartSidecar(sidecar, upstreams_.registry()); });
 }
 
 void FaultPlayer::KillSidecars(const FaultEvent& fault) {
-  std::vector<RealKill> real;
+  std::vector<std::size_t> real;
   for (const std::size_t i : fault.sidecars) {
-    const SidecarInstance& instance = deployment_.sidecars[i];
-    if (instance.real) {
-      const auto list = upstreams_.registry().Since(std::nullopt, ListedService(experiment_, instance));
-      real.push_back({i, ToJson(list), kSidecarRestart});
-      continue;
+    if (deployment_.sidecars[i].real) {
+      real.push_back(i);
+    } else {
+      RestartHollow(i);
     }
-    hollow_.KillSidecar(i);
-    scheduler_.After(kSidecarRestart, [this, i] { hollow_.StartSidecar(i, upstreams_.registry()); });
   }
-  if (!real.empty()) kill_real_(std::move(real));
+  if (!real.empty()) real_operator_->Kill(std::move(real));
+}
+
+// A hollow sidecar holds no requests to answer: it ends at once.
+void FaultPlayer::BeginStops(const FaultEvent& fault) {
+  Spread(fault, fault.sidecars.size(), [this, &fault](std::size_t i) {
+    const std::size_t sidecar = fault.sidecars[i];
+    if (!deployment_.sidecars[sidecar].real) return RestartHollow(sidecar);
+    real_operator_->Stop({sidecar});
+  });
+}
+
+void FaultPlayer::BeginStalls(const FaultEvent& fault) {
+  if (real_operator_ == nullptr) return;
+  Spread(fault, static_cast<std::size_t>(fault.count),
+         [this](std::size_t i) { real_operator_->StallClients(i); });
+}
+
+// The last one is sound: it is what counts in the end.
+void FaultPlayer::BeginConfigurations(const FaultEvent& fault) {
+  if (real_operator_ == nullptr) return;
+  const auto count = static_cast<std::size_t>(fault.count);
+  Spread(fault, count,
+         [this, count](std::size_t i) { real_operator_->Reconfigure(count >= 3 && i == count / 2); });
 }
 
 void FaultPlayer::SetLoadFactor(double factor) {
--- a/lab/fault_player.h
+++ b/lab/fault_player.h
@@ -10,6 +10,7 @@
 #include "hollow_fleet.h"
 #include "real_fleet.h"
 #include "scheduler.h"
+#include "sidecar_operator.h"
 #include "upstream_operator.h"
 
 namespace aspendyke::lab {
@@ -22,18 +23,10 @@
 // network is the loopback.
 class FaultPlayer {
  public:
-  // Kills the real sidecars among these, and starts them anew after `downtime` with these lists.
-  struct RealKill {
-    std::size_t sidecar = 0;
-    nlohmann::json known;
-    Duration downtime{};
-  };
-  using KillReal = std::function<void(std::vector<RealKill>)>;
-
-  // References have to outlive it; `real` is null where there are no real sidecars.
-  FaultPlayer(const Experiment& experiment, const Deployment& deployment, Scheduler& scheduler,
-              DiscoveryServer& discovery, HollowFleet& hollow, RealFleet* real, UpstreamOperator& upstreams,
-              KillReal kill_real);
+  // References have to outlive it; `real` and `real_operator` are null where there are no real sidecars.
+  FaultPlayer(const Deployment& deployment, Scheduler& scheduler, DiscoveryServer& discovery,
+              HollowFleet& hollow, RealFleet* real, SidecarOperator* real_operator,
+              UpstreamOperator& upstreams);
 
   // Every fault, by its time from `start` on.
   void Schedule(TimePoint start);
@@ -44,16 +37,21 @@
   void BeginRestarts(const FaultEvent& fault);
   void BeginChanges(const FaultEvent& fault);
   void KillSidecars(const FaultEvent& fault);
+  void BeginStops(const FaultEvent& fault);
+  void BeginStalls(const FaultEvent& fault);
+  void BeginConfigurations(const FaultEvent& fault);
+  void RestartHollow(std::size_t sidecar);
+  // Does `turn` for each number below `count`, evenly over the fault's time.
+  void Spread(const FaultEvent& fault, std::size_t count, std::function<void(std::size_t)> turn);
   void SetLoadFactor(double factor);
 
-  const Experiment& experiment_;
   const Deployment& deployment_;
   Scheduler& scheduler_;
   DiscoveryServer& discovery_;
   HollowFleet& hollow_;
   RealFleet* const real_;
+  SidecarOperator* const real_operator_;
   UpstreamOperator& upstreams_;
-  const KillReal kill_real_;
   double load_factor_ = 1;
 };
 
--- a/lab/http_load.cpp
+++ b/lab/http_load.cpp
@@ -20,6 +20,7 @@
 
 #include "deployment.h"
 #include "http_upstream.h"
+#include "node/clock.h"
 #include "socket_state.h"
 
 namespace aspendyke::lab {
@@ -33,6 +34,9 @@
 
 constexpr char kBody[] = "an order of two items";  // of every request that has one
 constexpr Duration kLeastTimeout = milliseconds(1);
+// A resting connection's end that comes so soon after a request was written has crossed it: the sidecar need
+// not have read it.
+constexpr Duration kCrossing = milliseconds(200);
 constexpr double kLeastVariance = 1e-12;  // what does not vary is drawn all the same
 
 double ToMilliseconds(Duration duration) {
@@ -89,8 +93,9 @@
   enum class End {
     kAnswered,  // `response` is whole
     kNotConnected,
-    kBroken,  // it ended before that
-    kUnread,  // likewise, but it had been used before and no byte of an answer came
+    kBroken,   // it ended before that
+    kUnread,   // likewise, but it had been used before and no byte of an answer came
+    kDropped,  // the request was written whole, did not cross the end, and no byte of an answer came
   };
   using OnEnd = std::function<void(End, const http::response<http::string_body>&)>;
 
@@ -130,7 +135,8 @@
     boost::asio::async_write(socket_, boost::asio::buffer(message_),
                              [self = shared_from_this()](error_code error, std::size_t) {
                                if (self->closed_) return;
-                               if (error) return self->Break();
+                               if (error) return self->Break(false);
+                               self->written_ = mothrack::Now();
                                self->Read();
                              });
   }
@@ -139,14 +145,17 @@
     parser_.emplace();
     http::async_read(socket_, buffer_, *parser_, [self = shared_from_this()](error_code error, std::size_t) {
       if (self->closed_) return;
-      if (error) return self->Break();
+      if (error) return self->Break(true);
       self->Finish(End::kAnswered);
     });
   }
 
-  void Break() {
+  void Break(bool written) {
     const bool begun = parser_ && parser_->got_some();
-    Finish(exchanges_ > 0 && !begun ? End::kUnread : End::kBroken);
+    if (begun) return Finish(End::kBroken);
+    const bool crossed = exchanges_ > 0 && (!written || mothrack::Now() - written_ < kCrossing);
+    if (crossed) return Finish(End::kUnread);
+    Finish(written ? End::kDropped : End::kBroken);
   }
 
   void Finish(End end) {
@@ -191,6 +200,7 @@
   std::string message_;
   OnEnd on_end_;
   std::size_t exchanges_ = 0;
+  TimePoint written_;  // the request, whole
   bool connected_ = false;
   bool closed_ = false;
   bool watching_ = false;
@@ -229,7 +239,7 @@
     }
     class_drawn_ = std::discrete_distribution<std::size_t>(shares.begin(), shares.end());
     for (std::size_t i = 0; i < targets.size(); ++i) {
-      applications_.push_back({targets[i], std::mt19937_64(DeriveSeed(seed, "http load", i)), {}, {}});
+      applications_.push_back({targets[i], std::mt19937_64(DeriveSeed(seed, "http load", i)), {}, {}, true});
     }
   }
 
@@ -248,6 +258,12 @@
     if (running_) ScheduleArrivals();
   }
 
+  void SetConnecting(std::size_t index, bool connecting) {
+    for (Application& application : applications_) {
+      if (application.target.index == index) application.connecting = connecting;
+    }
+  }
+
   void CloseAll() {
     Stop();
     for (Application& application : applications_) {
@@ -259,7 +275,7 @@
 
   LoadWindow Take() { return std::exchange(window_, {}); }
   std::uint64_t begun() const { return begun_; }
-  std::size_t under_way() const { return under_way_; }
+  std::size_t under_way() const { return under_way_ + listening_; }
   std::size_t connections() const {
     std::size_t count = 0;
     for (const Application& application : applications_) count += application.open.size();
@@ -274,6 +290,7 @@
     std::mt19937_64 random;
     std::set<ConnectionPointer> open;
     std::vector<ConnectionPointer> idle;  // of the open ones; the one used last is the last
+    bool connecting = true;               // opens connections
   };
 
   // What a client wants, over all of its tries.
@@ -320,6 +337,7 @@
   }
 
   void Begin(std::size_t index) {
+    if (!applications_[index].connecting && applications_[index].idle.empty()) return;
     auto& random = applications_[index].random;
     const std::size_t drawn = class_drawn_(random);
     const auto request = std::make_shared<Request>();
@@ -351,11 +369,28 @@
     scheduler_.At(now + wait, [weak = weak_from_this(), weak_try = std::weak_ptr<Try>(current)] {
       const auto self = weak.lock();
       const auto late = weak_try.lock();
-      if (!self || !late || late->ended) return;
-      self->Discard(late->request->application, late->connection);
-      self->EndTry(late, {TryOutcome::kUnanswered, {}, {}});
+      if (self && late && !late->ended) self->GiveUp(late);
     });
-    Send(current, Connection(request->application));
+    if (ConnectionPointer connection = Connection(request->application)) return Send(current, connection);
+    EndTry(current, {TryOutcome::kNotSent, {}, {}});
+  }
+
+  // Its time is over. Where clients listen on, the connection stays for them alone.
+  void GiveUp(const TryPointer& late) {
+    if (clients_.listens_on <= Duration::zero()) {
+      Discard(late->request->application, std::exchange(late->connection, nullptr));
+    } else {
+      ++listening_;
+      scheduler_.After(clients_.listens_on, [weak = weak_from_this(), weak_try = std::weak_ptr<Try>(late)] {
+        const auto self = weak.lock();
+        const auto silent = weak_try.lock();
+        if (!self || !silent || !silent->connection) return;
+        ++self->window_.dropped;
+        --self->listening_;
+        self->Discard(silent->request->application, std::exchange(silent->connection, nullptr));
+      });
+    }
+    EndTry(late, {TryOutcome::kUnanswered, {}, {}});
   }
 
   std::string Message(const Request& request, Duration wait) {
@@ -365,13 +400,15 @@
     text += "X-Request-ID: " + Hexadecimal(ids_()) + "\r\n";
     text += "X-Timeout-Ms: " + std::to_string(timeout_ms) + "\r\n";
     text += std::string(kWorkHeader) + ": " + std::to_string(request.work_us) + "\r\n";
+    text += std::string(kSidecarHeader) + ": " +
+            std::to_string(applications_[request.application].target.index) + "\r\n";
     if (request.tries > 1) text += "X-Retried: 1\r\n";
     if (!request.idempotency_key.empty()) text += "Idempotency-Key: " + request.idempotency_key + "\r\n";
     if (safe) return text + "\r\n";
     return text + "Content-Length: " + std::to_string(sizeof kBody - 1) + "\r\n\r\n" + kBody;
   }
 
-  // An idle one, else a new one.
+  // An idle one, else a new one; null where it opens none.
   ConnectionPointer Connection(std::size_t index) {
     Application& application = applications_[index];
     while (!application.idle.empty()) {
@@ -380,7 +417,7 @@
       if (connection->usable()) return connection;
       Discard(index, connection);
     }
-    return NewConnection(index);
+    return application.connecting ? NewConnection(index) : nullptr;
   }
 
   ConnectionPointer NewConnection(std::size_t index) {
@@ -424,14 +461,22 @@
     } else {
       Discard(index, connection);
     }
+    if (end == ClientConnection::End::kDropped) ++window_.dropped;
+    if (current->ended) {  // its client had given up, and listened on
+      --listening_;
+      if (end == ClientConnection::End::kUnread) ++window_.dropped;
+      return;
+    }
     // The sidecar closed it before it read this.
-    if (end == ClientConnection::End::kUnread && !again) return Send(current, NewConnection(index), true);
+    if (end == ClientConnection::End::kUnread && !again) {
+      if (applications_[index].connecting) return Send(current, NewConnection(index), true);
+      return EndTry(current, {TryOutcome::kNotSent, {}, {}});
+    }
     EndTry(current, ToResult(end, response));
   }
 
   void EndTry(const TryPointer& current, const TryResult& result) {
     current->ended = true;
-    current->connection = nullptr;
     const RequestPointer& request = current->request;
     if (result.outcome == TryOutcome::kServed) return OnServed(*request, result);
     if (const auto wait = WaitBeforeRetry(*request, result)) {
@@ -495,6 +540,7 @@
   std::uint64_t arrivals_ = 0;  // the arrivals scheduled before the last change of the rates are void
   std::uint64_t begun_ = 0;
   std::size_t under_way_ = 0;
+  std::size_t listening_ = 0;  // tries whose clients have given up, but listen on
 };
 
 HttpLoad::HttpLoad(boost::asio::io_context& io, Scheduler& scheduler, const ClientSpec& clients,
@@ -508,6 +554,10 @@
 
 void HttpLoad::Stop() { implementation_->Stop(); }
 
+void HttpLoad::SetConnecting(std::size_t index, bool connecting) {
+  implementation_->SetConnecting(index, connecting);
+}
+
 void HttpLoad::SetFactor(double factor) { implementation_->SetFactor(factor); }
 
 LoadWindow HttpLoad::Take() { return implementation_->Take(); }
--- a/lab/http_load.h
+++ b/lab/http_load.h
@@ -19,6 +19,7 @@
 struct LoadTarget {
   boost::asio::ip::tcp::endpoint sidecar;
   double requests_per_s = 0;
+  std::size_t index = 0;  // of the sidecar; each request tells it in kSidecarHeader (http_upstream.h)
 };
 
 // What ended since the last look. A request counts when its last try has ended: `traffic.requests` is the sum
@@ -26,7 +27,10 @@
 struct LoadWindow {
   TrafficCounters traffic;
   std::uint64_t unanswered = 0;  // of the failed, those that last heard nothing before the client gave up
-  Distribution latency_ms;       // of served requests, from the first try's start
+  // Tries that were written whole, by clients that stayed, and got no byte of an answer: the sidecar closed
+  // the connection (not one that rested, as they came), or ClientSpec::listens_on was over.
+  std::uint64_t dropped = 0;
+  Distribution latency_ms;  // of served requests, from the first try's start
   // Of requests served at their first try: the latency without what the answer's upstream took
   // (X-Service-Us).
   Distribution added_ms;
@@ -43,11 +47,14 @@
   void Start();
   // No new requests; those under way go on.
   void Stop();
+  // Whether the application of the sidecar `index` (LoadTarget::index) opens connections, as it does at the
+  // start. Without them it goes on with those that it has, and begins nothing where none is idle.
+  void SetConnecting(std::size_t index, bool connecting);
   // Of all rates, from now on; 1 at the start.
   void SetFactor(double factor);
   LoadWindow Take();
   std::uint64_t begun() const;      // requests, since the start
-  std::size_t under_way() const;    // requests that have not ended
+  std::size_t under_way() const;    // requests that have not ended, and clients that listen on
   std::size_t connections() const;  // open
 
  private:
--- a/lab/http_upstream.cpp
+++ b/lab/http_upstream.cpp
@@ -71,6 +71,13 @@
   return Duration(std::max<std::int64_t>(microseconds, 0));
 }
 
+std::optional<std::size_t> ParseSidecar(string_view text) {
+  std::size_t index = 0;
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), index);
+  const bool whole = error == std::errc() && end == text.data() + text.size();
+  return whole ? std::optional(index) : std::nullopt;
+}
+
 }  // namespace
 
 // One listening address and the model behind it.
@@ -206,11 +213,19 @@
       const bool has_id = request.find("X-Request-ID") != request.end();
       ++(has_id ? server_->counters.requests : server_->counters.bad);
       if (!has_id) return Write(NotFound());
+      Report();
     }
     Watch();
     if (admission_ != Admission::kPending) Serve();
   }
 
+  void Report() const {
+    if (!server_->options.on_attempt) return;
+    const auto& request = parser_->get();
+    server_->options.on_attempt({server_->model.instance().index, ParseSidecar(request[kSidecarHeader]),
+                                 ParseWork(request[kWorkHeader]), arrived_});
+  }
+
   void Serve() {
     if (admission_ == Admission::kRefused) return TurnAway(true);
     if (is_probe_) return Probe();
@@ -388,6 +403,7 @@
 void HttpUpstreams::Server::Start() {
   running_ = true;
   model.Start();
+  if (options.on_start) options.on_start(model.instance().index, scheduler.Now());
   if (!acceptor_.is_open()) Listen();
 }
 
--- a/lab/http_upstream.h
+++ b/lab/http_upstream.h
@@ -10,7 +10,9 @@
 #include <boost/asio/steady_timer.hpp>
 #include <cstddef>
 #include <cstdint>
+#include <functional>
 #include <memory>
+#include <optional>
 #include <string>
 #include <vector>
 
@@ -23,10 +25,23 @@
 
 inline constexpr char kWorkHeader[] = "X-Work-Us";
 inline constexpr char kServiceHeader[] = "X-Service-Us";
+// The index of the sidecar that a request was sent to.
+inline constexpr char kSidecarHeader[] = "X-Sidecar-Index";
+
+// A request that arrived whole, with an id.
+struct ArrivedAttempt {
+  std::size_t upstream = 0;
+  std::optional<std::size_t> sidecar;  // as kSidecarHeader says
+  Duration work{};                     // on a core of speed 1
+  TimePoint at;
+};
 
 struct HttpUpstreamOptions {
   bool probes = false;          // else they are answered with 404
   bool answer_at_once = false;  // the model is not asked: for measuring what else takes time
+  // Empty: nobody wants to know.
+  std::function<void(const ArrivedAttempt&)> on_attempt;
+  std::function<void(std::size_t upstream, TimePoint at)> on_start;  // of a new process, cold
 };
 
 // Since the start of the run.
--- a/lab/metrics.cpp
+++ b/lab/metrics.cpp
@@ -68,6 +68,14 @@
       {"change_cpu_ms", "ms", &Metrics::change_cpu_ms},
       {"change_bytes", "bytes", &Metrics::change_bytes},
       {"load_spread", "ratio", &Metrics::load_spread},
+      {"dropped_requests", "count", &Metrics::dropped_requests},
+      {"stalled_clients", "count", &Metrics::stalled_clients},
+      {"stalled_unanswered", "count", &Metrics::stalled_unanswered},
+      {"late_to_draining", "count", &Metrics::late_to_draining},
+      {"cold_overloads", "count", &Metrics::cold_overloads},
+      {"sidecars_stopped", "count", &Metrics::sidecars_stopped},
+      {"killed_at_limit", "count", &Metrics::killed_at_limit},
+      {"sidecars_ended", "count", &Metrics::sidecars_ended},
       {"seconds", "s", &Metrics::seconds},
   };
   return metrics;
--- a/lab/metrics.h
+++ b/lab/metrics.h
@@ -68,7 +68,16 @@
   double change_cpu_ms = 0;        // processor time of one hollow sidecar for one change
   double change_bytes = 0;         // to one sidecar, for one change
   double load_spread = 0;
-  double seconds = 0;  // of real time that the run took
+  // What the protocol's rules count, of real sidecars, over the whole run.
+  double dropped_requests = 0;    // read, and never given an answer
+  double stalled_clients = 0;     // that stopped in the middle of a request
+  double stalled_unanswered = 0;  // of these, not ended in time
+  double late_to_draining = 0;    // attempts at draining or removed upstreams
+  double cold_overloads = 0;      // cold upstreams that got more than they bear
+  double sidecars_stopped = 0;    // that were told to end
+  double killed_at_limit = 0;     // of these, still ran when their time was over
+  double sidecars_ended = 0;      // that ended by themselves
+  double seconds = 0;             // of real time that the run took
 };
 
 struct MetricDescription {
--- a/lab/real_engine.cpp
+++ b/lab/real_engine.cpp
@@ -6,8 +6,6 @@
 #include <algorithm>
 #include <boost/asio/executor_work_guard.hpp>
 #include <boost/asio/io_context.hpp>
-#include <boost/asio/post.hpp>
-#include <boost/asio/steady_timer.hpp>
 #include <chrono>
 #include <functional>
 #include <iostream>
@@ -21,9 +19,11 @@
 #include "discovery_server.h"
 #include "engine.h"
 #include "fault_player.h"
+#include "fleet_rules.h"
 #include "hollow_fleet.h"
 #include "real_fleet.h"
 #include "scheduler.h"
+#include "sidecar_operator.h"
 #include "upstream_operator.h"
 #include "worker_thread.h"
 
@@ -98,13 +98,24 @@
 }
 
 std::unique_ptr<RealFleet> MakeRealFleet(const Experiment& experiment, const Deployment& deployment,
-                                         const std::string& program) {
+                                         const std::string& program, FleetRules& rules) {
   CheckFitsMachine(experiment, deployment);
   const std::size_t real = RealSidecars(deployment);
   EnsureDescriptorLimit(deployment.sidecars.size() * kDescriptorsPerSidecar +
                         deployment.upstreams.size() * (1 + real) + kOtherDescriptors);
   if (real == 0) return nullptr;
-  return std::make_unique<RealFleet>(experiment, deployment, program);
+  HttpUpstreamOptions options;
+  options.on_attempt = [&rules](const ArrivedAttempt& attempt) {
+    if (attempt.sidecar) rules.Attempted(*attempt.sidecar, attempt.upstream, attempt.work, attempt.at);
+  };
+  options.on_start = [&rules](std::size_t upstream, TimePoint at) { rules.Started(upstream, at); };
+  return std::make_unique<RealFleet>(experiment, deployment, program, std::move(options));
+}
+
+Duration LongestDeadline(const Experiment& experiment) {
+  Duration longest{};
+  for (const ClassSpec& spec : experiment.classes) longest = std::max(longest, spec.deadline);
+  return longest;
 }
 
 std::vector<MembershipEntry> FirstEntries(const Deployment& deployment, const RealFleet* real) {
@@ -122,8 +133,13 @@
   return entries;
 }
 
-DiscoveryServerOptions ServerOptions(const Experiment& experiment, const Deployment& deployment) {
+DiscoveryServerOptions ServerOptions(const Experiment& experiment, const Deployment& deployment,
+                                     FleetRules& rules) {
   DiscoveryServerOptions options;
+  options.on_request = experiment.discovery.on_request;
+  options.on_told = [&rules](std::size_t sidecar, const MembershipEntry& entry, TimePoint at) {
+    rules.Told(sidecar, entry, at);
+  };
   options.notice_delay_s = experiment.discovery.notice_delay_s;
   options.seed = DeriveSeed(experiment.seed, "notices");
   for (const SidecarInstance& sidecar : deployment.sidecars) {
@@ -147,6 +163,7 @@
   Metrics Run();
 
  private:
+  std::unique_ptr<SidecarOperator> MakeOperator();
   void StartSidecars();
   void MeasureRest();
   void MeasureChanges();
@@ -157,7 +174,6 @@
   void EndMeasuring();
   void PlayOut();  // until all requests have their results and all notices had their time
 
-  void KillReal(std::vector<FaultPlayer::RealKill> kills);
   void RunTasksUntil(TimePoint end);
   bool Await(const std::function<bool()>& condition, Duration patience);
   void CheckLimits();
@@ -171,6 +187,7 @@
   Metrics Totals();
   void AddRequestTotals(Metrics& metrics) const;
   void AddTrafficTotals(Metrics& metrics) const;
+  void AddRuleTotals(Metrics& metrics);
 
   // On the hollow sidecars' thread.
   template <typename Read>
@@ -188,6 +205,7 @@
   boost::asio::io_context tasks_{1};  // what other threads ask of the caller's thread
   const boost::asio::executor_work_guard<boost::asio::io_context::executor_type> tasks_stay_{
       tasks_.get_executor()};
+  FleetRules rules_;
   const std::unique_ptr<RealFleet> real_;
   const MembershipRegistry first_registry_;
   DiscoveryServer discovery_;
@@ -195,6 +213,7 @@
   RealScheduler scheduler_{hollow_thread_.io()};
   HollowFleet hollow_;
   UpstreamOperator upstreams_;
+  const std::unique_ptr<SidecarOperator> real_operator_;  // null without real sidecars
   FaultPlayer faults_;
 
   TimePoint start_;  // of the load and the faults' time
@@ -207,6 +226,8 @@
   bool measuring_ = false;
   TimePoint measured_until_;
   RealWindow measured_real_;
+  std::uint64_t dropped_ = 0;      // over the whole run
+  StalledClientCounters stalled_;  // likewise
   TrafficCounters real_last_third_;
   double real_memory_mb_ = 0;
   DiscoveryCounters discovery_at_start_;
@@ -224,19 +245,27 @@
     : experiment_(experiment),
       deployment_(deployment),
       on_sample_(on_sample),
-      real_(MakeRealFleet(experiment, deployment, program)),
+      rules_(experiment, deployment, SidecarSettings(experiment, deployment, deployment.sidecars.front())),
+      real_(MakeRealFleet(experiment, deployment, program, rules_)),
       first_registry_(FirstEntries(deployment, real_.get())),
-      discovery_(FirstEntries(deployment, real_.get()), ServerOptions(experiment, deployment)),
+      discovery_(FirstEntries(deployment, real_.get()), ServerOptions(experiment, deployment, rules_)),
       hollow_(hollow_thread_.io(), scheduler_, experiment, deployment, discovery_),
       upstreams_(deployment, first_registry_, scheduler_, discovery_, hollow_, real_.get()),
-      faults_(experiment, deployment, scheduler_, discovery_, hollow_, real_.get(), upstreams_,
-              [this](std::vector<FaultPlayer::RealKill> kills) {
-                boost::asio::post(tasks_, [this, kills = std::move(kills)] { KillReal(kills); });
-              }) {}
+      real_operator_(MakeOperator()),
+      faults_(deployment, scheduler_, discovery_, hollow_, real_.get(), real_operator_.get(), upstreams_) {}
 
 // Its handlers refer to all the rest.
 RealRun::~RealRun() { hollow_thread_.Stop(); }
 
+std::unique_ptr<SidecarOperator> RealRun::MakeOperator() {
+  if (!real_) return nullptr;
+  return std::make_unique<SidecarOperator>(
+      tasks_, *real_, discovery_, ShutdownTime(LongestDeadline(experiment_)), [this](std::size_t sidecar) {
+        const auto service = ListedService(experiment_, deployment_.sidecars[sidecar]);
+        return AskHollow([&] { return ToJson(upstreams_.registry().Since(std::nullopt, service)); });
+      });
+}
+
 Metrics RealRun::Run() {
   StartSidecars();
   MeasureRest();
@@ -350,27 +379,21 @@
 void RealRun::PlayOut() {
   AskHollow([this] { hollow_.StopLoad(); });
   if (real_) real_->StopLoad();
-  Duration longest{};
-  for (const ClassSpec& spec : experiment_.classes) longest = std::max(longest, spec.deadline);
+  const Duration longest = LongestDeadline(experiment_);
   Await([this] { return AskHollow([this] { return hollow_.open_requests(); }) == 0; },
         longest + kResultsMargin);
-  if (real_) Await([this] { return real_->OpenRequests() == 0; }, longest + kResultsMargin);
+  if (real_) {
+    Await([this] { return real_->OpenRequests() == 0; },
+          longest + experiment_.clients.listens_on + kResultsMargin);
+    Await([this] { return real_->StalledClientsOpen() == 0; }, kStalledClientLimit + kResultsMargin);
+    Await([this] { return real_operator_->idle(); }, kStartTime);
+  }
   Await([this] { return AskHollow([this] { return hollow_.propagation().Missing(mothrack::Now()); }) == 0; },
         kNoticesMargin);
 }
 
 // ---- The caller's thread ----
 
-void RealRun::KillReal(std::vector<FaultPlayer::RealKill> kills) {
-  for (FaultPlayer::RealKill& kill : kills) {
-    real_->KillSidecar(kill.sidecar);
-    const auto timer = std::make_shared<boost::asio::steady_timer>(tasks_, kill.downtime);
-    timer->async_wait([this, timer, kill = std::move(kill)](boost::system::error_code error) {
-      if (!error) real_->StartSidecar(kill.sidecar, kill.known);
-    });
-  }
-}
-
 void RealRun::RunTasksUntil(TimePoint end) {
   do {
     tasks_.run_until(mothrack::ToSteady(std::min(end, mothrack::Now() + kLookEvery)));
@@ -401,8 +424,7 @@
 Duration RealRun::PlannedTime() const {
   const auto trial = std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>(experiment_.discovery.notice_delay_s.high) + kSettleTime);
-  Duration deadline{};
-  for (const ClassSpec& spec : experiment_.classes) deadline = std::max(deadline, spec.deadline);
+  const Duration deadline = LongestDeadline(experiment_);
   return kStartTime + kRestTime + kTrialChanges * trial + experiment_.warm_up + experiment_.length +
          deadline + kResultsMargin;
 }
@@ -413,6 +435,8 @@
   const HollowWindow hollow = AskHollow([this] { return hollow_.Take(); });
   RealWindow real;
   if (real_) real = real_->Take();
+  dropped_ += real.load.dropped;
+  stalled_ += real.stalled;
   const TimePoint now = mothrack::Now();
   const Duration passed = now - sample_start_;
   Sample sample;
@@ -493,6 +517,7 @@
   hollow_thread_.Stop();
   AddRequestTotals(metrics);
   AddTrafficTotals(metrics);
+  AddRuleTotals(metrics);
   const Distribution& notices_ms = hollow_.propagation().delays_ms();
   metrics.notice_p50_ms = notices_ms.Percentile(0.5);
   metrics.notice_p99_ms = notices_ms.Percentile(0.99);
@@ -537,6 +562,22 @@
   metrics.added_p99_ms = measured_real_.load.added_ms.Percentile(0.99);
 }
 
+void RealRun::AddRuleTotals(Metrics& metrics) {
+  if (!real_) return;
+  const RealWindow rest = real_->Take();
+  dropped_ += rest.load.dropped;
+  stalled_ += rest.stalled;
+  const FleetRuleCounters rules = rules_.counters();
+  metrics.dropped_requests = static_cast<double>(dropped_);
+  metrics.stalled_clients = static_cast<double>(stalled_.begun);
+  metrics.stalled_unanswered = static_cast<double>(stalled_.unanswered);
+  metrics.late_to_draining = static_cast<double>(rules.late_to_draining);
+  metrics.cold_overloads = static_cast<double>(rules.cold_overloads);
+  metrics.sidecars_stopped = static_cast<double>(real_operator_->counters().stopped);
+  metrics.killed_at_limit = static_cast<double>(real_operator_->counters().killed_at_limit);
+  for (const std::size_t i : real_->SidecarIndices()) metrics.sidecars_ended += real_->SidecarRuns(i) ? 0 : 1;
+}
+
 // Crossings of zones are known of hollow sidecars alone.
 void RealRun::AddTrafficTotals(Metrics& metrics) const {
   const auto requests = static_cast<std::uint64_t>(metrics.requests);
--- a/lab/real_fleet.cpp
+++ b/lab/real_fleet.cpp
@@ -36,9 +36,9 @@
   std::filesystem::remove_all(path_, ignored);
 }
 
-RealFleet::RealFleet(const Experiment& experiment, const Deployment& deployment, std::string program)
+RealFleet::RealFleet(const Experiment& experiment, const Deployment& deployment, std::string program,
+                     HttpUpstreamOptions options)
     : experiment_(experiment), deployment_(deployment), program_(std::move(program)) {
-  HttpUpstreamOptions options;
   options.probes = experiment.sidecars.probes;
   upstreams_ = std::make_unique<HttpUpstreams>(upstream_thread_.io(), upstream_scheduler_, deployment,
                                                experiment.upstreams, options);
@@ -64,7 +64,7 @@
     config.settings = SidecarSettings(experiment_, deployment_, instance);
     members_.push_back({instance.index, SidecarProcess(program_, folder_.path(), std::move(config))});
     members_.back().process.Start();
-    targets.push_back({members_.back().process.listen(), instance.requests_per_s});
+    targets.push_back({members_.back().process.listen(), instance.requests_per_s, instance.index});
   }
   for (Member& member : members_) {
     if (member.process.AwaitReady(kReadyPatience)) continue;
@@ -115,9 +115,58 @@
   member->cpu_at_look_s = 0;
 }
 
+void RealFleet::SignalSidecar(std::size_t sidecar, int number) {
+  if (Member* const member = Find(sidecar)) member->process.process().Signal(number);
+}
+
+bool RealFleet::SidecarRuns(std::size_t sidecar) {
+  Member* const member = Find(sidecar);
+  return member != nullptr && member->process.process().Running();
+}
+
+bool RealFleet::AwaitReady(std::size_t sidecar, Duration patience) {
+  Member* const member = Find(sidecar);
+  return member != nullptr && member->process.AwaitReady(patience);
+}
+
+void RealFleet::MoveDiscovery(std::size_t sidecar, const mothrack::Endpoint& discovery) {
+  if (Member* const member = Find(sidecar)) member->process.MoveDiscovery(ToText(discovery));
+}
+
+void RealFleet::SpoilConfiguration(std::size_t sidecar) {
+  if (Member* const member = Find(sidecar)) member->process.SpoilConfiguration();
+}
+
+void RealFleet::SetConnecting(std::size_t sidecar, bool connecting) {
+  load_thread_.Post([this, sidecar, connecting] { load_->SetConnecting(sidecar, connecting); });
+}
+
+void RealFleet::StallClients(StallPoint point) {
+  for (const Member& member : members_) {
+    load_thread_.Post([this, at = member.process.listen(), point] {
+      stalled_clients_.Begin(at, experiment_.classes.front().name, point);
+    });
+  }
+}
+
+std::size_t RealFleet::StalledClientsOpen() {
+  return load_thread_.Ask([this] { return stalled_clients_.open(); }, kAskPatience);
+}
+
+std::vector<std::size_t> RealFleet::SidecarIndices() const {
+  std::vector<std::size_t> indices;
+  for (const Member& member : members_) indices.push_back(member.sidecar);
+  return indices;
+}
+
 RealWindow RealFleet::Take() {
   RealWindow window;
-  window.load = load_thread_.Ask([this] { return load_->Take(); }, kAskPatience);
+  load_thread_.Ask(
+      [this, &window] {
+        window.load = load_->Take();
+        window.stalled = stalled_clients_.Take();
+      },
+      kAskPatience);
   TakeUpstreams(window);
   TakeProcesses(window);
   return window;
--- a/lab/real_fleet.h
+++ b/lab/real_fleet.h
@@ -18,6 +18,7 @@
 #include "metrics.h"
 #include "scheduler.h"
 #include "sidecar_config.h"
+#include "stalled_clients.h"
 #include "worker_thread.h"
 
 namespace aspendyke::lab {
@@ -38,6 +39,7 @@
 // What happened since the last look.
 struct RealWindow {
   LoadWindow load;
+  StalledClientCounters stalled;
   TrafficCounters traffic;  // seen at the upstreams; no results
   double cpu_s = 0;         // of the sidecar processes together
   double memory_mb = 0;     // of each in the mean, now
@@ -48,8 +50,9 @@
 // For the thread that made it, which has to outlive it, but for what says otherwise.
 class RealFleet {
  public:
-  // The upstreams listen from then on. References have to outlive it.
-  RealFleet(const Experiment& experiment, const Deployment& deployment, std::string program);
+  // The upstreams listen from then on, on a thread of their own. References have to outlive it.
+  RealFleet(const Experiment& experiment, const Deployment& deployment, std::string program,
+            HttpUpstreamOptions options = {});
   ~RealFleet();
 
   // `127.0.0.1:port`; the same for the whole run.
@@ -64,6 +67,20 @@
   // Kills a process, and starts it anew; nothing happens for a hollow sidecar. `known`: the list it is given.
   void KillSidecar(std::size_t sidecar);
   void StartSidecar(std::size_t sidecar, nlohmann::json known);
+  // As above, nothing happens for a hollow one.
+  void SignalSidecar(std::size_t sidecar, int number);
+  bool SidecarRuns(std::size_t sidecar);
+  bool AwaitReady(std::size_t sidecar, Duration patience);  // blocks
+  // Replaces its configuration file: discovery is at another address, or the file is malformed. Throws
+  // std::runtime_error where it can't be written.
+  void MoveDiscovery(std::size_t sidecar, const mothrack::Endpoint& discovery);
+  void SpoilConfiguration(std::size_t sidecar);
+  // Whether its application opens connections.
+  void SetConnecting(std::size_t sidecar, bool connecting);
+  // A client of each sidecar stops there.
+  void StallClients(StallPoint point);
+  std::size_t StalledClientsOpen();
+  std::vector<std::size_t> SidecarIndices() const;
   RealWindow Take();
   std::size_t sidecars() const { return members_.size(); }
 
@@ -94,6 +111,7 @@
   WorkerThread load_thread_{"the thread of the HTTP load"};
   RealScheduler load_scheduler_{load_thread_.io()};
   std::unique_ptr<HttpLoad> load_;  // null before the sidecars are ready
+  StalledClients stalled_clients_{load_thread_.io(), load_scheduler_};
   std::vector<Member> members_;
 };
 
--- a/lab/sidecar_config.cpp
+++ b/lab/sidecar_config.cpp
@@ -222,11 +222,26 @@
   return *process_;
 }
 
-void SidecarProcess::WriteConfig() const {
-  std::ofstream stream(config_path_);
-  stream << ToJson(config_).dump();
+void SidecarProcess::MoveDiscovery(std::string discovery) {
+  config_.discovery = std::move(discovery);
+  WriteConfig();
+}
+
+void SidecarProcess::SpoilConfiguration() const {
+  const std::string text = ToJson(config_).dump();
+  ReplaceConfig(text.substr(0, text.size() / 2));
+}
+
+void SidecarProcess::WriteConfig() const { ReplaceConfig(ToJson(config_).dump()); }
+
+// By another file's taking its name: nobody reads half of it.
+void SidecarProcess::ReplaceConfig(const std::string& text) const {
+  const std::string next = config_path_ + ".next";
+  std::ofstream stream(next);
+  stream << text;
   stream.close();
-  if (!stream) throw std::runtime_error("cannot write " + config_path_);
+  if (!stream) throw std::runtime_error("cannot write " + next);
+  std::filesystem::rename(next, config_path_);
 }
 
 // Its log says so.
--- a/lab/sidecar_config.h
+++ b/lab/sidecar_config.h
@@ -56,6 +56,11 @@
   // What is known is what a restarted sidecar begins with.
   void SetKnown(nlohmann::json known) { config_.known = std::move(known); }
   void SetSeed(std::uint64_t seed) { config_.seed = seed; }
+  // Replaces the configuration file, for a process that is told to read it again and for the next start.
+  // Throws std::runtime_error where it can't be written.
+  void MoveDiscovery(std::string discovery);
+  // Replaces the file by half of one, until the next replacement or start.
+  void SpoilConfiguration() const;
 
   const SidecarConfig& config() const { return config_; }
   const boost::asio::ip::tcp::endpoint& listen() const { return port_.endpoint(); }
@@ -64,6 +69,7 @@
 
  private:
   void WriteConfig() const;
+  void ReplaceConfig(const std::string& text) const;
   void AwaitListening();
 
   std::string program_;
--- /dev/null
+++ b/lab/sidecar_operator.cpp
@@ -0,0 +1,129 @@
+#include "sidecar_operator.h"
+
+#include <algorithm>
+#include <boost/asio/post.hpp>
+#include <chrono>
+#include <csignal>
+#include <memory>
+#include <stdexcept>
+#include <utility>
+
+#include "node/clock.h"
+
+namespace aspendyke::lab {
+namespace {
+
+using std::chrono::milliseconds;
+
+constexpr Duration kLongestDeadlineCounted = std::chrono::seconds(3);
+constexpr Duration kShutdownMargin = milliseconds(700);
+// After SIGTERM, new connections keep coming for so long.
+constexpr Duration kConnectsAfterTerm = milliseconds(300);
+constexpr auto kLookEvery = milliseconds(10);
+constexpr Duration kReadyPatience = std::chrono::seconds(10);
+
+}  // namespace
+
+Duration ShutdownTime(Duration longest_deadline) {
+  return std::min(longest_deadline, kLongestDeadlineCounted) + kShutdownMargin;
+}
+
+SidecarOperator::SidecarOperator(boost::asio::io_context& tasks, RealFleet& fleet, DiscoveryServer& discovery,
+                                 Duration shutdown_time, ListNow list_now)
+    : tasks_(tasks),
+      fleet_(fleet),
+      discovery_(discovery),
+      shutdown_time_(shutdown_time),
+      list_now_(std::move(list_now)),
+      look_(tasks) {}
+
+void SidecarOperator::Kill(std::vector<std::size_t> sidecars) {
+  boost::asio::post(tasks_, [this, sidecars = std::move(sidecars)] {
+    for (const std::size_t sidecar : sidecars) KillNow(sidecar);
+  });
+}
+
+void SidecarOperator::Stop(std::vector<std::size_t> sidecars) {
+  boost::asio::post(tasks_, [this, sidecars = std::move(sidecars)] {
+    for (const std::size_t sidecar : sidecars) StopNow(sidecar);
+    WatchStopping();
+  });
+}
+
+void SidecarOperator::StallClients(std::size_t turn) {
+  boost::asio::post(tasks_,
+                    [this, turn] { fleet_.StallClients(static_cast<StallPoint>(turn % kStallPoints)); });
+}
+
+void SidecarOperator::Reconfigure(bool malformed) {
+  boost::asio::post(tasks_, [this, malformed] { ReconfigureNow(malformed); });
+}
+
+void SidecarOperator::KillNow(std::size_t sidecar) {
+  if (!away_.insert(sidecar).second) return;
+  fleet_.KillSidecar(sidecar);
+  StartLater(sidecar);
+}
+
+void SidecarOperator::StopNow(std::size_t sidecar) {
+  if (!away_.insert(sidecar).second) return;
+  ++counters_.stopped;
+  stopping_[sidecar].told = mothrack::Now();
+  fleet_.SignalSidecar(sidecar, SIGTERM);
+}
+
+void SidecarOperator::ReconfigureNow(bool malformed) {
+  for (const std::size_t sidecar : fleet_.SidecarIndices()) {
+    if (away_.contains(sidecar)) continue;
+    if (malformed) {
+      fleet_.SpoilConfiguration(sidecar);
+    } else {
+      fleet_.MoveDiscovery(sidecar, discovery_.Move(sidecar));
+    }
+    fleet_.SignalSidecar(sidecar, SIGHUP);
+  }
+}
+
+void SidecarOperator::WatchStopping() {
+  for (auto it = stopping_.begin(); it != stopping_.end();) {
+    if (!HasEnded(it->first, it->second)) {
+      ++it;
+      continue;
+    }
+    StartLater(it->first);
+    it = stopping_.erase(it);
+  }
+  if (stopping_.empty()) return;
+  look_.expires_after(kLookEvery);
+  look_.async_wait([this](boost::system::error_code error) {
+    if (!error) WatchStopping();
+  });
+}
+
+bool SidecarOperator::HasEnded(std::size_t sidecar, Stopping& stopping) {
+  const TimePoint now = mothrack::Now();
+  if (!fleet_.SidecarRuns(sidecar)) return true;
+  if (now >= stopping.told + kConnectsAfterTerm && std::exchange(stopping.connecting, false)) {
+    fleet_.SetConnecting(sidecar, false);
+  }
+  if (now < stopping.told + shutdown_time_) return false;
+  ++counters_.killed_at_limit;
+  fleet_.KillSidecar(sidecar);
+  return true;
+}
+
+void SidecarOperator::StartLater(std::size_t sidecar) {
+  fleet_.SetConnecting(sidecar, false);
+  const auto timer = std::make_shared<boost::asio::steady_timer>(tasks_, kSidecarRestart);
+  timer->async_wait([this, timer, sidecar](boost::system::error_code error) {
+    if (error) return;
+    fleet_.StartSidecar(sidecar, list_now_(sidecar));
+    if (!fleet_.AwaitReady(sidecar, kReadyPatience)) {
+      throw std::runtime_error("a restarted sidecar is not ready within 10 s");
+    }
+    fleet_.SetConnecting(sidecar, true);
+    away_.erase(sidecar);
+  });
+}
+
+}  // namespace aspendyke::lab
--- a/lab/virtual_engine.cpp
+++ b/lab/virtual_engine.cpp
@@ -263,11 +263,16 @@
       notices_.SetLostShare(fault.share);
       break;
     case FaultKind::kSidecarsKilled:
+    case FaultKind::kSidecarsStopped:  // a hollow one ends at once
       for (const std::size_t i : fault.sidecars) KillSidecar(i);
       break;
     case FaultKind::kBurst:
       clients_.SetLoadFactor(load_factor_ *= fault.factor);
       break;
+    case FaultKind::kClientsStalled:
+    case FaultKind::kNewConfigurations:
+    case FaultKind::kDiscoverySlow:
+      break;  // refused by the file's reader: there are no connections
   }
 }
 
@@ -309,6 +314,10 @@
     case FaultKind::kChange:
     case FaultKind::kNoticesSilent:
     case FaultKind::kSidecarsKilled:
+    case FaultKind::kSidecarsStopped:
+    case FaultKind::kClientsStalled:
+    case FaultKind::kNewConfigurations:
+    case FaultKind::kDiscoverySlow:
       break;  // they end by themselves
   }
 }
