--- a/node/sidecar.cpp
+++ b/node/sidecar.cpp
@@ -104,8 +104,8 @@
 };
 
 // What the process before hands over, if it listens where this one is to.
-std::optional<int> Listening(Handover& handover, const Endpoint& endpoint) {
-  const auto listening = handover.Take();
+std::optional<int> Listening(HotRestart& hot_restart, const Endpoint& endpoint) {
+  const auto listening = hot_restart.InheritListener();
   if (!listening) return std::nullopt;
   Endpoint local;
   socklen_t size = static_cast<socklen_t>(local.capacity());
@@ -133,7 +133,7 @@
     : settings_(config.settings),
       log_(config.name),
       descriptors_(config.sockets, Descriptors::kFixed + (config.admin ? Admin::kDescriptors : 0)),
-      handover_(io, config.keep, log_, [this] { FollowOther(); }),
+      hot_restart_(io, config.keep, log_, [this] { FollowOther(); }),
       balancer_(config.settings, config.seed),
       upstreams_(io, config.settings.limits, config.settings.load_by_probe, config.pipe, descriptors_),
       discovery_(
@@ -150,7 +150,7 @@
       timer_(io),
       patience_(io),
       listener_(
-          io, config.listen, config.admin.has_value(), Listening(handover_, config.listen), config.pipe,
+          io, config.listen, config.admin.has_value(), Listening(hot_restart_, config.listen), config.pipe,
           descriptors_, log_,
           [this](HttpRequest request, Body body, Listener::Reply reply, Listener::Here here) {
             return Take(std::move(request), std::move(body), std::move(reply), std::move(here));
@@ -168,9 +168,9 @@
   Apply(std::move(known));
   // Where membership is told on request, the module asks.
   if (!settings_.membership_on_request) discovery_.Ask();
-  if (!handover_.after_another()) listener_.Start();
+  if (!hot_restart_.after_another()) listener_.Start();
   if (!config.admin) return;
-  kept_.emplace(io, config.keep, log_, [this](const Words& words) { Follow(words); });
+  operator_state_.emplace(io, config.keep, log_, [this](const OperatorState& state) { Follow(state); });
   try {
     admin_.emplace(io, *config.admin, log_,
                    [this](http::verb method, const std::string& target) { return Operate(method, target); });
@@ -179,7 +179,7 @@
     text << "LB_ADMIN " << *config.admin << ": " << e.what();
     throw ConfigError(text.str());
   }
-  descriptors_.Share(handover_.after_another());
+  descriptors_.Share(hot_restart_.after_another());
   patience_.expires_after(kListPatience);
   patience_.async_wait([this](error_code error) {
     if (!error) Serve();
@@ -188,26 +188,26 @@
 
 // A process that comes after another leaves the clients to that one until it can serve them as well.
 void Sidecar::Serve() {
-  if (!kept_ || serving_ || stopping_) return;
-  if (NotServing() != nullptr && handover_.after_another()) return;
+  if (!operator_state_ || serving_ || stopping_) return;
+  if (NotServing() != nullptr && hot_restart_.after_another()) return;
   serving_ = true;
   listener_.Start();
-  handover_.Offer(listener_.listening());
+  hot_restart_.OfferListener(listener_.listening());
 }
 
 void Sidecar::FollowOther() {
-  log_.Line(handover_.next_serves()     ? "another process takes the clients, too"
-            : handover_.has_next()      ? "another process has come"
-            : handover_.after_another() ? "the process before is there"
-                                        : "this is the only process");
-  descriptors_.Share(handover_.after_another() || handover_.has_next());
+  log_.Line(hot_restart_.next_serves()     ? "another process takes the clients, too"
+            : hot_restart_.has_next()      ? "another process has come"
+            : hot_restart_.after_another() ? "the process before is there"
+                                           : "this is the only process");
+  descriptors_.Share(hot_restart_.after_another() || hot_restart_.has_next());
   upstreams_.MakeRoom();
   Serve();
 }
 
 void Sidecar::Drain(std::function<void()> done) {
   stopping_ = true;
-  listener_.Drain(handover_.next_serves(), std::move(done));
+  listener_.Drain(hot_restart_.next_serves(), std::move(done));
 }
 
 void Sidecar::Reconfigure(const Config& config) {
@@ -218,10 +218,10 @@
 
 HttpResponse Sidecar::Operate(http::verb method, const std::string& target) {
   static const std::string kDisable = "/upstreams/disable/", kEnable = "/upstreams/enable/";
-  const bool out = target.starts_with(kDisable);
-  const bool back = target.starts_with(kEnable);
+  const bool disable = target.starts_with(kDisable);
+  const bool enable = target.starts_with(kEnable);
   const bool asks = target == "/ready";
-  if (!asks && !out && !back && target != "/drain" && target != "/undrain") {
+  if (!asks && !disable && !enable && target != "/drain" && target != "/undrain") {
     return PlainResponse(http::status::not_found, "no such call");
   }
   if (method != (asks ? http::verb::get : http::verb::post)) {
@@ -230,19 +230,21 @@
     return response;
   }
   if (asks) return Ready();
-  if (out || back) return TakeOut(target.substr(out ? kDisable.size() : kEnable.size()), out);
-  kept_->Drain(target == "/drain");
+  if (disable || enable) {
+    return SetDisabled(target.substr(disable ? kDisable.size() : kEnable.size()), disable);
+  }
+  operator_state_->Drain(target == "/drain");
   return PlainResponse(http::status::ok,
-                       kept_->words().drained ? "clients are sent away" : "clients are taken");
+                       operator_state_->state().drained ? "clients are sent away" : "clients are taken");
 }
 
 // One that has left the list can still be put back.
-HttpResponse Sidecar::TakeOut(const std::string& upstream, bool out) {
-  if (!upstreams_.Knows(upstream) && !out_.contains(upstream)) {
+HttpResponse Sidecar::SetDisabled(const std::string& upstream, bool disabled) {
+  if (!upstreams_.Knows(upstream) && !disabled_.contains(upstream)) {
     return PlainResponse(http::status::not_found, "no such upstream");
   }
-  kept_->TakeOut(upstream, out);
-  return PlainResponse(http::status::ok, upstream + (out ? " is out" : " is back"));
+  disabled ? operator_state_->Disable(upstream) : operator_state_->Enable(upstream);
+  return PlainResponse(http::status::ok, upstream + (disabled ? " is out" : " is back"));
 }
 
 const char* Sidecar::NotServing() const {
@@ -253,26 +255,26 @@
 HttpResponse Sidecar::Ready() const {
   const char* why = NotServing();
   if (!why && !serving_) why = "starting";
-  if (kept_->words().drained) why = "drained";
+  if (operator_state_->state().drained) why = "drained";
   if (stopping_) why = "stopping";
   return why ? PlainResponse(http::status::service_unavailable, std::string("not ready: ") + why)
              : PlainResponse(http::status::ok, "ready");
 }
 
-void Sidecar::Follow(const Words& words) {
-  const auto say = [this](const std::string& upstream, bool out) {
-    log_.Line(upstream + (out ? " is taken out" : " is put back") + " by the operators");
+void Sidecar::Follow(const OperatorState& state) {
+  const auto say = [this](const std::string& upstream, bool disabled) {
+    log_.Line(upstream + (disabled ? " is taken out" : " is put back") + " by the operators");
     const Busy busy(delivering_);
-    events_.push_back(kestrellb::OperatorsWord{{upstream}, out});
-    upstreams_.TakeOut(upstream, out);
+    events_.push_back(kestrellb::OperatorsWord{{upstream}, disabled});
+    upstreams_.TakeOut(upstream, disabled);
   };
-  const std::set<std::string> before = std::exchange(out_, words.out);
-  for (const auto& upstream : out_)
+  const std::set<std::string> before = std::exchange(disabled_, state.disabled);
+  for (const auto& upstream : disabled_)
     if (!before.contains(upstream)) say(upstream, true);
   for (const auto& upstream : before)
-    if (!out_.contains(upstream)) say(upstream, false);
+    if (!disabled_.contains(upstream)) say(upstream, false);
   if (!delivering_) Pump();
-  listener_.SendAway(words.drained);
+  listener_.SendAway(state.drained);
 }
 
 // handle() is never re-entered: an action that ends something at once queues its event here.
--- a/node/sidecar.h
+++ b/node/sidecar.h
@@ -22,10 +22,11 @@
 #include "config.h"
 #include "descriptors.h"
 #include "discovery.h"
-#include "kept.h"
+#include "hot_restart.h"
 #include "kestrellb/balancer.h"
 #include "listener.h"
 #include "log.h"
+#include "operator_state.h"
 #include "upstreams.h"
 
 namespace mothrack {
@@ -76,12 +77,12 @@
   void ArmTimer();
   // What operators say, and what they are told.
   HttpResponse Operate(http::verb method, const std::string& target);
-  HttpResponse TakeOut(const std::string& upstream, bool out);
+  HttpResponse SetDisabled(const std::string& upstream, bool disabled);
   HttpResponse Ready() const;
   const char* NotServing() const;  // why it can't serve yet; null where it can
   void Serve();                    // takes clients, once it can
   void FollowOther();              // the other process of an upgrade came, serves or went
-  void Follow(const Words& words);
+  void Follow(const OperatorState& state);
 
   void CarryOut(const kestrellb::SendAttempt& action);
   void CarryOut(const kestrellb::CancelAttempt& action);
@@ -101,7 +102,7 @@
   const UnixClock unix_clock_;
   Logger log_;
   Descriptors descriptors_;
-  Handover handover_;
+  HotRestart hot_restart_;
   kestrellb::Balancer balancer_;
   Upstreams upstreams_;
   Discovery discovery_;
@@ -117,15 +118,15 @@
   std::priority_queue<Timer, std::vector<Timer>, std::greater<>> timers_;
   boost::asio::steady_timer timer_;
   TimePoint armed_for_ = TimePoint::max();
-  std::set<std::string> out_;   // upstreams that the module and the sockets know to be taken out
-  bool list_told_ = false;      // discovery has told a list since the start
-  bool upstream_told_ = false;  // by discovery or as known: there has been one to serve with
+  std::set<std::string> disabled_;  // upstreams that the module and the sockets know to be disabled
+  bool list_told_ = false;          // discovery has told a list since the start
+  bool upstream_told_ = false;      // by discovery or as known: there has been one to serve with
   const TimePoint started_ = Now();
   boost::asio::steady_timer patience_;  // for discovery's first list
   bool serving_ = false;
   bool stopping_ = false;
   Listener listener_;  // it takes requests from here on
-  std::optional<Kept> kept_;
+  std::optional<OperatorStateStore> operator_state_;
   std::optional<Admin> admin_;  // last: it speaks of all the others, and goes first
 };
 
