--- /dev/null
+++ b/node/durable_folder.cpp
@@ -0,0 +1,179 @@
+#include "durable_folder.h"
+
+#include <dirent.h>
+#include <fcntl.h>
+#include <sys/stat.h>
+#include <unistd.h>
+
+#include <algorithm>
+#include <cerrno>
+#include <cstdio>
+#include <filesystem>
+#include <string_view>
+#include <utility>
+
+namespace mothrack {
+namespace {
+
+constexpr std::string_view kTemporary = "tmp-";
+// No write takes nearly so long, unless its process stands still; it is made again then.
+constexpr auto kLeftOverAge = std::chrono::seconds(10);
+constexpr mode_t kFileMode = 0666;  // less the umask
+
+std::error_code LastError() { return {errno, std::generic_category()}; }
+
+// A system call made again for as long as signals interrupt it.
+template <typename Call>
+auto Uninterrupted(Call call) {
+  auto result = call();
+  while (result < 0 && errno == EINTR) result = call();
+  return result;
+}
+
+class Descriptor {
+ public:
+  Descriptor(const std::string& path, int flags)
+      : number_(Uninterrupted([&] { return ::open(path.c_str(), flags | O_CLOEXEC, kFileMode); })) {}
+  ~Descriptor() { Close(); }
+  Descriptor(const Descriptor&) = delete;
+  Descriptor& operator=(const Descriptor&) = delete;
+
+  bool valid() const { return number_ >= 0; }
+  int number() const { return number_; }
+  // Linux lets go of the number whatever it returns; a file system may tell here of a write that failed.
+  std::error_code Close() {
+    if (!valid()) return {};
+    return ::close(std::exchange(number_, -1)) == 0 || errno == EINTR ? std::error_code() : LastError();
+  }
+
+ private:
+  int number_;
+};
+
+std::error_code WriteAll(int to, std::string_view bytes) {
+  while (!bytes.empty()) {
+    const auto written = Uninterrupted([&] { return ::write(to, bytes.data(), bytes.size()); });
+    if (written < 0) return LastError();
+    if (written == 0) return std::make_error_code(std::errc::no_space_on_device);
+    bytes.remove_prefix(static_cast<std::size_t>(written));
+  }
+  return {};
+}
+
+std::error_code Rename(const std::string& from, const std::string& to) {
+  if (Uninterrupted([&] { return ::rename(from.c_str(), to.c_str()); }) == 0) return {};
+  return LastError();
+}
+
+std::error_code Unlink(const std::string& path) {
+  return Uninterrupted([&] { return ::unlink(path.c_str()); }) == 0 ? std::error_code() : LastError();
+}
+
+std::error_code SyncDescriptor(int descriptor) {
+  if (Uninterrupted([&] { return ::fsync(descriptor); }) == 0) return {};
+  return errno == EINVAL ? std::error_code() : LastError();  // this file system has nothing to sync
+}
+
+std::error_code SyncFolder(const std::string& path) {
+  const Descriptor folder(path, O_RDONLY | O_DIRECTORY);
+  return folder.valid() ? SyncDescriptor(folder.number()) : LastError();
+}
+
+std::error_code WriteNew(const std::string& path, const std::string& contents) {
+  Descriptor file(path, O_WRONLY | O_CREAT | O_EXCL);
+  if (!file.valid()) return LastError();
+  auto error = WriteAll(file.number(), contents);
+  if (!error) error = SyncDescriptor(file.number());
+  const auto closed = file.Close();
+  return error ? error : closed;
+}
+
+}  // namespace
+
+// Of this process and this moment alone, also where process numbers are few.
+std::string DurableFolder::TemporaryName() {
+  return std::string(kTemporary) + std::to_string(::getpid()) + "-" +
+         std::to_string(Steady::now().time_since_epoch().count()) + "-" + std::to_string(++written_);
+}
+
+std::error_code DurableFolder::Make() {
+  std::error_code error;
+  std::filesystem::create_directories(path_, error);
+  if (error) return error;
+  error = SyncFolder(std::filesystem::path(path_).parent_path());
+  return error == std::errc::permission_denied ? std::error_code() : error;  // it may be made, not read
+}
+
+std::error_code DurableFolder::Sync() const { return SyncFolder(path_); }
+
+std::error_code DurableFolder::Write(const std::string& name, const std::string& contents) {
+  const std::string temporary = Path(TemporaryName());
+  auto error = WriteNew(temporary, contents);
+  if (error == std::errc::no_such_file_or_directory) {
+    error = Make();
+    if (!error) error = WriteNew(temporary, contents);
+  }
+  if (!error) error = Rename(temporary, Path(name));
+  if (!error) return Sync();
+  Unlink(temporary);  // one that stays is removed as left over
+  return error;
+}
+
+// A name that can't be removed may yet be changed to one that is no file's.
+std::error_code DurableFolder::Remove(const std::string& name) {
+  auto error = Unlink(Path(name));
+  if (error == std::errc::no_such_file_or_directory) {
+    error = Sync();  // it may be gone by a removal that was not synced
+    return error == std::errc::no_such_file_or_directory ? std::error_code() : error;
+  }
+  if (error && !Rename(Path(name), Path(TemporaryName()))) error.clear();
+  return error ? error : Sync();
+}
+
+std::error_code DurableFolder::List(std::vector<std::string>& names) {
+  names.clear();
+  DIR* folder = ::opendir(path_.c_str());
+  if (folder == nullptr) return LastError();
+  std::vector<std::string> temporaries;
+  errno = 0;
+  while (const dirent* entry = ::readdir(folder)) {
+    const std::string name = entry->d_name;
+    if (name != "." && name != "..") (name.starts_with(kTemporary) ? temporaries : names).push_back(name);
+    errno = 0;
+  }
+  const std::error_code error = LastError();
+  ::closedir(folder);
+  if (error) {
+    names.clear();
+  } else {
+    RemoveLeftOvers(temporaries);
+  }
+  return error;
+}
+
+void DurableFolder::RemoveLeftOvers(const std::vector<std::string>& temporaries) {
+  const auto now = Steady::now();
+  std::erase_if(temporaries_, [&](const auto& seen) {
+    return std::find(temporaries.begin(), temporaries.end(), seen.first) == temporaries.end();
+  });
+  for (const auto& name : temporaries) {
+    const auto seen = temporaries_.emplace(name, now).first->second;
+    if (now - seen > kLeftOverAge) Unlink(Path(name));
+  }
+}
+
+std::error_code DurableFolder::Read(const std::string& name, std::size_t most, std::string& contents) const {
+  contents.clear();
+  const Descriptor file(Path(name), O_RDONLY);
+  if (!file.valid()) return LastError();
+  char part[4096];
+  while (true) {
+    const auto size = Uninterrupted([&] { return ::read(file.number(), part, sizeof part); });
+    if (size < 0) return LastError();
+    if (size == 0) return {};
+    contents.append(part, static_cast<std::size_t>(size));
+    if (contents.size() > most) return std::make_error_code(std::errc::file_too_large);
+  }
+}
+
+}  // namespace mothrack
--- a/node/sidecar.cpp
+++ b/node/sidecar.cpp
@@ -36,6 +36,9 @@
 // down.
 constexpr Duration kListPatience = std::chrono::seconds(2);
 
+// A planned end waits so long at most until what operators said is stored.
+constexpr Duration kStorePatience = std::chrono::seconds(2);
+
 // For what is no request of this protocol: its connection is closed, too.
 HttpResponse Unfit(const std::string& why) {
   auto response = PlainResponse(http::status::bad_request, why);
@@ -133,7 +136,13 @@
     : settings_(config.settings),
       log_(config.name),
       descriptors_(config.sockets, Descriptors::kFixed + (config.admin ? Admin::kDescriptors : 0)),
-      hot_restart_(io, config.keep, log_, [this] { FollowOther(); }),
+      hot_restart_(io, config.keep, log_,
+                   {[this] { FollowOther(); },
+                    [this] {
+                      operator_state_->TellAll(
+                          [this](const std::string& word, bool set) { hot_restart_.TellNext(word, set); });
+                    },
+                    [this](const std::string& word, bool set) { operator_state_->Heard(word, set); }}),
       balancer_(config.settings, config.seed),
       upstreams_(io, config.settings.limits, config.settings.load_by_probe, config.pipe, descriptors_),
       discovery_(
@@ -170,7 +179,9 @@
   if (!settings_.membership_on_request) discovery_.Ask();
   if (!hot_restart_.after_another()) listener_.Start();
   if (!config.admin) return;
-  operator_state_.emplace(io, config.keep, log_, [this](const OperatorState& state) { Follow(state); });
+  operator_state_.emplace(
+      io, config.keep, log_, [this](const OperatorState& state) { Follow(state); },
+      [this](const std::string& word, bool set) { hot_restart_.Tell(word, set); });
   try {
     admin_.emplace(io, *config.admin, log_,
                    [this](http::verb method, const std::string& target) { return Operate(method, target); });
@@ -207,7 +218,10 @@
 
 void Sidecar::Drain(std::function<void()> done) {
   stopping_ = true;
-  listener_.Drain(hot_restart_.next_serves(), std::move(done));
+  listener_.Drain(hot_restart_.next_serves(), [this, done = std::move(done)] {
+    if (!operator_state_) return done();
+    operator_state_->Finish(kStorePatience, done);
+  });
 }
 
 void Sidecar::Reconfigure(const Config& config) {
@@ -234,8 +248,7 @@
     return SetDisabled(target.substr(disable ? kDisable.size() : kEnable.size()), disable);
   }
   operator_state_->Drain(target == "/drain");
-  return PlainResponse(http::status::ok,
-                       operator_state_->state().drained ? "clients are sent away" : "clients are taken");
+  return Done(operator_state_->state().drained ? "clients are sent away" : "clients are taken");
 }
 
 // One that has left the list can still be put back.
@@ -243,8 +256,15 @@
   if (!upstreams_.Knows(upstream) && !disabled_.contains(upstream)) {
     return PlainResponse(http::status::not_found, "no such upstream");
   }
-  disabled ? operator_state_->Disable(upstream) : operator_state_->Enable(upstream);
-  return PlainResponse(http::status::ok, upstream + (disabled ? " is out" : " is back"));
+  if (disabled) operator_state_->Disable(upstream);
+  if (!disabled) operator_state_->Enable(upstream);
+  return Done(upstream + (disabled ? " is out" : " is back"));
+}
+
+// A call holds from now on; whether it will outlast this process is said beside it.
+HttpResponse Sidecar::Done(const std::string& what) const {
+  const std::string fault = operator_state_->StorageFault();
+  return PlainResponse(http::status::ok, fault.empty() ? what : what + "; " + fault);
 }
 
 const char* Sidecar::NotServing() const {
@@ -257,8 +277,10 @@
   if (!why && !serving_) why = "starting";
   if (operator_state_->state().drained) why = "drained";
   if (stopping_) why = "stopping";
-  return why ? PlainResponse(http::status::service_unavailable, std::string("not ready: ") + why)
-             : PlainResponse(http::status::ok, "ready");
+  if (!why) return Done("ready");
+  const std::string fault = operator_state_->StorageFault();
+  return PlainResponse(http::status::service_unavailable,
+                       std::string("not ready: ") + why + (fault.empty() ? "" : "; " + fault));
 }
 
 void Sidecar::Follow(const OperatorState& state) {
--- a/node/sidecar.h
+++ b/node/sidecar.h
@@ -78,6 +78,7 @@
   // What operators say, and what they are told.
   HttpResponse Operate(http::verb method, const std::string& target);
   HttpResponse SetDisabled(const std::string& upstream, bool disabled);
+  HttpResponse Done(const std::string& what) const;
   HttpResponse Ready() const;
   const char* NotServing() const;  // why it can't serve yet; null where it can
   void Serve();                    // takes clients, once it can
--- /dev/null
+++ b/tests/operator_state_test.cpp
@@ -0,0 +1,354 @@
+// What operators said, kept in a folder that fails, vanishes or holds half-made files; and handed from
+// process to process.
+#include "operator_state.h"
+
+#include <boost/asio/io_context.hpp>
+#include <chrono>
+#include <csignal>
+#include <filesystem>
+#include <fstream>
+#include <functional>
+#include <memory>
+#include <optional>
+#include <set>
+#include <sstream>
+#include <string>
+#include <vector>
+
+#include "gtest/gtest.h"
+#include "hot_restart.h"
+#include "peers.h"
+
+namespace mothrack::testing {
+namespace {
+
+namespace fs = std::filesystem;
+using std::chrono::milliseconds;
+using std::chrono::seconds;
+using Ids = std::set<std::string>;
+
+// One process of a sidecar, as far as its store goes.
+struct Process {
+  explicit Process(const std::string& folder)
+      : store(
+            io, folder, log, [](const OperatorState&) {},
+            [this](const std::string& word, bool set) { said.emplace_back(word, set); }) {}
+
+  const Ids& disabled() const { return store.state().disabled; }
+  // Lets it run until `condition` holds, far longer than that should take.
+  bool Eventually(const std::function<bool()>& condition) {
+    const auto until = std::chrono::steady_clock::now() + seconds(20);
+    while (!condition() && std::chrono::steady_clock::now() < until) io.run_one_for(milliseconds(50));
+    return condition();
+  }
+  bool Stores() {
+    return Eventually([this] { return store.StorageFault().empty(); });
+  }
+
+  boost::asio::io_context io;
+  std::ostringstream text;
+  Logger log{"t", &text};
+  std::vector<std::pair<std::string, bool>> said;
+  OperatorStateStore store;
+};
+
+class OperatorStateTest : public ::testing::Test {
+ protected:
+  std::set<std::string> Files() const {
+    std::set<std::string> names;
+    for (const auto& entry : fs::directory_iterator(path_)) names.insert(entry.path().filename());
+    return names;
+  }
+  void Touch(const std::string& name, const std::string& contents = "") {
+    fs::create_directories(path_);
+    std::ofstream(path_ + "/" + name) << contents;
+  }
+  // The folder fails in each call: a file has its name.
+  void Break() {
+    if (fs::exists(path_)) fs::rename(path_, path_ + ".away");
+    std::ofstream(path_) << "x";
+  }
+  void Mend() {
+    fs::remove(path_);
+    if (fs::exists(path_ + ".away")) fs::rename(path_ + ".away", path_);
+  }
+
+  Folder folder_;
+  const std::string path_ = folder_.path() + "/mothrack";
+};
+
+TEST_F(OperatorStateTest, AnyIdIsStoredAndReadByTheNextProcess) {
+  const std::string bytes("\0/\xff..\n", 6);
+  for (const std::string& id :
+       {std::string("u1"), bytes, std::string(120, 'x'), std::string(121, 'x'), std::string(4000, 'y')}) {
+    Process first(path_), other(path_);
+    first.store.Disable(id);
+    EXPECT_EQ(first.store.StorageFault(), "");
+    EXPECT_EQ(Files().size(), 1U) << "nothing half-made stays";
+    const auto size = fs::file_size(path_ + "/" + *Files().begin());
+    EXPECT_EQ(size == 0, id.size() <= 120) << "as earlier versions have it, where it fits";
+    EXPECT_EQ(Process(path_).disabled(), Ids{id});
+    EXPECT_TRUE(other.Eventually([&] { return other.disabled() == Ids{id}; }));
+    other.store.Enable(id);
+    EXPECT_TRUE(Files().empty());
+    EXPECT_TRUE(first.Eventually([&] { return first.disabled().empty(); }));
+  }
+}
+
+TEST_F(OperatorStateTest, HalfMadeAndForeignFilesArePassedOver) {
+  Touch("out-7531");  // of an earlier version
+  Touch("tmp-1-2-3", "out-7532");
+  Touch("long-0123", "out-7533");
+  Touch("out-7z");
+  Touch("handover");
+  const Process process(path_);
+  EXPECT_EQ(process.disabled(), Ids{"u1"});
+  EXPECT_NE(process.text.str().find("not ours: out-7z"), std::string::npos);
+  EXPECT_NE(process.text.str().find("not ours: long-0123"), std::string::npos);
+  EXPECT_EQ(process.text.str().find("tmp-"), std::string::npos);
+}
+
+TEST_F(OperatorStateTest, WhatWasSaidWhileTheFolderFailsIsStoredOnceItCan) {
+  Process process(path_);
+  process.store.Disable("before");
+  process.store.Drain(true);
+  Break();
+  process.store.Disable("during");
+  process.store.Enable("before");
+  process.store.Drain(false);
+  process.store.Drain(true);
+  EXPECT_EQ(process.disabled(), Ids{"during"}) << "it holds here all the same";
+  EXPECT_NE(process.store.StorageFault().find("not stored yet: 3 changes"), std::string::npos)
+      << process.store.StorageFault();
+  EXPECT_TRUE(
+      process.Eventually([&] { return process.text.str().find("is not seen") != std::string::npos; }));
+  EXPECT_EQ(process.disabled(), Ids{"during"}) << "a failed look changes nothing";
+  EXPECT_TRUE(process.store.state().drained);
+  Mend();
+  ASSERT_TRUE(process.Stores()) << process.store.StorageFault();
+  const Process next(path_);
+  EXPECT_EQ(next.disabled(), Ids{"during"}) << "what was withdrawn does not come back";
+  EXPECT_TRUE(next.store.state().drained);
+}
+
+TEST_F(OperatorStateTest, AFolderThatDisappearsIsMadeAnewWithWhatItHeld) {
+  Process process(path_);
+  process.store.Disable("u1");
+  process.store.Disable(std::string(300, 'x'));
+  fs::remove_all(path_);
+  EXPECT_TRUE(process.Eventually([&] { return fs::exists(path_) && Files().size() == 2; }));
+  EXPECT_EQ(process.disabled().size(), 2U);
+  EXPECT_EQ(Process(path_).disabled(), process.disabled());
+}
+
+TEST_F(OperatorStateTest, WithNoFolderItHoldsInTheProcessAndIsSaidSo) {
+  Process process("");
+  EXPECT_EQ(process.store.StorageFault(), "");
+  process.store.Disable("u1");
+  EXPECT_EQ(process.disabled(), Ids{"u1"});
+  EXPECT_NE(process.store.StorageFault().find("no folder"), std::string::npos);
+}
+
+// What another process says counts before it is in the folder, whichever was read there.
+TEST_F(OperatorStateTest, TheOtherProcessGoesBeforeTheFolder) {
+  Touch("out-7531");
+  Touch("drained");
+  Process process(path_);
+  process.store.Heard("out-7531", false);
+  process.store.Heard("out-7532", true);
+  process.store.Heard("drained", true);
+  process.store.Heard("nonsense", true);
+  EXPECT_EQ(process.disabled(), Ids{"u2"});
+  const std::set<std::string> stored = {"out-7532", "drained"};
+  EXPECT_TRUE(process.Eventually([&] { return Files() == stored; })) << "if the other could not";
+  EXPECT_TRUE(process.said.empty()) << "the other knows";
+  process.store.Disable("u2");
+  EXPECT_TRUE(process.said.empty()) << "nothing new";
+  process.store.Enable("u2");
+  EXPECT_EQ(process.said, (std::vector<std::pair<std::string, bool>>{{"out-7532", false}}));
+  std::set<std::string> told;
+  Break();
+  process.store.Drain(false);
+  process.store.TellAll([&](const std::string& word, bool set) { told.insert((set ? "+" : "-") + word); });
+  EXPECT_EQ(told, std::set<std::string>{"-drained"}) << "what can't be removed from the folder is told";
+}
+
+TEST_F(OperatorStateTest, APlannedEndWaitsForTheFolderButNotForEver) {
+  Process process(path_);
+  int ends = 0;
+  process.store.Finish(seconds(60), [&] { ++ends; });
+  EXPECT_EQ(ends, 1) << "nothing is owed";
+  Break();
+  process.store.Disable("u1");
+  process.store.Finish(seconds(60), [&] { ++ends; });
+  EXPECT_EQ(ends, 1);
+  Mend();
+  EXPECT_TRUE(process.Eventually([&] { return ends == 2; }));
+  EXPECT_EQ(Process(path_).disabled(), Ids{"u1"});
+  Break();
+  process.store.Enable("u1");
+  process.store.Finish(milliseconds(300), [&] { ++ends; });
+  EXPECT_TRUE(process.Eventually([&] { return ends == 3; }));
+  EXPECT_NE(process.text.str().find("lost at this end"), std::string::npos);
+}
+
+// ---- The real program ----
+
+class FailingFolder : public OperatorStateTest {
+ protected:
+  std::unique_ptr<Node> Start(const std::string& listen = "127.0.0.1:0") {
+    Node::Options options = With(List({Target("u1", upstream_.address())}));
+    options.admin = "127.0.0.1:0";
+    options.tmpdir = folder_.path();
+    options.listen = listen;
+    options.discovery = discovery_.address();
+    auto node = std::make_unique<Node>(options);
+    EXPECT_TRUE(node->Listening());
+    return node;
+  }
+  static std::string Says(Node& node, const std::string& method, const std::string& target) {
+    const auto answer = node.Operate(method, target);
+    return answer ? std::to_string(answer->result_int()) + " " + answer->body() : "nothing\n";
+  }
+  static bool Ready(Node& node) {
+    return Eventually([&] { return node.Status("GET", "/ready") == 200; });
+  }
+
+  Upstream upstream_{Upstream::Echo("u1")};
+  Discovery discovery_{List({Target("u1", upstream_.address())})};
+};
+
+TEST_F(FailingFolder, TheCallIsYesAndSaysWhatIsNotStored) {
+  auto node = Start();
+  ASSERT_TRUE(Ready(*node));
+  EXPECT_EQ(Says(*node, "GET", "/ready"), "200 ready\n");
+  Break();
+  EXPECT_EQ(Says(*node, "POST", "/upstreams/disable/u1").find("200 u1 is out; not stored yet"), 0U);
+  EXPECT_EQ(Says(*node, "GET", "/ready").find("200 ready; not stored yet: 1 change ("), 0U);
+  EXPECT_NE(node->log().find("will not outlast"), std::string::npos);
+  Mend();
+  EXPECT_TRUE(Eventually([&] { return Says(*node, "GET", "/ready") == "200 ready\n"; }));
+  node->Signal(SIGKILL);
+  node->Wait();
+  auto next = Start();
+  EXPECT_EQ(Says(*next, "POST", "/upstreams/disable/u1"), "200 u1 is out\n");
+  EXPECT_NE(next->log().find("u1 is taken out"), std::string::npos);
+}
+
+// ---- Hot restart ----
+
+TEST_F(FailingFolder, WhatEitherProcessIsToldCountsForBoth) {
+  auto node = Start();
+  ASSERT_TRUE(Ready(*node));
+  ASSERT_EQ(Says(*node, "POST", "/upstreams/disable/u1"), "200 u1 is out\n");
+  auto next = Start("127.0.0.1:" + std::to_string(node->port()));
+  ASSERT_TRUE(Ready(*next));
+  ASSERT_TRUE(Eventually([&] { return next->log().find("u1 is taken out") != std::string::npos; }));
+  ASSERT_EQ(Says(*next, "POST", "/upstreams/enable/u1"), "200 u1 is back\n");
+  EXPECT_TRUE(Eventually([&] { return node->log().find("u1 is put back") != std::string::npos; }));
+  EXPECT_FALSE(fs::exists(path_ + "/out-7531"));
+  ASSERT_EQ(Says(*node, "POST", "/drain"), "200 clients are sent away\n");
+  EXPECT_TRUE(Eventually([&] { return next->Status("GET", "/ready") == 503; }));
+}
+
+// SIGTERM at each step: of the later process before it serves, of the earlier one before the later serves.
+TEST_F(FailingFolder, EitherProcessMayEndAtAnyStepOfTheHandOver) {
+  auto node = Start();
+  ASSERT_TRUE(Ready(*node));
+  const std::string listen = "127.0.0.1:" + std::to_string(node->port());
+  discovery_.Set(Discovery::Mood::kSilent);  // the next one does not serve yet
+  {
+    auto never = Start(listen);
+    ASSERT_TRUE(
+        Eventually([&] { return node->log().find("another process has come") != std::string::npos; }));
+    never->Signal(SIGTERM);
+    EXPECT_EQ(never->Wait(), 0);
+  }
+  EXPECT_TRUE(Eventually([&] { return node->log().find("this is the only process") != std::string::npos; }));
+  Client still(node->port());
+  EXPECT_TRUE(still.Get("/page/k", "a"));
+  auto next = Start(listen);
+  ASSERT_TRUE(Eventually([&] {
+    const auto text = node->log();
+    return text.find("another process has come", text.find("the only process")) != std::string::npos;
+  }));
+  node->Signal(SIGTERM);
+  EXPECT_EQ(node->Wait(), 0);
+  Client client(next->port());  // served once the process before has gone
+  const auto answer = client.Get("/page/k", "b");
+  ASSERT_TRUE(answer);
+  EXPECT_EQ(answer->result_int(), 200U);
+  next->Signal(SIGTERM);
+  EXPECT_EQ(next->Wait(), 0);
+}
+
+// One that connects and then stands still holds nobody up; nor does one that connects and goes, many times.
+TEST_F(FailingFolder, ANextProcessThatHangsIsBorne) {
+  auto node = Start();
+  ASSERT_TRUE(Ready(*node));
+  boost::asio::io_context io;
+  boost::asio::local::stream_protocol::socket hanging(io);
+  for (int i = 0; i < 5; ++i) {
+    hanging = boost::asio::local::stream_protocol::socket(io);
+    hanging.connect(path_ + "/handover");
+  }
+  EXPECT_EQ(Says(*node, "POST", "/drain"), "200 clients are sent away\n");
+  auto next = Start("127.0.0.1:" + std::to_string(node->port()));
+  EXPECT_TRUE(Eventually([&] { return node->log().find("takes the clients, too") != std::string::npos; }));
+}
+
+// The process before stands still with its backlog full: the next one goes on without it.
+TEST_F(FailingFolder, AProcessBeforeThatHangsIsNotWaitedForLong) {
+  fs::create_directories(path_);
+  boost::asio::io_context io;
+  using Local = boost::asio::local::stream_protocol;
+  Local::acceptor before(io);
+  before.open();
+  before.bind(path_ + "/handover");
+  before.listen(0);
+  std::vector<Local::socket> waiting;
+  for (boost::system::error_code error; !error;) {
+    waiting.emplace_back(io);
+    waiting.back().open();
+    waiting.back().non_blocking(true);
+    waiting.back().connect(path_ + "/handover", error);
+  }
+  auto node = Start();
+  EXPECT_TRUE(Ready(*node));
+  EXPECT_NE(node->log().find("does not hand over"), std::string::npos);
+}
+
+std::string ProcessField(pid_t pid, const std::string& name) {
+  std::ifstream status("/proc/" + std::to_string(pid) + "/status");
+  for (std::string line; std::getline(status, line);)
+    if (line.starts_with(name)) return line.substr(name.size());
+  return "";
+}
+bool Catches(pid_t pid, int signal) {
+  const std::string mask = ProcessField(pid, "SigCgt:\t");
+  return !mask.empty() && (std::stoull(mask, nullptr, 16) >> (signal - 1) & 1U) != 0;
+}
+bool Sleeps(pid_t pid) { return ProcessField(pid, "State:\t").starts_with("S"); }
+
+// A signal that comes while the next process waits for the socket must not make it go on without.
+TEST_F(FailingFolder, SignalsDoNotEndTheWaitForTheListener) {
+  fs::create_directories(path_);
+  auto node = Start();
+  ASSERT_TRUE(Ready(*node));
+  node->Pause();
+  Node::Options options = With(List({Target("u1", upstream_.address())}));
+  options.admin = "127.0.0.1:0";
+  options.tmpdir = folder_.path();
+  options.listen = "127.0.0.1:" + std::to_string(node->port());
+  options.discovery = discovery_.address();
+  Node next(options);
+  ASSERT_TRUE(Eventually([&] { return Catches(next.pid(), SIGHUP) && Sleeps(next.pid()); }));
+  for (int i = 0; i < 5; ++i) next.Signal(SIGHUP);
+  node->Signal(SIGCONT);
+  ASSERT_TRUE(next.Listening());
+  EXPECT_EQ(next.log().find("does not hand over"), std::string::npos) << next.log();
+  EXPECT_TRUE(Eventually([&] { return node->log().find("takes the clients, too") != std::string::npos; }));
+}
+
+}  // namespace
+}  // namespace mothrack::testing
