--- a/node/discovery.h
+++ b/node/discovery.h
@@ -73,6 +73,8 @@
   void Ask(std::optional<std::uint64_t> known = std::nullopt);
   // Changes over to another address at once: asks there for the whole list. The old list stands until then.
   void MoveTo(Endpoint endpoint);
+  // Asks for the whole list at once, in place of what changes.
+  void AskForAll() { MoveTo(endpoint_); }
 
  private:
   class Call;
--- a/node/sidecar.cpp
+++ b/node/sidecar.cpp
@@ -6,6 +6,7 @@
 #include <algorithm>
 #include <charconv>
 #include <cstdio>
+#include <cstdlib>
 #include <optional>
 #include <sstream>
 #include <stdexcept>
@@ -134,6 +135,7 @@
 
 Sidecar::Sidecar(boost::asio::io_context& io, const Config& config)
     : settings_(config.settings),
+      wall_clock_(config.settings.rules.cold_time),
       log_(config.name),
       descriptors_(config.sockets, Descriptors::kFixed + (config.admin ? Admin::kDescriptors : 0)),
       hot_restart_(io, config.keep, log_,
@@ -227,6 +229,7 @@
 void Sidecar::Reconfigure(const Config& config) {
   Known(config.known, unix_clock_);  // checked like the rest, though the list from discovery is newer
   log_.Line("configuration read again");
+  wall_clock_.ForgetService();
   discovery_.MoveTo(config.discovery);
 }
 
@@ -323,6 +326,7 @@
 // The module hears of the list before it hears of attempts that the list ended, and acts on it only when the
 // sockets know it too: else it would send again to what drains, or to what is not known yet.
 void Sidecar::Apply(MembershipList list) {
+  const bool ask_for_all = JudgeStarts(list);
   {
     const Busy busy(delivering_);
     if (list.update.kind != MembershipUpdate::Kind::kChanges) {
@@ -335,6 +339,18 @@
   }
   upstream_told_ = upstream_told_ || !upstreams_.Known().empty();
   Pump();
+  if (ask_for_all) discovery_.AskForAll();
+}
+
+bool Sidecar::JudgeStarts(MembershipList& list) {
+  const bool trusted = !wall_clock_.ahead();
+  const bool ask_for_all = wall_clock_.Judge(list.update, Now());
+  if (const auto ahead = wall_clock_.ahead(); trusted && ahead) {
+    log_.Line("the wall clock was " + std::to_string(std::abs(ahead->count()) / 1000) + " ms " +
+              (*ahead < Duration::zero() ? "behind" : "ahead") +
+              " at the start, by the start times of upstreams; these are judged without it");
+  }
+  return ask_for_all;
 }
 
 Listener::OnGone Sidecar::Take(HttpRequest request, Body body, Listener::Reply reply, Listener::Here here) {
--- a/node/sidecar.h
+++ b/node/sidecar.h
@@ -28,6 +28,7 @@
 #include "log.h"
 #include "operator_state.h"
 #include "upstreams.h"
+#include "wall_clock.h"
 
 namespace mothrack {
 
@@ -61,6 +62,7 @@
   void Deliver(kestrellb::Event event);
   void Pump();
   void Apply(MembershipList list);
+  bool JudgeStarts(MembershipList& list);  // true: the whole list is needed
   Listener::OnGone Take(HttpRequest request, Body body, Listener::Reply reply, Listener::Here here);
   // The last byte of a request that passes through has come, or it never will.
   void BodyEnded(kestrellb::RequestId id, Duration timeout);
@@ -101,6 +103,7 @@
   std::map<std::string, kestrellb::ClassId, std::less<>> classes_;
   std::map<std::string, kestrellb::TenantId, std::less<>> tenants_;
   const UnixClock unix_clock_;
+  WallClock wall_clock_;
   Logger log_;
   Descriptors descriptors_;
   HotRestart hot_restart_;
