--- a/node/durable_folder.cpp
+++ b/node/durable_folder.cpp
@@ -126,7 +126,11 @@
     error = Sync();  // it may be gone by a removal that was not synced
     return error == std::errc::no_such_file_or_directory ? std::error_code() : error;
   }
-  if (error && !Rename(Path(name), Path(TemporaryName()))) error.clear();
+  const std::string discarded = TemporaryName();
+  if (error && !Rename(Path(name), Path(discarded))) {
+    temporaries_[discarded] = Steady::now() - 2 * kLeftOverAge;  // removed at the next look
+    error.clear();
+  }
   return error ? error : Sync();
 }
 
--- a/node/hot_restart.cpp
+++ b/node/hot_restart.cpp
@@ -227,7 +227,7 @@
     log_.Line("handover: the process before does not hand over");
     return std::nullopt;
   }
-  before_ = std::make_shared<Neighbour>(Socket(io_, boost::asio::local::stream_protocol(), *connected));
+  before_ = std::make_shared<Neighbour>(Socket(io_, Local(), *connected));
   WatchBefore();
   return listening;
 }
@@ -293,7 +293,13 @@
   const auto error = Open(*path);
   if (!error) {
     if (listen_pause_ > Duration::zero()) log_.Line("handover: listens now");
-    return Accept();
+    accept_loop_.emplace(
+        io_, acceptor_, log_, "handover: accept", Local(),
+        AcceptLoop<Local>::Owner{.ensure_capacity = nullptr,
+                                 .has_capacity = nullptr,
+                                 .on_taken = [this](Socket next) { FollowNext(std::move(next)); },
+                                 .on_process_shortage = nullptr});
+    return accept_loop_->Start();
   }
   if (listen_pause_ == Duration::zero()) {
     log_.Line("handover: " + error.message() + "; the next process listens on its own until this is over");
@@ -318,22 +324,11 @@
 }
 
 // The newest is the one that counts: one before it that never served has been given up by the platform.
-void HotRestart::Accept() {
-  acceptor_.async_accept([this](error_code error, Socket socket) {
-    if (error == boost::asio::error::operation_aborted) return;
-    if (error) {
-      // Guards against a spin: what waits stays in the backlog, and its process waits for a second.
-      pause_.expires_after(kPause);
-      return pause_.async_wait([this](error_code stopped) {
-        if (!stopped) Accept();
-      });
-    }
-    if (next_) next_->Close();
-    next_ = std::make_shared<Neighbour>(std::move(socket));
-    next_serves_ = false;
-    SendListener(kSendTries);
-    Accept();
-  });
+void HotRestart::FollowNext(Socket socket) {
+  if (next_) next_->Close();
+  next_ = std::make_shared<Neighbour>(std::move(socket));
+  next_serves_ = false;
+  SendListener(kSendTries);
 }
 
 void HotRestart::SendListener(int tries) {
--- a/node/hot_restart.h
+++ b/node/hot_restart.h
@@ -13,6 +13,7 @@
 #include <optional>
 #include <string>
 
+#include "acceptor.h"
 #include "clock.h"
 #include "log.h"
 
@@ -45,14 +46,15 @@
   bool next_serves() const { return next_ && next_serves_; }
 
  private:
-  using Socket = boost::asio::local::stream_protocol::socket;
-  using SocketAddress = boost::asio::local::stream_protocol::endpoint;
+  using Local = boost::asio::local::stream_protocol;
+  using Socket = Local::socket;
+  using SocketAddress = Local::endpoint;
   class Neighbour;
 
   std::optional<SocketAddress> SocketPath();
   void Listen();
   boost::system::error_code Open(const SocketAddress& path);
-  void Accept();
+  void FollowNext(Socket socket);
   void SendListener(int tries);
   void WatchBefore();
   void WatchNext();
@@ -62,11 +64,12 @@
   const std::string folder_;
   Logger& log_;
   const Handlers handlers_;
-  boost::asio::local::stream_protocol::acceptor acceptor_;
-  boost::asio::steady_timer pause_;       // of the acceptor, after an error
-  boost::asio::steady_timer send_pause_;  // of the descriptor, likewise
-  Duration listen_pause_{};               // grows from failure to failure
-  int listening_ = -1;                    // not owned
+  Local::acceptor acceptor_;
+  std::optional<AcceptLoop<Local>> accept_loop_;  // once it listens
+  boost::asio::steady_timer pause_;               // until it tries to listen again
+  boost::asio::steady_timer send_pause_;          // of the descriptor, likewise
+  Duration listen_pause_{};                       // grows from failure to failure
+  int listening_ = -1;                            // not owned
   std::shared_ptr<Neighbour> before_;
   std::shared_ptr<Neighbour> next_;
   bool next_serves_ = false;
--- a/tests/operator_state_test.cpp
+++ b/tests/operator_state_test.cpp
@@ -3,6 +3,8 @@
 #include "operator_state.h"
 
 #include <boost/asio/io_context.hpp>
+#include <boost/asio/local/stream_protocol.hpp>
+#include <cerrno>
 #include <chrono>
 #include <csignal>
 #include <filesystem>
@@ -15,6 +17,7 @@
 #include <string>
 #include <vector>
 
+#include "fault_injection.h"
 #include "gtest/gtest.h"
 #include "hot_restart.h"
 #include "peers.h"
@@ -196,8 +199,11 @@
 
 class FailingFolder : public OperatorStateTest {
  protected:
-  std::unique_ptr<Node> Start(const std::string& listen = "127.0.0.1:0") {
-    Node::Options options = With(List({Target("u1", upstream_.address())}));
+  // `faulty`: meets the faults that are forced.
+  std::unique_ptr<Node> Start(const std::string& listen = "127.0.0.1:0", bool faulty = false) {
+    Node::Options options =
+        With(List({Target("u1", upstream_.address()), Target(kLongId, upstream_.address())}));
+    if (faulty) options.environment = faults_.environment();
     options.admin = "127.0.0.1:0";
     options.tmpdir = folder_.path();
     options.listen = listen;
@@ -214,10 +220,161 @@
     return Eventually([&] { return node.Status("GET", "/ready") == 200; });
   }
 
+  bool IsOut(Node& node, const std::string& id) { return Logs(node, id + " is taken out by"); }
+  static bool Logs(Node& node, const std::string& text) {
+    return Eventually([&] { return node.log().find(text) != std::string::npos; });
+  }
+
+  inline static const std::string kLongId = "long" + std::string(200, 'x');
+  FaultInjector faults_;
   Upstream upstream_{Upstream::Echo("u1")};
-  Discovery discovery_{List({Target("u1", upstream_.address())})};
+  Discovery discovery_{List({Target("u1", upstream_.address()), Target(kLongId, upstream_.address())})};
+};
+
+// ---- Each call that a word takes, failing for a while ----
+
+struct FolderRow {
+  const char* name;
+  SystemCall call;
+  int error;
+  std::size_t at_most = 0;
 };
 
+class FolderFaults : public FailingFolder, public ::testing::WithParamInterface<FolderRow> {};
+
+TEST_P(FolderFaults, AWordIsStoredAndWithdrawnAllTheSame) {
+  const auto& row = GetParam();
+  auto node = Start("127.0.0.1:0", true);
+  ASSERT_TRUE(Ready(*node));
+  int met = 0;
+  for (const std::string& id : {std::string("u1"), kLongId}) {
+    for (const std::string& call : {std::string("disable"), std::string("enable")}) {
+      const auto fault = faults_.Force({.call = row.call,
+                                        .error = row.error,
+                                        .at_most = row.at_most,
+                                        .times = 3,
+                                        .on = Descriptor::kAny,
+                                        .path = path_});
+      EXPECT_EQ(node->Status("POST", "/upstreams/" + call + "/" + id), 200U);
+      const bool out = call == "disable";
+      EXPECT_TRUE(Logs(*node, id + (out ? " is taken out" : " is put back")));
+      EXPECT_TRUE(Eventually([&] { return Says(*node, "GET", "/ready") == "200 ready\n"; })) << node->log();
+      EXPECT_EQ(Process(path_).disabled(), out ? Ids{id} : Ids{}) << call;
+      // The look that reads the new file meets it; else it is met by what stores and withdraws.
+      const bool reads = row.call == SystemCall::kRead || row.call >= SystemCall::kOpenFolder;
+      EXPECT_TRUE(!(out && reads && id == kLongId) || faults_.WaitUntilForced(fault));
+      met += faults_.forced(fault);
+      faults_.Stop(fault);
+    }
+  }
+  EXPECT_GT(met, 0);
+  EXPECT_TRUE(Eventually([&] { return Files() == std::set<std::string>{"handover"}; }))
+      << "nothing half-made stays";
+}
+
+INSTANTIATE_TEST_SUITE_P(Calls, FolderFaults,
+                         ::testing::Values(FolderRow{"OpenNoSpace", SystemCall::kOpen, ENOSPC},
+                                           FolderRow{"OpenIo", SystemCall::kOpen, EIO},
+                                           FolderRow{"OpenNoDescriptor", SystemCall::kOpen, EMFILE},
+                                           FolderRow{"OpenInterrupted", SystemCall::kOpen, EINTR},
+                                           FolderRow{"WriteNoSpace", SystemCall::kWrite, ENOSPC},
+                                           FolderRow{"WriteInterrupted", SystemCall::kWrite, EINTR},
+                                           FolderRow{"WriteShort", SystemCall::kWrite, 0, 3},
+                                           FolderRow{"ReadShort", SystemCall::kRead, 0, 3},
+                                           FolderRow{"ReadIo", SystemCall::kRead, EIO},
+                                           FolderRow{"SyncIo", SystemCall::kSync, EIO},
+                                           FolderRow{"SyncNoSpace", SystemCall::kSync, ENOSPC},
+                                           FolderRow{"SyncInterrupted", SystemCall::kSync, EINTR},
+                                           FolderRow{"RenameIo", SystemCall::kRename, EIO},
+                                           FolderRow{"RemoveIo", SystemCall::kRemove, EIO},
+                                           FolderRow{"RemoveReadOnly", SystemCall::kRemove, EROFS},
+                                           FolderRow{"OpenFolderIo", SystemCall::kOpenFolder, EIO},
+                                           FolderRow{"ReadFolderIo", SystemCall::kReadFolder, EIO}),
+                         [](const auto& row) { return std::string(row.param.name); });
+
+// A kill right after each call of a word, which then was not answered: it holds whole or not at all.
+struct KillRow {
+  const char* name;
+  SystemCall call;
+  int skip;
+  std::size_t at_most;
+};
+
+class KilledInAWrite : public FailingFolder, public ::testing::WithParamInterface<KillRow> {};
+
+TEST_P(KilledInAWrite, TheNextProcessReadsTheFolderRight) {
+  const auto& row = GetParam();
+  {
+    auto node = Start("127.0.0.1:0", true);
+    ASSERT_TRUE(Ready(*node));
+    ASSERT_EQ(node->Status("POST", "/upstreams/disable/u1"), 200U);
+    faults_.Force({.call = row.call,
+                   .at_most = row.at_most,
+                   .kills = true,
+                   .skip = row.skip,
+                   .times = 1,
+                   .path = path_ + "/"});
+    node->Operate("POST", "/upstreams/disable/" + kLongId);
+    EXPECT_EQ(node->Wait(), 128 + SIGKILL);
+  }
+  auto next = Start();
+  ASSERT_TRUE(Ready(*next));
+  EXPECT_TRUE(IsOut(*next, "u1"));
+  EXPECT_EQ(next->log().find("not ours"), std::string::npos) << next->log();
+  EXPECT_EQ(Says(*next, "POST", "/upstreams/enable/u1"), "200 u1 is back\n");
+  EXPECT_EQ(next->Status("POST", "/upstreams/disable/" + kLongId), 200U);
+  EXPECT_EQ(Process(path_).disabled(), Ids{kLongId});
+}
+
+INSTANTIATE_TEST_SUITE_P(Calls, KilledInAWrite,
+                         ::testing::Values(KillRow{"Made", SystemCall::kOpen, 0, 0},
+                                           KillRow{"HalfWritten", SystemCall::kWrite, 0, 7},
+                                           KillRow{"Written", SystemCall::kWrite, 0, 0},
+                                           KillRow{"Synced", SystemCall::kSync, 0, 0},
+                                           KillRow{"Renamed", SystemCall::kRename, 0, 0}),
+                         [](const auto& row) { return std::string(row.param.name); });
+
+// What the folder has can't be removed there, nor what is new be stored: the next process hears it from this
+// one, and does both.
+TEST_F(FailingFolder, ARestartDoesNotBringBackWhatWasWithdrawn) {
+  auto node = Start("127.0.0.1:0", true);
+  ASSERT_TRUE(Ready(*node));
+  ASSERT_EQ(Says(*node, "POST", "/upstreams/disable/u1"), "200 u1 is out\n");
+  for (const auto call : {SystemCall::kRemove, SystemCall::kRename, SystemCall::kSync, SystemCall::kOpen})
+    faults_.Force({.call = call, .error = EIO, .path = path_});
+  EXPECT_NE(Says(*node, "POST", "/upstreams/enable/u1").find("not stored yet: 1 change (Input/output error)"),
+            std::string::npos);
+  EXPECT_EQ(node->Status("POST", "/upstreams/disable/" + kLongId), 200U);
+  ASSERT_TRUE(fs::exists(path_ + "/out-7531"));
+  {
+    auto next = Start("127.0.0.1:" + std::to_string(node->port()));
+    ASSERT_TRUE(Ready(*next));
+    EXPECT_TRUE(IsOut(*next, kLongId));
+    EXPECT_TRUE(Logs(*next, "u1 is put back"));
+    node->Signal(SIGKILL);
+    node->Wait();
+    EXPECT_TRUE(Eventually([&] { return !fs::exists(path_ + "/out-7531"); }));
+    EXPECT_TRUE(Eventually([&] { return Process(path_).disabled() == Ids{kLongId}; }));
+    next->Signal(SIGKILL);
+    next->Wait();
+  }
+  auto last = Start();
+  EXPECT_TRUE(IsOut(*last, kLongId));
+  EXPECT_EQ(last->log().find("u1 is taken out"), std::string::npos);
+}
+
+// At the start as well: what is read in the end is what counts, and it counts before much is sent.
+TEST_F(FailingFolder, AFolderThatCanNotBeReadAtTheStartIsReadLater) {
+  Touch("out-7531");
+  const auto fault =
+      faults_.Force({.call = SystemCall::kReadFolder, .error = EIO, .times = 8, .path = path_});
+  auto node = Start("127.0.0.1:0", true);
+  EXPECT_TRUE(IsOut(*node, "u1"));
+  EXPECT_EQ(faults_.forced(fault), 8);
+  EXPECT_TRUE(Logs(*node, "what other processes store is not seen"));
+  EXPECT_TRUE(Logs(*node, "read again"));
+}
+
 TEST_F(FailingFolder, TheCallIsYesAndSaysWhatIsNotStored) {
   auto node = Start();
   ASSERT_TRUE(Ready(*node));
@@ -282,6 +439,47 @@
   EXPECT_EQ(next->Wait(), 0);
 }
 
+struct HandOverRow {
+  const char* name;
+  SystemCall call;
+  int error;
+  bool earlier;  // it meets the earlier process, else the later
+};
+
+class HandOverFaults : public FailingFolder, public ::testing::WithParamInterface<HandOverRow> {};
+
+TEST_P(HandOverFaults, TheListenerIsHandedOverAllTheSame) {
+  const auto& row = GetParam();
+  auto node = Start("127.0.0.1:0", row.earlier);
+  ASSERT_TRUE(Ready(*node));
+  const auto fault =
+      faults_.Force({.call = row.call,
+                     .error = row.error,
+                     .times = 2,
+                     .on = row.call == SystemCall::kSocket ? Descriptor::kAny : Descriptor::kLocal});
+  auto next = Start("127.0.0.1:" + std::to_string(node->port()), !row.earlier);
+  ASSERT_TRUE(Ready(*next));
+  EXPECT_TRUE(faults_.WaitUntilForced(fault, 2));
+  EXPECT_EQ(next->log().find("does not hand over"), std::string::npos) << next->log();
+  EXPECT_TRUE(Logs(*node, "takes the clients, too"));
+}
+
+INSTANTIATE_TEST_SUITE_P(
+    Calls, HandOverFaults,
+    ::testing::Values(HandOverRow{"AcceptInterrupted", SystemCall::kAccept, EINTR, true},
+                      HandOverRow{"AcceptAborted", SystemCall::kAccept, ECONNABORTED, true},
+                      HandOverRow{"AcceptNoMemory", SystemCall::kAccept, ENOMEM, true},
+                      HandOverRow{"AcceptNoDescriptor", SystemCall::kAccept, ENFILE, true},
+                      HandOverRow{"SendInterrupted", SystemCall::kWrite, EINTR, true},
+                      HandOverRow{"SendNoBuffer", SystemCall::kWrite, ENOBUFS, true},
+                      HandOverRow{"SocketNoDescriptor", SystemCall::kSocket, ENFILE, false},
+                      HandOverRow{"ConnectInterrupted", SystemCall::kConnect, EINTR, false},
+                      HandOverRow{"ConnectBacklogFull", SystemCall::kConnect, EAGAIN, false},
+                      HandOverRow{"ReceiveInterrupted", SystemCall::kRead, EINTR, false},
+                      HandOverRow{"ReceiveNoBuffer", SystemCall::kRead, ENOBUFS, false},
+                      HandOverRow{"PollInterrupted", SystemCall::kPoll, EINTR, false}),
+    [](const auto& row) { return std::string(row.param.name); });
+
 // One that connects and then stands still holds nobody up; nor does one that connects and goes, many times.
 TEST_F(FailingFolder, ANextProcessThatHangsIsBorne) {
   auto node = Start();
