--- a/tests/operator_state_test.cpp
+++ b/tests/operator_state_test.cpp
@@ -1,23 +1,17 @@
-// What operators said, kept in a folder that fails, vanishes or holds half-made files; and handed from
-// process to process.
+// What operators said, kept in a folder that fails, vanishes or holds half-made files.
 #include "operator_state.h"
 
-#include <boost/asio/io_context.hpp>
+#include <cerrno>
 #include <chrono>
 #include <csignal>
 #include <filesystem>
-#include <fstream>
-#include <functional>
-#include <memory>
-#include <optional>
+#include <ostream>
 #include <set>
-#include <sstream>
 #include <string>
+#include <utility>
 #include <vector>
 
-#include "gtest/gtest.h"
-#include "hot_restart.h"
-#include "peers.h"
+#include "operator_state_fixture.h"
 
 namespace mothrack::testing {
 namespace {
@@ -25,57 +19,6 @@
 namespace fs = std::filesystem;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
-using Ids = std::set<std::string>;
-
-// One process of a sidecar, as far as its store goes.
-struct Process {
-  explicit Process(const std::string& folder)
-      : store(
-            io, folder, log, [](const OperatorState&) {},
-            [this](const std::string& word, bool set) { said.emplace_back(word, set); }) {}
-
-  const Ids& disabled() const { return store.state().disabled; }
-  // Lets it run until `condition` holds, far longer than that should take.
-  bool Eventually(const std::function<bool()>& condition) {
-    const auto until = std::chrono::steady_clock::now() + seconds(20);
-    while (!condition() && std::chrono::steady_clock::now() < until) io.run_one_for(milliseconds(50));
-    return condition();
-  }
-  bool Stores() {
-    return Eventually([this] { return store.StorageFault().empty(); });
-  }
-
-  boost::asio::io_context io;
-  std::ostringstream text;
-  Logger log{"t", &text};
-  std::vector<std::pair<std::string, bool>> said;
-  OperatorStateStore store;
-};
-
-class OperatorStateTest : public ::testing::Test {
- protected:
-  std::set<std::string> Files() const {
-    std::set<std::string> names;
-    for (const auto& entry : fs::directory_iterator(path_)) names.insert(entry.path().filename());
-    return names;
-  }
-  void Touch(const std::string& name, const std::string& contents = "") {
-    fs::create_directories(path_);
-    std::ofstream(path_ + "/" + name) << contents;
-  }
-  // The folder fails in each call: a file has its name.
-  void Break() {
-    if (fs::exists(path_)) fs::rename(path_, path_ + ".away");
-    std::ofstream(path_) << "x";
-  }
-  void Mend() {
-    fs::remove(path_);
-    if (fs::exists(path_ + ".away")) fs::rename(path_ + ".away", path_);
-  }
-
-  Folder folder_;
-  const std::string path_ = folder_.path() + "/mothrack";
-};
 
 TEST_F(OperatorStateTest, AnyIdIsStoredAndReadByTheNextProcess) {
   const std::string bytes("\0/\xff..\n", 6);
@@ -194,160 +137,169 @@
 
 // ---- The real program ----
 
-class FailingFolder : public OperatorStateTest {
- protected:
-  std::unique_ptr<Node> Start(const std::string& listen = "127.0.0.1:0") {
-    Node::Options options = With(List({Target("u1", upstream_.address())}));
-    options.admin = "127.0.0.1:0";
-    options.tmpdir = folder_.path();
-    options.listen = listen;
-    options.discovery = discovery_.address();
-    auto node = std::make_unique<Node>(options);
-    EXPECT_TRUE(node->Listening());
-    return node;
-  }
-  static std::string Says(Node& node, const std::string& method, const std::string& target) {
-    const auto answer = node.Operate(method, target);
-    return answer ? std::to_string(answer->result_int()) + " " + answer->body() : "nothing\n";
-  }
-  static bool Ready(Node& node) {
-    return Eventually([&] { return node.Status("GET", "/ready") == 200; });
-  }
+// ---- Each call that a word takes, failing for a while ----
 
-  Upstream upstream_{Upstream::Echo("u1")};
-  Discovery discovery_{List({Target("u1", upstream_.address())})};
+struct FolderRow {
+  const char* name;
+  SystemCall call;
+  int error;
+  std::size_t at_most = 0;
 };
 
-TEST_F(FailingFolder, TheCallIsYesAndSaysWhatIsNotStored) {
-  auto node = Start();
-  ASSERT_TRUE(Ready(*node));
-  EXPECT_EQ(Says(*node, "GET", "/ready"), "200 ready\n");
-  Break();
-  EXPECT_EQ(Says(*node, "POST", "/upstreams/disable/u1").find("200 u1 is out; not stored yet"), 0U);
-  EXPECT_EQ(Says(*node, "GET", "/ready").find("200 ready; not stored yet: 1 change ("), 0U);
-  EXPECT_NE(node->log().find("will not outlast"), std::string::npos);
-  Mend();
-  EXPECT_TRUE(Eventually([&] { return Says(*node, "GET", "/ready") == "200 ready\n"; }));
-  node->Signal(SIGKILL);
-  node->Wait();
-  auto next = Start();
-  EXPECT_EQ(Says(*next, "POST", "/upstreams/disable/u1"), "200 u1 is out\n");
-  EXPECT_NE(next->log().find("u1 is taken out"), std::string::npos);
-}
+void PrintTo(const FolderRow& row, std::ostream* out) { *out << row.name; }
 
-// ---- Hot restart ----
+class FolderFaults : public FailingFolder, public ::testing::WithParamInterface<FolderRow> {};
 
-TEST_F(FailingFolder, WhatEitherProcessIsToldCountsForBoth) {
-  auto node = Start();
+TEST_P(FolderFaults, AWordIsStoredAndWithdrawnAllTheSame) {
+  const auto& row = GetParam();
+  auto node = Start("127.0.0.1:0", true);
   ASSERT_TRUE(Ready(*node));
-  ASSERT_EQ(Says(*node, "POST", "/upstreams/disable/u1"), "200 u1 is out\n");
-  auto next = Start("127.0.0.1:" + std::to_string(node->port()));
-  ASSERT_TRUE(Ready(*next));
-  ASSERT_TRUE(Eventually([&] { return next->log().find("u1 is taken out") != std::string::npos; }));
-  ASSERT_EQ(Says(*next, "POST", "/upstreams/enable/u1"), "200 u1 is back\n");
-  EXPECT_TRUE(Eventually([&] { return node->log().find("u1 is put back") != std::string::npos; }));
-  EXPECT_FALSE(fs::exists(path_ + "/out-7531"));
-  ASSERT_EQ(Says(*node, "POST", "/drain"), "200 clients are sent away\n");
-  EXPECT_TRUE(Eventually([&] { return next->Status("GET", "/ready") == 503; }));
+  int met = 0;
+  for (const std::string& id : {std::string("u1"), kLongId}) {
+    for (const std::string& call : {std::string("disable"), std::string("enable")}) {
+      const auto fault = faults_.Force({.call = row.call,
+                                        .error = row.error,
+                                        .at_most = row.at_most,
+                                        .times = 3,
+                                        .on = Descriptor::kAny,
+                                        .path = path_});
+      EXPECT_EQ(node->Status("POST", "/upstreams/" + call + "/" + id), 200U);
+      const bool out = call == "disable";
+      EXPECT_TRUE(Logs(*node, id + (out ? " is taken out" : " is put back")));
+      EXPECT_TRUE(Eventually([&] { return Says(*node, "GET", "/ready") == "200 ready\n"; })) << node->log();
+      EXPECT_EQ(Process(path_).disabled(), out ? Ids{id} : Ids{}) << call;
+      // The look that reads the new file meets it; else it is met by what stores and withdraws.
+      const bool reads = row.call == SystemCall::kRead || row.call >= SystemCall::kOpenFolder;
+      EXPECT_TRUE(!(out && reads && id == kLongId) || faults_.WaitUntilForced(fault));
+      met += faults_.forced(fault);
+      faults_.Stop(fault);
+    }
+  }
+  EXPECT_GT(met, 0);
+  EXPECT_TRUE(Eventually([&] { return Files() == std::set<std::string>{"handover"}; }))
+      << "nothing half-made stays";
 }
 
-// SIGTERM at each step: of the later process before it serves, of the earlier one before the later serves.
-TEST_F(FailingFolder, EitherProcessMayEndAtAnyStepOfTheHandOver) {
-  auto node = Start();
-  ASSERT_TRUE(Ready(*node));
-  const std::string listen = "127.0.0.1:" + std::to_string(node->port());
-  discovery_.Set(Discovery::Mood::kSilent);  // the next one does not serve yet
+INSTANTIATE_TEST_SUITE_P(Calls, FolderFaults,
+                         ::testing::Values(FolderRow{"OpenNoSpace", SystemCall::kOpen, ENOSPC},
+                                           FolderRow{"OpenIo", SystemCall::kOpen, EIO},
+                                           FolderRow{"OpenNoDescriptor", SystemCall::kOpen, EMFILE},
+                                           FolderRow{"OpenInterrupted", SystemCall::kOpen, EINTR},
+                                           FolderRow{"WriteNoSpace", SystemCall::kWrite, ENOSPC},
+                                           FolderRow{"WriteInterrupted", SystemCall::kWrite, EINTR},
+                                           FolderRow{"WriteShort", SystemCall::kWrite, 0, 3},
+                                           FolderRow{"ReadShort", SystemCall::kRead, 0, 3},
+                                           FolderRow{"ReadIo", SystemCall::kRead, EIO},
+                                           FolderRow{"SyncIo", SystemCall::kSync, EIO},
+                                           FolderRow{"SyncNoSpace", SystemCall::kSync, ENOSPC},
+                                           FolderRow{"SyncInterrupted", SystemCall::kSync, EINTR},
+                                           FolderRow{"RenameIo", SystemCall::kRename, EIO},
+                                           FolderRow{"RemoveIo", SystemCall::kRemove, EIO},
+                                           FolderRow{"RemoveReadOnly", SystemCall::kRemove, EROFS},
+                                           FolderRow{"OpenFolderIo", SystemCall::kOpenFolder, EIO},
+                                           FolderRow{"ReadFolderIo", SystemCall::kReadFolder, EIO}),
+                         [](const auto& row) { return std::string(row.param.name); });
+
+// A kill right after each call of a word, which then was not answered: it holds whole or not at all.
+struct KillRow {
+  const char* name;
+  SystemCall call;
+  int skip;
+  std::size_t at_most;
+};
+
+void PrintTo(const KillRow& row, std::ostream* out) { *out << row.name; }
+
+class KilledInAWrite : public FailingFolder, public ::testing::WithParamInterface<KillRow> {};
+
+TEST_P(KilledInAWrite, TheNextProcessReadsTheFolderRight) {
+  const auto& row = GetParam();
   {
-    auto never = Start(listen);
-    ASSERT_TRUE(
-        Eventually([&] { return node->log().find("another process has come") != std::string::npos; }));
-    never->Signal(SIGTERM);
-    EXPECT_EQ(never->Wait(), 0);
+    auto node = Start("127.0.0.1:0", true);
+    ASSERT_TRUE(Ready(*node));
+    ASSERT_EQ(node->Status("POST", "/upstreams/disable/u1"), 200U);
+    faults_.Force({.call = row.call,
+                   .at_most = row.at_most,
+                   .kills = true,
+                   .skip = row.skip,
+                   .times = 1,
+                   .path = path_ + "/"});
+    node->Operate("POST", "/upstreams/disable/" + kLongId);
+    EXPECT_EQ(node->Wait(), 128 + SIGKILL);
   }
-  EXPECT_TRUE(Eventually([&] { return node->log().find("this is the only process") != std::string::npos; }));
-  Client still(node->port());
-  EXPECT_TRUE(still.Get("/page/k", "a"));
-  auto next = Start(listen);
-  ASSERT_TRUE(Eventually([&] {
-    const auto text = node->log();
-    return text.find("another process has come", text.find("the only process")) != std::string::npos;
-  }));
-  node->Signal(SIGTERM);
-  EXPECT_EQ(node->Wait(), 0);
-  Client client(next->port());  // served once the process before has gone
-  const auto answer = client.Get("/page/k", "b");
-  ASSERT_TRUE(answer);
-  EXPECT_EQ(answer->result_int(), 200U);
-  next->Signal(SIGTERM);
-  EXPECT_EQ(next->Wait(), 0);
+  auto next = Start();
+  ASSERT_TRUE(Ready(*next));
+  EXPECT_TRUE(IsOut(*next, "u1"));
+  EXPECT_EQ(next->log().find("not ours"), std::string::npos) << next->log();
+  EXPECT_EQ(Says(*next, "POST", "/upstreams/enable/u1"), "200 u1 is back\n");
+  EXPECT_EQ(next->Status("POST", "/upstreams/disable/" + kLongId), 200U);
+  EXPECT_EQ(Process(path_).disabled(), Ids{kLongId});
 }
 
-// One that connects and then stands still holds nobody up; nor does one that connects and goes, many times.
-TEST_F(FailingFolder, ANextProcessThatHangsIsBorne) {
-  auto node = Start();
-  ASSERT_TRUE(Ready(*node));
-  boost::asio::io_context io;
-  boost::asio::local::stream_protocol::socket hanging(io);
-  for (int i = 0; i < 5; ++i) {
-    hanging = boost::asio::local::stream_protocol::socket(io);
-    hanging.connect(path_ + "/handover");
-  }
-  EXPECT_EQ(Says(*node, "POST", "/drain"), "200 clients are sent away\n");
-  auto next = Start("127.0.0.1:" + std::to_string(node->port()));
-  EXPECT_TRUE(Eventually([&] { return node->log().find("takes the clients, too") != std::string::npos; }));
-}
+INSTANTIATE_TEST_SUITE_P(Calls, KilledInAWrite,
+                         ::testing::Values(KillRow{"Made", SystemCall::kOpen, 0, 0},
+                                           KillRow{"HalfWritten", SystemCall::kWrite, 0, 7},
+                                           KillRow{"Written", SystemCall::kWrite, 0, 0},
+                                           KillRow{"Synced", SystemCall::kSync, 0, 0},
+                                           KillRow{"Renamed", SystemCall::kRename, 0, 0}),
+                         [](const auto& row) { return std::string(row.param.name); });
 
-// The process before stands still with its backlog full: the next one goes on without it.
-TEST_F(FailingFolder, AProcessBeforeThatHangsIsNotWaitedForLong) {
-  fs::create_directories(path_);
-  boost::asio::io_context io;
-  using Local = boost::asio::local::stream_protocol;
-  Local::acceptor before(io);
-  before.open();
-  before.bind(path_ + "/handover");
-  before.listen(0);
-  std::vector<Local::socket> waiting;
-  for (boost::system::error_code error; !error;) {
-    waiting.emplace_back(io);
-    waiting.back().open();
-    waiting.back().non_blocking(true);
-    waiting.back().connect(path_ + "/handover", error);
+// What the folder has can't be removed there, nor what is new be stored: the next process hears it from this
+// one, and does both.
+TEST_F(FailingFolder, ARestartDoesNotBringBackWhatWasWithdrawn) {
+  auto node = Start("127.0.0.1:0", true);
+  ASSERT_TRUE(Ready(*node));
+  ASSERT_EQ(Says(*node, "POST", "/upstreams/disable/u1"), "200 u1 is out\n");
+  for (const auto call : {SystemCall::kRemove, SystemCall::kRename, SystemCall::kSync, SystemCall::kOpen})
+    faults_.Force({.call = call, .error = EIO, .path = path_});
+  EXPECT_NE(Says(*node, "POST", "/upstreams/enable/u1").find("not stored yet: 1 change (Input/output error)"),
+            std::string::npos);
+  EXPECT_EQ(node->Status("POST", "/upstreams/disable/" + kLongId), 200U);
+  ASSERT_TRUE(fs::exists(path_ + "/out-7531"));
+  {
+    auto next = Start("127.0.0.1:" + std::to_string(node->port()));
+    ASSERT_TRUE(Ready(*next));
+    EXPECT_TRUE(IsOut(*next, kLongId));
+    EXPECT_TRUE(Logs(*next, "u1 is put back"));
+    node->Signal(SIGKILL);
+    node->Wait();
+    EXPECT_TRUE(Eventually([&] { return !fs::exists(path_ + "/out-7531"); }));
+    EXPECT_TRUE(Eventually([&] { return Process(path_).disabled() == Ids{kLongId}; }));
+    next->Signal(SIGKILL);
+    next->Wait();
   }
-  auto node = Start();
-  EXPECT_TRUE(Ready(*node));
-  EXPECT_NE(node->log().find("does not hand over"), std::string::npos);
+  auto last = Start();
+  EXPECT_TRUE(IsOut(*last, kLongId));
+  EXPECT_EQ(last->log().find("u1 is taken out"), std::string::npos);
 }
 
-std::string ProcessField(pid_t pid, const std::string& name) {
-  std::ifstream status("/proc/" + std::to_string(pid) + "/status");
-  for (std::string line; std::getline(status, line);)
-    if (line.starts_with(name)) return line.substr(name.size());
-  return "";
-}
-bool Catches(pid_t pid, int signal) {
-  const std::string mask = ProcessField(pid, "SigCgt:\t");
-  return !mask.empty() && (std::stoull(mask, nullptr, 16) >> (signal - 1) & 1U) != 0;
+// At the start as well: what is read in the end is what counts, and it counts before much is sent.
+TEST_F(FailingFolder, AFolderThatCanNotBeReadAtTheStartIsReadLater) {
+  Touch("out-7531");
+  const auto fault =
+      faults_.Force({.call = SystemCall::kReadFolder, .error = EIO, .times = 8, .path = path_});
+  auto node = Start("127.0.0.1:0", true);
+  EXPECT_TRUE(IsOut(*node, "u1"));
+  EXPECT_EQ(faults_.forced(fault), 8);
+  EXPECT_TRUE(Logs(*node, "what other processes store is not seen"));
+  EXPECT_TRUE(Logs(*node, "read again"));
 }
-bool Sleeps(pid_t pid) { return ProcessField(pid, "State:\t").starts_with("S"); }
 
-// A signal that comes while the next process waits for the socket must not make it go on without.
-TEST_F(FailingFolder, SignalsDoNotEndTheWaitForTheListener) {
-  fs::create_directories(path_);
+TEST_F(FailingFolder, TheCallIsYesAndSaysWhatIsNotStored) {
   auto node = Start();
   ASSERT_TRUE(Ready(*node));
-  node->Pause();
-  Node::Options options = With(List({Target("u1", upstream_.address())}));
-  options.admin = "127.0.0.1:0";
-  options.tmpdir = folder_.path();
-  options.listen = "127.0.0.1:" + std::to_string(node->port());
-  options.discovery = discovery_.address();
-  Node next(options);
-  ASSERT_TRUE(Eventually([&] { return Catches(next.pid(), SIGHUP) && Sleeps(next.pid()); }));
-  for (int i = 0; i < 5; ++i) next.Signal(SIGHUP);
-  node->Signal(SIGCONT);
-  ASSERT_TRUE(next.Listening());
-  EXPECT_EQ(next.log().find("does not hand over"), std::string::npos) << next.log();
-  EXPECT_TRUE(Eventually([&] { return node->log().find("takes the clients, too") != std::string::npos; }));
+  EXPECT_EQ(Says(*node, "GET", "/ready"), "200 ready\n");
+  Break();
+  EXPECT_EQ(Says(*node, "POST", "/upstreams/disable/u1").find("200 u1 is out; not stored yet"), 0U);
+  EXPECT_EQ(Says(*node, "GET", "/ready").find("200 ready; not stored yet: 1 change ("), 0U);
+  EXPECT_TRUE(Logs(*node, "will not outlast"));
+  Mend();
+  EXPECT_TRUE(Eventually([&] { return Says(*node, "GET", "/ready") == "200 ready\n"; }));
+  node->Signal(SIGKILL);
+  node->Wait();
+  auto next = Start();
+  EXPECT_EQ(Says(*next, "POST", "/upstreams/disable/u1"), "200 u1 is out\n");
+  EXPECT_TRUE(Logs(*next, "u1 is taken out"));
 }
 
 }  // namespace
