--- a/lab/process.cpp
+++ b/lab/process.cpp
@@ -3,6 +3,7 @@
 #include <fcntl.h>
 #include <sys/prctl.h>
 #include <sys/wait.h>
+#include <time.h>
 #include <unistd.h>
 
 #include <cerrno>
@@ -14,6 +15,7 @@
 #include <fstream>
 #include <sstream>
 #include <stdexcept>
+#include <string_view>
 #include <system_error>
 #include <thread>
 #include <utility>
@@ -121,29 +123,24 @@
 
 std::string ProcFile(pid_t pid, const char* name) { return "/proc/" + std::to_string(pid) + "/" + name; }
 
-// utime and stime: fields 14 and 15 of proc(5)'s stat. The second may hold spaces, up to its last bracket.
+// Of all threads, also of those that have ended.
 std::optional<double> CpuSeconds(pid_t pid) {
-  std::ifstream stream(ProcFile(pid, "stat"));
-  std::string text;
-  if (!std::getline(stream, text)) return std::nullopt;
-  const auto name_end = text.rfind(')');
-  if (name_end == std::string::npos) return std::nullopt;
-  std::istringstream fields(text.substr(name_end + 1));
-  std::string skipped;
-  for (int field = 3; field <= 13; ++field) fields >> skipped;
-  std::uint64_t user = 0, system = 0;
-  if (!(fields >> user >> system)) return std::nullopt;
-  return static_cast<double>(user + system) / static_cast<double>(::sysconf(_SC_CLK_TCK));
+  constexpr double kNanosecondsPerSecond = 1e9;
+  clockid_t clock{};
+  timespec spent{};
+  if (::clock_getcpuclockid(pid, &clock) != 0 || ::clock_gettime(clock, &spent) != 0) return std::nullopt;
+  return static_cast<double>(spent.tv_sec) + static_cast<double>(spent.tv_nsec) / kNanosecondsPerSecond;
 }
 
-std::optional<double> ProportionalMemoryMb(pid_t pid) {
-  std::ifstream stream(ProcFile(pid, "smaps_rollup"));
+// The line `wanted KILOBYTES kB` of a file of proc(5).
+std::optional<double> MegabytesOf(pid_t pid, const char* file, std::string_view wanted) {
+  std::ifstream stream(ProcFile(pid, file));
   std::string line;
   while (std::getline(stream, line)) {
     std::istringstream fields(line);
     std::string name;
     double kilobytes = 0;
-    if (fields >> name >> kilobytes && name == "Pss:") return kilobytes / kKilobytesPerMegabyte;
+    if (fields >> name >> kilobytes && name == wanted) return kilobytes / kKilobytesPerMegabyte;
   }
   return std::nullopt;
 }
@@ -277,11 +274,12 @@
 std::optional<ProcessUsage> Process::Usage() {
   if (pid_ <= 0 || Poll()) return std::nullopt;
   const auto cpu_s = CpuSeconds(pid_);
-  auto memory_mb = ProportionalMemoryMb(pid_);
+  auto memory_mb = MegabytesOf(pid_, "smaps_rollup", "Pss:");
   if (!memory_mb) memory_mb = ResidentMemoryOfMb(pid_);
+  const auto peak_memory_mb = MegabytesOf(pid_, "status", "VmHWM:");
   const auto descriptors = OpenDescriptors(pid_);
-  if (!cpu_s || !memory_mb || !descriptors) return std::nullopt;
-  return ProcessUsage{*cpu_s, *memory_mb, *descriptors};
+  if (!cpu_s || !memory_mb || !peak_memory_mb || !descriptors) return std::nullopt;
+  return ProcessUsage{*cpu_s, *memory_mb, *peak_memory_mb, *descriptors};
 }
 
 std::string Process::Log() const {
--- a/lab/process.h
+++ b/lab/process.h
@@ -30,10 +30,11 @@
 
 // What a process has used and holds. Its children are not included.
 struct ProcessUsage {
-  double cpu_s = 0;  // processor time since its start, user and system; in steps of 10 ms
+  double cpu_s = 0;  // processor time since its start, user and system
   // MB of memory: the proportional set size, where pages that several processes map are shared out among
   // them; the resident set size where the system doesn't tell the former.
   double memory_mb = 0;
+  double peak_memory_mb = 0;    // the most that was ever resident, pages of others included
   std::size_t descriptors = 0;  // open
 };
 
