--- a/lab/experiment.h
+++ b/lab/experiment.h
@@ -188,6 +188,8 @@
   SidecarSpec sidecars;
   std::vector<FaultSpec> faults;  // in order of time
   std::vector<Expectation> must_hold;
+  // No key of the file. The hollow sidecars count in every sidecar's settings and are not played.
+  bool hollow_absent = false;
 };
 
 // `region` counts from 0; the name counts from 1, as in `r1-z1`.
--- a/lab/hollow_fleet.cpp
+++ b/lab/hollow_fleet.cpp
@@ -15,9 +15,13 @@
 
 double Milliseconds(Duration duration) { return std::chrono::duration<double, std::milli>(duration).count(); }
 
-Deployment WithoutRealLoad(Deployment deployment) {
+bool IsPlayed(const Experiment& experiment, const SidecarInstance& sidecar) {
+  return !sidecar.real && !experiment.hollow_absent;
+}
+
+Deployment HollowLoad(const Experiment& experiment, Deployment deployment) {
   for (SidecarInstance& sidecar : deployment.sidecars) {
-    if (sidecar.real) sidecar.requests_per_s = 0;
+    if (!IsPlayed(experiment, sidecar)) sidecar.requests_per_s = 0;
   }
   return deployment;
 }
@@ -41,7 +45,7 @@
       scheduler_(scheduler),
       experiment_(experiment),
       deployment_(deployment),
-      offered_(WithoutRealLoad(deployment)),
+      offered_(HollowLoad(experiment, deployment)),
       discovery_(discovery),
       network_(experiment.network, DeriveSeed(experiment.seed, "network")),
       members_(deployment.sidecars.size()),
@@ -61,7 +65,7 @@
 
 void HollowFleet::StartSidecars(const MembershipRegistry& registry) {
   for (const SidecarInstance& instance : deployment_.sidecars) {
-    if (instance.real) continue;
+    if (!IsPlayed(experiment_, instance)) continue;
     ++hollow_count_;
     Member& member = members_[instance.index];
     member.sidecar = std::make_unique<HollowSidecar>(
--- a/lab/hollow_fleet.h
+++ b/lab/hollow_fleet.h
@@ -62,7 +62,8 @@
   HollowFleet(boost::asio::io_context& io, Scheduler& scheduler, const Experiment& experiment,
               const Deployment& deployment, DiscoveryServer& discovery);
 
-  // Starts every hollow sidecar, each with what `registry` lists, and its control client.
+  // Starts every hollow sidecar (none where the experiment leaves them out), each with what `registry` lists,
+  // and its control client.
   void StartSidecars(const MembershipRegistry& registry);
   // A sidecar dies, and starts anew. Nothing happens for a real one.
   void KillSidecar(std::size_t sidecar);
@@ -116,14 +117,14 @@
   Scheduler& scheduler_;
   const Experiment& experiment_;
   const Deployment& deployment_;
-  const Deployment offered_;  // the same with no requests for the real sidecars
+  const Deployment offered_;  // the same with no requests for those that are not played here
   DiscoveryServer& discovery_;
   const mothrack::UnixClock unix_clock_;
   NetworkModel network_;
   std::vector<std::unique_ptr<UpstreamModel>> models_;
   UpstreamDirectory directory_;
   PropagationLog propagation_;
-  std::vector<Member> members_;  // by the sidecar's index; empty for a real one
+  std::vector<Member> members_;  // by the sidecar's index; empty for one that is not played here
   std::size_t hollow_count_ = 0;
   std::deque<HeardNotice> heard_;  // and not handed to the modules yet
   TrafficCounters traffic_;        // since the last look
--- a/lab/metrics.h
+++ b/lab/metrics.h
@@ -56,6 +56,7 @@
   double worst_second_share = 0;  // least in-time share of any sample with a hundred requests or more
   double last_third_share = 0;    // in-time share of the last third: whether an overload has ended
   double attempts_per_request = 0, connects_per_request = 0, connects_failed_share = 0;
+  double connects_per_sidecar = 0;
   double crossings_share = 0, probes_per_request = 0;
   double latency_p50_ms = 0, latency_p99_ms = 0;
   double added_p50_ms = 0, added_p99_ms = 0;
@@ -64,6 +65,9 @@
   double hollow_cpu = 0, real_cpu = 0;              // of a core, each
   double hollow_memory_mb = 0, real_memory_mb = 0;  // each
   double discovery_cpu = 0;
+  // Of a real sidecar in the mean: processor time from its start to the end of the measured time, the most
+  // resident memory and descriptors that it ever had, bytes from discovery in the measured time.
+  double real_cpu_s = 0, real_peak_memory_mb = 0, real_descriptors = 0, real_list_bytes = 0;
   double control_bytes_per_s = 0;  // each sidecar
   double change_cpu_ms = 0;        // processor time of one hollow sidecar for one change
   double change_bytes = 0;         // to one sidecar, for one change
--- a/lab/real_engine.cpp
+++ b/lab/real_engine.cpp
@@ -73,10 +73,14 @@
                                                 [](const SidecarInstance& s) { return s.real; }));
 }
 
+std::size_t HollowSidecars(const Experiment& experiment, const Deployment& deployment) {
+  return experiment.hollow_absent ? 0 : deployment.sidecars.size() - RealSidecars(deployment);
+}
+
 double ReckonedMemoryMb(const Experiment& experiment, const Deployment& deployment) {
   const double upstreams = static_cast<double>(deployment.upstreams.size());
   const double real = static_cast<double>(RealSidecars(deployment));
-  const double hollow = static_cast<double>(deployment.sidecars.size()) - real;
+  const double hollow = static_cast<double>(HollowSidecars(experiment, deployment));
   const double services =
       experiment.list == ListScope::kService ? static_cast<double>(experiment.services) : 1;
   return kProgramMb + hollow * (kHollowSidecarMb + upstreams / services * kListLineMb) +
@@ -101,8 +105,13 @@
                                          const std::string& program) {
   CheckFitsMachine(experiment, deployment);
   const std::size_t real = RealSidecars(deployment);
-  EnsureDescriptorLimit(deployment.sidecars.size() * kDescriptorsPerSidecar +
-                        deployment.upstreams.size() * (1 + real) + kOtherDescriptors);
+  // A real sidecar holds no more connections to upstreams than it may have sockets; each sidecar has an
+  // agent.
+  const std::size_t connections =
+      std::min(deployment.upstreams.size(), static_cast<std::size_t>(experiment.sidecars.sockets));
+  EnsureDescriptorLimit(deployment.sidecars.size() +
+                        (HollowSidecars(experiment, deployment) + real) * kDescriptorsPerSidecar +
+                        deployment.upstreams.size() + real * connections + kOtherDescriptors);
   if (real == 0) return nullptr;
   return std::make_unique<RealFleet>(experiment, deployment, program);
 }
@@ -127,7 +136,9 @@
   options.notice_delay_s = experiment.discovery.notice_delay_s;
   options.seed = DeriveSeed(experiment.seed, "notices");
   for (const SidecarInstance& sidecar : deployment.sidecars) {
-    options.services.push_back(ListedService(experiment, sidecar));
+    // Those that are not played are told of a service that nobody belongs to: of nothing.
+    const bool played = sidecar.real || !experiment.hollow_absent;
+    options.services.push_back(played ? ListedService(experiment, sidecar) : experiment.services);
   }
   return options;
 }
@@ -167,6 +178,8 @@
   void AddHollow(const HollowWindow& window, double passed_s, Sample& sample) const;
   void AddReal(const RealWindow& window, double passed_s, Sample& sample) const;
   void AddDiscovery(double passed_s, Sample& sample);
+  std::size_t PlayedSidecars() const { return hollow_.sidecars() + (real_ ? real_->sidecars() : 0); }
+  void AddRealTotals(Metrics& metrics) const;
   void CountRealMeasured(const RealWindow& window, TimePoint now);
   Metrics Totals();
   void AddRequestTotals(Metrics& metrics) const;
@@ -208,7 +221,8 @@
   TimePoint measured_until_;
   RealWindow measured_real_;
   TrafficCounters real_last_third_;
-  double real_memory_mb_ = 0;
+  RealWindow last_real_;   // for what each has now or has had at most
+  double real_cpu_s_ = 0;  // of all, since their start
   DiscoveryCounters discovery_at_start_;
   DiscoveryCounters discovery_at_end_;
   // Of the phases before the load.
@@ -425,6 +439,7 @@
   latency_ms.Merge(real.load.latency_ms);
   sample.latency_p50_ms = latency_ms.Percentile(0.5);
   sample.latency_p99_ms = latency_ms.Percentile(0.99);
+  real_cpu_s_ += real.cpu_s;
   if (measuring_) CountRealMeasured(real, now);
   if (measuring_ && sample.traffic.requests >= kTellingRequests) {
     worst_second_ = std::min(worst_second_, sample.in_time_share);
@@ -467,7 +482,7 @@
   sample.discovery_cpu = Share(Seconds(now.processor_time - before.processor_time), passed_s);
   const auto bytes = now.Total().bytes() - before.Total().bytes();
   sample.control_bytes_per_s =
-      Share(static_cast<double>(bytes), passed_s * static_cast<double>(deployment_.sidecars.size()));
+      Share(static_cast<double>(bytes), passed_s * static_cast<double>(PlayedSidecars()));
 }
 
 void RealRun::CountRealMeasured(const RealWindow& window, TimePoint now) {
@@ -476,7 +491,7 @@
   measured_real_.load.added_ms.Merge(window.load.added_ms);
   measured_real_.traffic += window.traffic;
   measured_real_.cpu_s += window.cpu_s;
-  real_memory_mb_ = window.memory_mb;
+  last_real_ = window;
   if (now > measured_until_ - experiment_.length / 3) real_last_third_ += window.load.traffic;
 }
 
@@ -487,7 +502,7 @@
   const double hollow = static_cast<double>(hollow_.sidecars());
   Metrics metrics;
   metrics.upstreams = static_cast<double>(deployment_.upstreams.size());
-  metrics.sidecars = static_cast<double>(deployment_.sidecars.size());
+  metrics.sidecars = static_cast<double>(PlayedSidecars());
   metrics.notices_missing =
       static_cast<double>(AskHollow([this] { return hollow_.propagation().Missing(mothrack::Now()); }));
   hollow_thread_.Stop();
@@ -499,9 +514,7 @@
   metrics.notice_last_ms = notices_ms.Percentile(1);
   metrics.hollow_cpu = Share(rest_.cpu_s, rest_s_ * hollow);
   metrics.hollow_memory_mb = Share(hollow_memory_mb_, hollow);
-  if (real_)
-    metrics.real_cpu = Share(measured_real_.cpu_s, length_s * static_cast<double>(real_->sidecars()));
-  metrics.real_memory_mb = real_memory_mb_;
+  AddRealTotals(metrics);
   metrics.discovery_cpu =
       Share(Seconds(discovery_at_end_.processor_time - discovery_at_start_.processor_time), length_s);
   const auto bytes = discovery_at_end_.Total().bytes() - discovery_at_start_.Total().bytes();
@@ -537,6 +550,24 @@
   metrics.added_p99_ms = measured_real_.load.added_ms.Percentile(0.99);
 }
 
+void RealRun::AddRealTotals(Metrics& metrics) const {
+  if (!real_) return;
+  const auto real = static_cast<double>(real_->sidecars());
+  metrics.real_cpu = Share(measured_real_.cpu_s, Seconds(experiment_.length) * real);
+  metrics.real_memory_mb = last_real_.memory_mb;
+  metrics.real_cpu_s = Share(real_cpu_s_, real);
+  metrics.real_peak_memory_mb = last_real_.peak_memory_mb;
+  metrics.real_descriptors = last_real_.peak_descriptors;
+  double bytes = 0;
+  for (const SidecarInstance& sidecar : deployment_.sidecars) {
+    if (!sidecar.real) continue;
+    const std::size_t i = sidecar.index;
+    bytes += static_cast<double>(discovery_at_end_.agents[i].bytes_out) -
+             static_cast<double>(discovery_at_start_.agents[i].bytes_out);
+  }
+  metrics.real_list_bytes = Share(bytes, real);
+}
+
 // Crossings of zones are known of hollow sidecars alone.
 void RealRun::AddTrafficTotals(Metrics& metrics) const {
   const auto requests = static_cast<std::uint64_t>(metrics.requests);
@@ -545,6 +576,7 @@
   traffic += measured_real_.traffic;
   metrics.attempts_per_request = Share(traffic.attempts, requests);
   metrics.connects_per_request = Share(traffic.connects, requests);
+  metrics.connects_per_sidecar = Share(static_cast<double>(traffic.connects), metrics.sidecars);
   metrics.connects_failed_share = Share(traffic.connects_failed, traffic.connects);
   metrics.crossings_share = Share(hollow.crossings, hollow.attempts);
   metrics.probes_per_request = Share(traffic.probes, requests);
--- a/lab/real_fleet.cpp
+++ b/lab/real_fleet.cpp
@@ -131,9 +131,16 @@
     if (!usage) continue;
     ++running;
     memory_mb += usage->memory_mb;
+    member.peak_memory_mb = std::max(member.peak_memory_mb, usage->peak_memory_mb);
+    member.peak_descriptors = std::max(member.peak_descriptors, usage->descriptors);
     window.cpu_s += usage->cpu_s - std::exchange(member.cpu_at_look_s, usage->cpu_s);
   }
   if (running > 0) window.memory_mb = memory_mb / static_cast<double>(running);
+  for (const Member& member : members_) {
+    window.peak_memory_mb += member.peak_memory_mb / static_cast<double>(members_.size());
+    window.peak_descriptors +=
+        static_cast<double>(member.peak_descriptors) / static_cast<double>(members_.size());
+  }
 }
 
 void RealFleet::TakeUpstreams(RealWindow& window) {
--- a/lab/real_fleet.h
+++ b/lab/real_fleet.h
@@ -41,6 +41,9 @@
   TrafficCounters traffic;  // seen at the upstreams; no results
   double cpu_s = 0;         // of the sidecar processes together
   double memory_mb = 0;     // of each in the mean, now
+  // The most that each has had so far, in the mean: resident memory, and descriptors seen at a look.
+  double peak_memory_mb = 0;
+  double peak_descriptors = 0;
   std::uint64_t crowded_upstreams = 0;
   std::uint64_t held = 0;
 };
@@ -77,6 +80,8 @@
     SidecarProcess process;
     double cpu_at_look_s = 0;
     std::uint64_t starts = 0;
+    double peak_memory_mb = 0;
+    std::size_t peak_descriptors = 0;
   };
 
   Member* Find(std::size_t sidecar);
--- a/lab/virtual_engine.cpp
+++ b/lab/virtual_engine.cpp
@@ -473,6 +473,7 @@
   metrics.last_third_share = last_third_.in_time_share();
   metrics.attempts_per_request = Share(traffic.attempts, results.requests);
   metrics.connects_per_request = Share(traffic.connects, results.requests);
+  metrics.connects_per_sidecar = Share(static_cast<double>(traffic.connects), sidecars);
   metrics.connects_failed_share = Share(traffic.connects_failed, traffic.connects);
   metrics.crossings_share = Share(traffic.crossings, traffic.attempts);
   metrics.probes_per_request = Share(traffic.probes, results.requests);
