--- a/lab/experiment.cpp
+++ b/lab/experiment.cpp
@@ -8,6 +8,7 @@
 #include <limits>
 #include <set>
 
+#include "growth_spec.h"
 #include "metrics.h"
 #include "toml_reader.h"
 
@@ -333,8 +334,10 @@
   ReadSidecarsOf(file, experiment);
   ReadFaults(file, experiment);
   for (TableReader& table : file.Tables("must_hold")) experiment.must_hold.push_back(ReadExpectation(table));
+  ReadGrowth(file, experiment);
   file.Finish();
   if (const auto error = SizesError(experiment, experiment.sizes)) file.Fail("sizes", *error);
+  CheckGrowth(file, experiment);
   return experiment;
 }
 
--- a/lab/experiment.h
+++ b/lab/experiment.h
@@ -165,6 +165,32 @@
   double bound = 0;
 };
 
+// Which part of a growth experiment measures a metric.
+enum class GrowthPart {
+  kFleet,  // every sidecar of the fleet, hollow, on the virtual clock
+  kReal,   // a few real ones of the same fleet on loopback, the others not played
+};
+
+// What `metric` of the large fleet may be: at most, or at least, `factor` times that of the usual one plus
+// `constant` and `per_thousand` for each thousand upstreams of the large one. The latter two are in the
+// metric's unit.
+struct GrowthLimit {
+  std::string metric;
+  GrowthPart part = GrowthPart::kFleet;
+  Comparison comparison = Comparison::kAtMost;
+  double factor = 1;
+  double constant = 0;
+  double per_thousand = 0;
+};
+
+// The large fleet that is played beside the experiment's one size, and how far its needs may grow (growth.h).
+struct GrowthSpec {
+  std::size_t upstreams = 0;
+  std::size_t sidecars = 0;
+  std::size_t real = 0;  // real sidecars, at each of the two sizes
+  std::vector<GrowthLimit> limits;
+};
+
 struct Experiment {
   std::string name;
   std::string file;
@@ -188,6 +214,7 @@
   SidecarSpec sidecars;
   std::vector<FaultSpec> faults;  // in order of time
   std::vector<Expectation> must_hold;
+  std::optional<GrowthSpec> growth;
   // No key of the file. The hollow sidecars count in every sidecar's settings and are not played.
   bool hollow_absent = false;
 };
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -17,6 +17,7 @@
 #include "chain.h"
 #include "deployment.h"
 #include "experiment.h"
+#include "growth.h"
 #include "run.h"
 #include "schedule.h"
 
@@ -24,6 +25,8 @@
 
 using aspendyke::lab::ExitCode;
 using aspendyke::lab::Experiment;
+using aspendyke::lab::FleetSize;
+using aspendyke::lab::GrowthPart;
 
 // The command line asks for what can't be done. One line.
 class UsageError : public std::runtime_error {
@@ -60,23 +63,42 @@
   return (fs::exists(beside, error) ? beside : folder.parent_path() / "mothrack").string();
 }
 
-Experiment Load(const Arguments& arguments, const std::vector<std::size_t>& sizes) {
+Experiment Load(const Arguments& arguments) {
   Experiment experiment = aspendyke::lab::LoadExperiment(arguments.file);
   if (arguments.seed) experiment.seed = static_cast<std::uint64_t>(*arguments.seed);
+  return experiment;
+}
+
+Experiment LoadWithSizes(const Arguments& arguments, const std::vector<std::size_t>& sizes) {
+  Experiment experiment = Load(arguments);
   if (sizes.empty()) return experiment;
+  if (experiment.growth) throw UsageError("--sizes: a growth experiment has its own two sizes");
   if (const auto error = SizesError(experiment, sizes)) throw UsageError(*error);
   experiment.sizes = sizes;
   return experiment;
 }
 
+// A growth experiment's deployments are those of its whole fleets.
+Experiment LoadAtSize(const Arguments& arguments) {
+  const Experiment experiment = Load(arguments);
+  if (!experiment.growth) return LoadWithSizes(arguments, {arguments.size});
+  for (const FleetSize fleet : {FleetSize::kUsual, FleetSize::kLarge}) {
+    Experiment played = GrowthExperiment(experiment, fleet, GrowthPart::kFleet);
+    if (played.sizes.front() == arguments.size) return played;
+  }
+  throw UsageError("--size: a growth experiment has its own two sizes");
+}
+
 void RequireProgram(const Experiment& experiment, const std::string& program) {
   std::error_code error;
-  if (experiment.sidecars.real == 0 || std::filesystem::is_regular_file(program, error)) return;
+  if ((experiment.sidecars.real == 0 && !experiment.growth) ||
+      std::filesystem::is_regular_file(program, error))
+    return;
   throw UsageError("--program: there is no " + program + ", the program of the real sidecars");
 }
 
 ExitCode Run(const Arguments& arguments) {
-  const Experiment experiment = Load(arguments, arguments.sizes);
+  const Experiment experiment = LoadWithSizes(arguments, arguments.sizes);
   aspendyke::lab::RunOptions options;
   options.program = arguments.program.empty() ? DefaultProgram() : arguments.program;
   RequireProgram(experiment, options.program);
@@ -93,7 +115,11 @@
 }
 
 ExitCode Check(const Arguments& arguments) {
-  const Experiment experiment = Load(arguments, arguments.sizes);
+  const Experiment experiment = LoadWithSizes(arguments, arguments.sizes);
+  if (experiment.growth) {
+    PrintGrowthPlan(std::cout, experiment);
+    return ExitCode::kHeld;
+  }
   for (const std::size_t size : experiment.sizes) {
     PrintSummary(std::cout, experiment, MakeDeployment(experiment, size));
   }
@@ -101,7 +127,7 @@
 }
 
 ExitCode Schedule(const Arguments& arguments) {
-  const Experiment experiment = Load(arguments, {arguments.size});
+  const Experiment experiment = LoadAtSize(arguments);
   PrintSchedule(std::cout, experiment, MakeDeployment(experiment, arguments.size));
   return ExitCode::kHeld;
 }
--- a/lab/run.cpp
+++ b/lab/run.cpp
@@ -2,11 +2,13 @@
 
 #include <cstdio>
 #include <exception>
+#include <optional>
 #include <ostream>
 #include <stdexcept>
 #include <utility>
 #include <vector>
 
+#include "growth.h"
 #include "metrics.h"
 
 namespace aspendyke::lab {
@@ -38,32 +40,31 @@
 
   ExitCode Play() {
     for (const std::size_t size : experiment_.sizes) {
-      if (!PlaySize(size)) {
-        complete_ = false;
-        break;
-      }
+      const std::optional<Metrics> metrics = PlaySize(size);
+      complete_ = metrics.has_value();
+      if (!complete_) break;
+      runs_.push_back(*metrics);
     }
     Report();
     if (!complete_) return ExitCode::kRunFailed;
     return held_ ? ExitCode::kHeld : ExitCode::kNotHeld;
   }
 
- private:
-  // False where it did not come to its end.
-  bool PlaySize(std::size_t size) {
+  // Nothing where it did not come to its end.
+  std::optional<Metrics> PlaySize(std::size_t size) const {
     try {
       const Deployment deployment = MakeDeployment(experiment_, size);
       Announce(deployment);
       const Metrics metrics = RunEngine(deployment);
-      runs_.push_back(metrics);
       Record([&](std::ostream& out) { WriteSummary(out, experiment_, size, metrics); });
-      return true;
+      return metrics;
     } catch (const std::exception& error) {
       outputs_.progress << "size " << size << ": " << error.what() << std::endl;
-      return false;
+      return std::nullopt;
     }
   }
 
+ private:
   Metrics RunEngine(const Deployment& deployment) const {
     const std::size_t size = deployment.upstreams.size();
     const OnSample on_sample = [this, size](const Sample& sample) { TakeSample(size, sample); };
@@ -115,10 +116,50 @@
   bool held_ = true;
 };
 
+// One growth experiment: both parts at both sizes, a part's sizes right after each other.
+class GrowthPlayer {
+ public:
+  GrowthPlayer(const Experiment& experiment, const RunOptions& options, const RunOutputs& outputs,
+               const Engines& engines)
+      : experiment_(experiment), options_(options), outputs_(outputs), engines_(engines) {}
+
+  ExitCode Play() {
+    if (!PlayPart(GrowthPart::kFleet, &GrowthMetrics::fleet)) return ExitCode::kRunFailed;
+    if (!PlayPart(GrowthPart::kReal, &GrowthMetrics::real)) return ExitCode::kRunFailed;
+    const std::vector<GrowthRow> rows = CompareGrowth(*experiment_.growth, usual_, large_);
+    PrintGrowth(outputs_.report, usual_, large_, rows);
+    outputs_.report.flush();
+    return AllHold(rows) ? ExitCode::kHeld : ExitCode::kNotHeld;
+  }
+
+ private:
+  // False where one of its sizes did not come to its end.
+  bool PlayPart(GrowthPart part, Metrics GrowthMetrics::*target) {
+    return PlayFleet(FleetSize::kUsual, part, usual_.*target) &&
+           PlayFleet(FleetSize::kLarge, part, large_.*target);
+  }
+
+  bool PlayFleet(FleetSize fleet, GrowthPart part, Metrics& target) const {
+    const Experiment played = GrowthExperiment(experiment_, fleet, part);
+    const std::optional<Metrics> metrics =
+        Player(played, options_, outputs_, engines_).PlaySize(played.sizes.front());
+    if (metrics) target = *metrics;
+    return metrics.has_value();
+  }
+
+  const Experiment& experiment_;
+  const RunOptions& options_;
+  const RunOutputs& outputs_;
+  const Engines& engines_;
+  GrowthMetrics usual_;
+  GrowthMetrics large_;
+};
+
 }  // namespace
 
 ExitCode PlayExperiment(const Experiment& experiment, const RunOptions& options, const RunOutputs& outputs,
                         const Engines& engines) {
+  if (experiment.growth) return GrowthPlayer(experiment, options, outputs, engines).Play();
   return Player(experiment, options, outputs, engines).Play();
 }
 
--- a/lab/run.h
+++ b/lab/run.h
@@ -37,7 +37,8 @@
   std::ostream* records = nullptr;  // JSON lines, where they are wanted
 };
 
-// Plays the experiment's sizes in their order. A failure ends the run; the sizes done so far are reported.
+// Plays the experiment's sizes in their order, or a growth experiment (growth.h). A failure ends the run; the
+// sizes done so far are reported, but no part of a growth experiment.
 ExitCode PlayExperiment(const Experiment& experiment, const RunOptions& options, const RunOutputs& outputs,
                         const Engines& engines = {});
 
