--- a/lab/growth.cpp
+++ b/lab/growth.cpp
@@ -67,6 +67,13 @@
   return text;
 }
 
+void PrintPart(std::ostream& out, const char* title, const Metrics& usual, const Metrics& large) {
+  if (large.upstreams == 0) return;
+  out << title << ":\n";
+  PrintTable(out, {usual, large});
+  out << "\n";
+}
+
 std::vector<std::string> TableCells(const GrowthRow& row) {
   const MetricDescription* description = FindMetric(row.limit.metric);
   return {row.limit.metric,
@@ -98,6 +105,11 @@
   return played;
 }
 
+bool IsMeasured(const GrowthSpec& spec, GrowthPart part) {
+  return std::any_of(spec.limits.begin(), spec.limits.end(),
+                     [part](const GrowthLimit& limit) { return limit.part == part; });
+}
+
 std::vector<GrowthRow> CompareGrowth(const GrowthSpec& spec, const GrowthMetrics& usual,
                                      const GrowthMetrics& large) {
   std::vector<GrowthRow> rows;
@@ -120,11 +132,9 @@
 
 void PrintGrowth(std::ostream& out, const GrowthMetrics& usual, const GrowthMetrics& large,
                  const std::vector<GrowthRow>& rows) {
-  out << "the whole fleet, hollow, on the virtual clock:\n";
-  PrintTable(out, {usual.fleet, large.fleet});
-  out << "\nreal sidecars of it, on loopback:\n";
-  PrintTable(out, {usual.real, large.real});
-  out << "\ngrowth:\n";
+  PrintPart(out, "the whole fleet, hollow, on the virtual clock", usual.fleet, large.fleet);
+  PrintPart(out, "real sidecars of it, on loopback", usual.real, large.real);
+  out << "growth:\n";
   constexpr std::size_t kTextColumns = 4;
   TextTable table(kTextColumns);
   table.AddRow({"metric", "part", "unit", "limit", "usual", "large", "ratio", "allowed", "verdict"});
--- a/lab/growth.h
+++ b/lab/growth.h
@@ -27,7 +27,10 @@
 // `experiment` has passed CheckGrowth() (growth_spec.h).
 Experiment GrowthExperiment(const Experiment& experiment, FleetSize fleet, GrowthPart part);
 
-// What both parts measured at one size.
+// Whether a limit of the experiment asks for that part; one that none asks for is not played.
+bool IsMeasured(const GrowthSpec& spec, GrowthPart part);
+
+// What both parts measured at one size. A part that was not played has no upstreams.
 struct GrowthMetrics {
   Metrics fleet;
   Metrics real;
@@ -47,7 +50,7 @@
                                      const GrowthMetrics& large);
 bool AllHold(const std::vector<GrowthRow>& rows);
 
-// For people: what each part measured at both sizes, then a table with a row for each limit.
+// For people: what each part that was played measured at both sizes, then a table with a row for each limit.
 void PrintGrowth(std::ostream& out, const GrowthMetrics& usual, const GrowthMetrics& large,
                  const std::vector<GrowthRow>& rows);
 // What the experiment amounts to at both sizes, and its limits.
--- a/lab/run.cpp
+++ b/lab/run.cpp
@@ -116,7 +116,7 @@
   bool held_ = true;
 };
 
-// One growth experiment: both parts at both sizes, a part's sizes right after each other.
+// One growth experiment: the parts that its limits name at both sizes, a part's sizes right after each other.
 class GrowthPlayer {
  public:
   GrowthPlayer(const Experiment& experiment, const RunOptions& options, const RunOutputs& outputs,
@@ -135,6 +135,7 @@
  private:
   // False where one of its sizes did not come to its end.
   bool PlayPart(GrowthPart part, Metrics GrowthMetrics::*target) {
+    if (!IsMeasured(*experiment_.growth, part)) return true;
     return PlayFleet(FleetSize::kUsual, part, usual_.*target) &&
            PlayFleet(FleetSize::kLarge, part, large_.*target);
   }
--- a/tests/lab_growth_test.cpp
+++ b/tests/lab_growth_test.cpp
@@ -179,7 +179,9 @@
   engines.on_real_clock = [&](const Experiment& e, const Deployment& d, const std::string&, const OnSample&) {
     played += e.name + " " + std::to_string(d.upstreams.size()) + ", ";
     if (large_share < 0) throw std::runtime_error("no program");
-    return Metrics{};
+    Metrics metrics;
+    metrics.real_cpu_s = 1;
+    return metrics;
   };
   Experiment e = Small();
   e.growth->limits[0].comparison = Comparison::kAtLeast;
@@ -190,6 +192,10 @@
   };
   const auto [held, table] = play();
   EXPECT_EQ(held, ExitCode::kHeld);
+  EXPECT_EQ(played, "g-fleet 20, g-fleet 80, ") << "no limit asks for the real part";
+  e.growth->limits.push_back({.metric = "real_cpu_s", .part = GrowthPart::kReal});
+  played.clear();
+  EXPECT_EQ(play().first, ExitCode::kHeld);
   EXPECT_EQ(played, "g-fleet 20, g-fleet 80, g-real 20, g-real 80, ");
   EXPECT_NE(table.find("in_time_share  fleet  share  at least 0.85 x"), std::string::npos) << table;
   large_share = 0.8;
