--- a/include/kestrellb/balancer.h
+++ b/include/kestrellb/balancer.h
@@ -287,6 +287,10 @@
   // Appends what is to be done to `actions`. Events about unknown requests or upstreams are ignored.
   void handle(TimePoint now, const Event& event, std::vector<Action>& actions);
 
+  // How often an upstream was looked at so far: what the events cost, in no unit of time. No decision reads
+  // it.
+  std::size_t upstreams_visited() const;
+
  private:
   class Impl;
   std::unique_ptr<Impl> impl_;
--- a/src/balancer.cpp
+++ b/src/balancer.cpp
@@ -1,5 +1,5 @@
 // Every decision of kestrellb, and nothing else. The interface is include/kestrellb/balancer.h; what is kept
-// of an upstream and a request is in src/state.h.
+// of a request is in src/state.h, of an upstream in src/upstream.h, of the list in src/membership.h.
 //
 // The mechanism is the consecutive-failures circuit breaker of the Linkerd circuit-breaking RFC, per
 // upstream, with smooth weighted rotation over the upstreams that are not ejected. The parts, in this order:
@@ -16,7 +16,6 @@
 #include <cmath>
 #include <map>
 #include <random>
-#include <tuple>
 #include <unordered_map>
 #include <utility>
 
@@ -101,8 +100,8 @@
  public:
   Impl(Settings settings, std::uint64_t seed) : settings_(std::move(settings)), random_(seed) {
     settings_.Validate();
-    ring_place_ =
-        static_cast<double>(settings_.self % settings_.balancers) / static_cast<double>(settings_.balancers);
+    members_.StartAt(static_cast<double>(settings_.self % settings_.balancers) /
+                     static_cast<double>(settings_.balancers));
     ask_pause_ = LongestAskPause() / 2;
     trusted_idle_ = settings_.limits.idle_close;
     retry_budget_ = kRetryBurst;
@@ -122,6 +121,8 @@
     out_ = nullptr;
   }
 
+  std::size_t UpstreamsVisited() const { return members_.visits(); }
+
  private:
   // ---- Membership ----
 
@@ -141,10 +142,10 @@
     }
     if (update.kind != MembershipUpdate::Kind::kRestored) ask_pause_ = LongestAskPause() / 2;
     // What a whole list leaves out is gone.
-    for (const UpstreamPtr& u : order_) u->listed = update.kind == MembershipUpdate::Kind::kChanges;
+    if (update.kind != MembershipUpdate::Kind::kChanges) members_.BeginWholeList();
     std::vector<UpstreamPtr> entering;
     for (const UpstreamInfo& info : update.upstreams) Adopt(info, entering);
-    Order();
+    members_.Settle();
     // With the whole list known: a turn drawn from the sum so far would put the first ones of the list first
     // at every sidecar, and a fleet of them would send their first calls to the same few.
     const double turn = Turn();
@@ -161,7 +162,7 @@
   // nothing of the next. Where calls are many it is the list; but where the fleet is so large that the
   // connections of all would fill the upstreams' tables, it is as many as this one keeps busy.
   double SubsetSize() const {
-    const auto all = static_cast<double>(order_.size());
+    const auto all = static_cast<double>(members_.size());
     const double each = all / static_cast<double>(settings_.balancers);  // of one connection at each upstream
     if (now_ - started_ < kRateKnown || usual_rate_ <= 0)
       return std::max(kLeastSubset, std::min(all, kFirstConnections * each));
@@ -170,46 +171,25 @@
     return std::max(kLeastSubset, std::min(watched, std::max(kFairConnections * each, busy)));
   }
 
-  double SubsetShare() const { return std::min(1.0, SubsetSize() / std::max<double>(1, order_.size())); }
+  double SubsetShare() const { return std::min(1.0, SubsetSize() / std::max<double>(1, members_.size())); }
 
   void Adopt(const UpstreamInfo& info, std::vector<UpstreamPtr>& entering) {
-    UpstreamPtr& u = index_[info.id.value];
-    const bool was_serving = u && u->info.state == UpstreamState::kServing;
-    // A new start time is a new process: the failures and the ejection belong to the one that died.
-    const bool new_process = !u || (info.started && info.started != u->info.started);
+    const auto [u, new_process, enters] = members_.Adopt(info);
     if (new_process) {
-      if (u) u->info.state = UpstreamState::kGone;
-      u = std::make_shared<Upstream>();
-      u->rank = Hash(info.id.value, 0);
       u->cold_budget = Uniform();  // sidecars that hear of it together: some call now, some a call later
       u->cold_refilled = now_;
     }
-    u->info = info;
     u->kind_slowness = &kind_slowness_[info.kind];
-    u->listed = true;
-    if (!(u->info.weight > 0)) u->info.weight = 1;
-    u->told = info.state;
-    if (const auto word = words_.find(info.id.value); word != words_.end()) {
-      if (!word->second.out) u->put_back = word->second.at;
-      if (word->second.out && info.state == UpstreamState::kServing) u->info.state = UpstreamState::kDraining;
-    }
-    if (new_process || !was_serving) entering.push_back(u);
+    if (Warmth(*u) < 1) members_.Watch(*u);
+    if (enters) entering.push_back(u);
   }
 
-  // One put back may have started anew while it was out, and the list tells that late: it comes back with a
-  // clean record, as cold as one that starts now.
   void On(const OperatorsWord& e) {
-    Word& word = words_[e.upstream.value];
-    if (word.out == e.out) return;
-    word = {e.out, now_};
-    const auto it = index_.find(e.upstream.value);
-    if (it == index_.end()) return;
-    UpstreamInfo info = it->second->info;
-    info.state = it->second->told;
-    if (!e.out) it->second->info.state = UpstreamState::kGone, index_.erase(it);
+    const auto info = members_.Override(e.upstream.value, e.out, now_);
+    if (!info) return;
     std::vector<UpstreamPtr> entering;
-    Adopt(info, entering);
-    Order();
+    Adopt(*info, entering);
+    members_.Settle();
     for (const UpstreamPtr& u : entering) u->credit = -Uniform() * Turn();
   }
 
@@ -226,13 +206,9 @@
     // Said to be full: it needs about the time of an answer to have room again.
     if (outcome == Outcome::kFull) u.full_until = now_ + Scaled(UsualTime(), 0.5 + Uniform());
     if (!served && !IsFailure(outcome)) return;
-    const bool counts = CountsForAll(u);
-    if (counts) all_calls_ -= u.calls, all_failures_ -= u.failures;
-    u.calls += 1 - u.calls / kOutcomeMemory;
-    u.failures += (served ? 0 : 1) - u.failures / kOutcomeMemory;
-    u.timeouts += (outcome == Outcome::kTimeout ? 1 : 0) - u.timeouts / kOutcomeMemory;
-    if (counts) all_calls_ += u.calls, all_failures_ += u.failures;
+    members_.Count(u, served, outcome == Outcome::kTimeout, kOutcomeMemory);
     u.failure_run = served ? 0 : u.failure_run + 1;
+    members_.Watch(u);
     if (!u.ejected && u.failure_run >= LongRun(u, kFailuresToEject)) Eject(u);
   }
 
@@ -243,7 +219,7 @@
   // A run as rare as `run` in a row: longer where the other upstreams fail too. Guards against an overload or
   // a slowdown of the whole fleet, whose time-outs string up on healthy upstreams until all are out.
   int LongRun(const Upstream& u, int run) const {
-    const double share = PeersFailureShare(u);
+    const double share = members_.PeersFailureShare(u);
     if (share <= kOrdinaryFailureShare) return run;
     return static_cast<int>(std::ceil(run * std::log(kOrdinaryFailureShare) / std::log(share)));
   }
@@ -267,7 +243,7 @@
     const bool relapse = u.ejected_at && now_ - u.ejected_until < kBaseEjection;
     u.ejection_time = relapse ? std::min(u.ejection_time * kEjectionMultiplier, kMaxEjection) : kBaseEjection;
     u.ejected = true;
-    CountAll();
+    members_.CountAnew();
     u.ejected_at = now_;
     u.ejected_until = now_ + u.ejection_time;
     u.failure_run = 0;
@@ -285,7 +261,7 @@
 
   void Return(Upstream& u, const char* why) {
     u.ejected = false;
-    CountAll();
+    members_.CountAnew();
     u.ejected_until = now_;
     u.credit = -Uniform() * Turn();
     Say("returned " + u.info.id.value + " " + why);
@@ -295,7 +271,7 @@
 
   // An upstream that enters or returns starts somewhere in its turn: no hoard of credit, and sidecars that
   // hear of it together do not all pick it next.
-  double Turn() const { return ListedWeight() * SubsetShare(); }
+  double Turn() const { return members_.listed_weight().value() * SubsetShare(); }
 
   // The registered weight, less when cold, by what was observed; squared: a slow one is late far more often.
   double Weight(const Upstream& u) const {
@@ -378,22 +354,25 @@
   UpstreamPtr Pick(const Request& r, bool only_good = false, bool only_near = false) {
     double weight = 0;
     int outstanding = 1;
-    std::vector<UpstreamPtr> takers;
+    std::vector<Upstream*> takers;
+    if (!MaySendAnywhere(r)) {  // the budgets of cold ones and the returns are looked at all the same
+      for (Upstream* u : members_.Watched()) MayTake(*u);
+      return nullptr;
+    }
     double room = SubsetSize();
-    for (const UpstreamPtr& taker : order_) {
-      Upstream& u = *taker;
-      if (room <= 0) break;
+    for (std::size_t place = 0; place < members_.size() && room > 0; ++place) {
+      Upstream& u = members_.At(place);
       if (!MayTake(u) || now_ < u.full_until || !MaySend(r, u)) continue;
       if (only_near && !Near(u)) continue;
-      takers.push_back(taker);
+      takers.push_back(&u);
       if (Suspect(u)) continue;
       if (!Tried(r, u)) room -= Warmth(u);  // the cold ones are no help yet
       weight += Weight(u);
       outstanding += u.outstanding;
     }
-    std::vector<UpstreamPtr> best;
+    std::vector<Upstream*> best;
     int best_standing = only_good ? 1 : 6;
-    for (const UpstreamPtr& taker : takers) {
+    for (Upstream* taker : takers) {
       const Upstream& u = *taker;
       // Where connecting takes long or fails, one without a connection is no better than a crowded one.
       const bool crowded = u.outstanding + 1 > kCrowdSlack + 0.5 + outstanding * Weight(u) / weight ||
@@ -404,28 +383,28 @@
       best_standing = standing;
       best.push_back(taker);
     }
-    return best.empty() ? nullptr : Rotate(best);
+    return best.empty() ? nullptr : Rotate(best).shared_from_this();
   }
 
-  UpstreamPtr Rotate(const std::vector<UpstreamPtr>& candidates) {
+  Upstream& Rotate(const std::vector<Upstream*>& candidates) {
     double sum = 0;
-    UpstreamPtr best = candidates.front();
-    for (const UpstreamPtr& u : candidates) sum += Weight(*u);
-    for (const UpstreamPtr& u : candidates) {
+    Upstream* best = candidates.front();
+    for (const Upstream* u : candidates) sum += Weight(*u);
+    for (Upstream* u : candidates) {
       // One that was not among the candidates for long comes from a turn of another length.
       u->credit = std::clamp(u->credit, -sum, sum) + Weight(*u);
       if (u->credit > best->credit) best = u;
     }
     best->credit -= sum;
-    return best;
+    return *best;
   }
 
   bool Near(const Upstream& u) const { return u.info.zone == settings_.zone; }
 
   // ---- Attempts ----
 
-  // May this be sent again (or for the first time), to this upstream? The one gate to every attempt.
-  bool MaySend(const Request& r, const Upstream& upstream) const {
+  // May this be sent again (or for the first time), to whatever upstream?
+  bool MaySendAnywhere(const Request& r) const {
     if (r.ended || r.streaming || r.spent || (r.passing && AnyOut(r))) return false;
     if (!r.open && now_ >= r.deadline) return false;
     if (r.attempts.size() >= settings_.limits.max_attempts) return false;
@@ -433,10 +412,20 @@
       if (a.outcome && ProvesNotRun(*a.outcome)) continue;
       if (!a.outcome && !settings_.limits.second_copies) return false;
       if (r.cls->effect == Effect::kUnsafe) return false;
+      // Repeats are dropped only while the upstreams remember the key. Half the window is left to begin and
+      // for the way there.
+      if (r.cls->effect == Effect::kKeyed && now_ - a.sent >= r.cls->key_window / 2) return false;
+    }
+    return true;
+  }
+
+  // And to this upstream? The one gate to every attempt.
+  bool MaySend(const Request& r, const Upstream& upstream) const {
+    if (!MaySendAnywhere(r)) return false;
+    for (const Attempt& a : r.attempts) {
+      if (a.outcome && ProvesNotRun(*a.outcome)) continue;
       if (r.cls->effect != Effect::kKeyed) continue;
-      // Repeats are dropped only among the upstreams that know the key, and only while they remember it. Half
-      // the window is left to begin and for the way there.
-      if (now_ - a.sent >= r.cls->key_window / 2) return false;
+      // Repeats are dropped only among the upstreams that know the key.
       const UpstreamInfo& first = a.upstream->info;
       const UpstreamInfo& next = upstream.info;
       if (r.cls->key_scope == KeyScope::kZone && first.zone != next.zone) return false;
@@ -528,7 +517,8 @@
     UpstreamPtr best;
     double least = 0, held = 0;
     bool jammed = false;
-    const double mean = ListedWeight() / static_cast<double>(std::max<std::size_t>(1, order_.size()));
+    const double mean =
+        members_.listed_weight().value() / static_cast<double>(std::max<std::size_t>(1, members_.size()));
     for (const Asked& a : asked) {
       Upstream& u = *a.upstream;
       if (!a.held || !MayTake(u) || !MaySend(r, u)) continue;
@@ -557,15 +547,16 @@
   }
 
   void On(const ProbeEnded& e) {
-    const auto it = index_.find(e.upstream.value);
-    if (it == index_.end()) return;
-    it->second->asked = false;
+    const UpstreamPtr u = members_.Find(e.upstream.value);
+    if (!u) return;
+    u->asked = false;
     // No answer to as little as this is a failure.
-    if (e.outcome == Outcome::kConnectFailed || e.outcome == Outcome::kTimeout) ++it->second->failure_run;
+    if (e.outcome == Outcome::kConnectFailed || e.outcome == Outcome::kTimeout) ++u->failure_run;
+    members_.Watch(*u);
     const std::vector<RequestId> asking = asking_;
     for (const RequestId id : asking)
       for (Asked& a : Find(id)->asked)
-        if (a.upstream == it->second) a = {a.upstream, true, e.load.in_flight, e.load.rate.value_or(0)};
+        if (a.upstream == u) a = {a.upstream, true, e.load.in_flight, e.load.rate.value_or(0)};
     for (const RequestId id : asking) {
       Request* r = Find(id);
       if (r != nullptr && !r->asked.empty() && std::ranges::all_of(r->asked, &Asked::answered)) Decide(*r);
@@ -597,11 +588,10 @@
   bool Try(Request& r) {
     if (!settings_.limits.second_copies && !r.attempts.empty()) return false;
     if (r.cls->effect == Effect::kUnsafe) return false;
-    for (const UpstreamPtr& u : order_) {
-      if (!u->ejected && u->failure_run == 0 && u->outstanding == 0)
-        continue;  // no suspect: most of a long list
+    for (Upstream* u : members_.Watched()) {
+      if (!u->ejected && u->failure_run == 0 && u->outstanding == 0) continue;  // no suspect
       if (Tried(r, *u) || !MayTake(*u, true) || !MaySend(r, *u)) continue;
-      SendTo(r, u, true);
+      SendTo(r, u->shared_from_this(), true);
       return true;
     }
     return false;
@@ -781,13 +771,16 @@
   // What the upstreams that can take calls hold ordinarily is not what makes them late: cutting below it
   // would refuse for nothing when the whole fleet is slow.
   void UpdateLimit() {
-    telling_weight_ = serving_weight_ = able_weight_ = 0;
-    for (const UpstreamPtr& u : order_) {
+    WeightSum telling = members_.listed_weight(), able = telling;
+    for (const Upstream* u : members_.Watched()) {  // all others tell, and are able to take calls
       if (u->info.state != UpstreamState::kServing) continue;
-      serving_weight_ += u->info.weight;
-      if (Telling(*u)) telling_weight_ += u->info.weight;
-      if (!u->ejected) able_weight_ += u->info.weight * Warmth(*u);
+      if (!Telling(*u)) telling.Subtract(u->info.weight);
+      able.Subtract(u->info.weight);
+      if (!u->ejected) able.Add(u->info.weight * Warmth(*u));
     }
+    serving_weight_ = members_.listed_weight().value();
+    telling_weight_ = telling.value();
+    able_weight_ = able.value();
     const bool in_time = late_ <= kTooManyLate / 2 * timely_or_not_;
     if (in_time && able_weight_ > 0) usual_held_ += (held_ / able_weight_ - usual_held_) / kSlownessMemory;
     if (timely_or_not_ < kLateSample && late_ < kLateSample / 4) return;
@@ -857,7 +850,7 @@
   bool HasColdBudget(Upstream& u) {
     const double warmth = Warmth(u);
     if (warmth >= 1) return true;
-    const bool member = static_cast<double>(u.place) < SubsetSize();
+    const bool member = static_cast<double>(members_.PlaceOf(u)) < SubsetSize();
     const double usual = std::max(usual_served_, usual_rate_ / 2) * u.info.weight /
                          std::max(usual_weight_ * SubsetShare(), u.info.weight);
     const double rate = settings_.rules.fall_multiple * kColdSafety * warmth * usual *
@@ -896,11 +889,14 @@
   void Housekeeping() {
     Emit(SetTimer{now_ + kHousekeeping, kHousekeepingToken});
     UpdateUsual(kHousekeeping, settings_.rules.cold_time);
-    CountAll();
+    members_.CountAnew();
     UpdateLimit();
     trusted_idle_ = std::min(Scaled(trusted_idle_, kTrustGrowth), settings_.limits.idle_close);
     if (refusing_ && now_ - refused_at_ > kSpell) refusing_ = false, Say("taking calls again");
-    for (const UpstreamPtr& u : order_) ReturnIfServed(*u);
+    for (Upstream* u : members_.Watched()) ReturnIfServed(*u);
+    members_.StopWatching([this](const Upstream& u) {
+      return !u.ejected && u.failure_run == 0 && u.outstanding == 0 && Warmth(u) >= 1;
+    });
     if (ask_again_at_ && now_ >= *ask_again_at_) {
       ask_again_at_.reset();
       Emit(Subscribe{});
@@ -930,4 +926,6 @@
   impl_->Handle(now, event, actions);
 }
 
+std::size_t Balancer::upstreams_visited() const { return impl_->UpstreamsVisited(); }
+
 }  // namespace kestrellb
--- a/tests/membership_growth_test.cpp
+++ b/tests/membership_growth_test.cpp
@@ -1,7 +1,13 @@
 // What a long list of upstreams costs, and that keeping its sums and its order from change to change decides
 // nothing otherwise.
+#include <algorithm>
+#include <bit>
 #include <cstddef>
 #include <cstdint>
+#include <map>
+#include <string>
+#include <variant>
+#include <vector>
 
 #include "gtest/gtest.h"
 #include "random_play.h"
@@ -32,5 +38,123 @@
   EXPECT_GT(sent, 40000U);
 }
 
+// What is looked at, by a module that knows so many upstreams and has come to rest.
+class Work {
+ public:
+  explicit Work(std::size_t upstreams) : settings_(DefaultSettings()), balancer_(Known(settings_), 7) {
+    for (std::size_t i = 0; i < upstreams; ++i) list_.push_back(Up("upstream-" + std::to_string(i)));
+    Of(MembershipUpdate{MembershipUpdate::Kind::kRestored, list_});
+    Rest();
+  }
+
+  // By one event, and the next call that may have to count anew what it changed.
+  std::size_t Of(const Event& event) {
+    const std::size_t before = balancer_.upstreams_visited();
+    std::vector<Action> actions;
+    balancer_.handle(now_, event, actions);
+    for (const Action& action : actions)
+      if (const auto* timer = std::get_if<SetTimer>(&action)) timers_.emplace(timer->at, timer->token);
+    return balancer_.upstreams_visited() - before;
+  }
+  std::size_t OfChange(const UpstreamInfo& info) {
+    return Of(MembershipUpdate{MembershipUpdate::Kind::kChanges, {info}});
+  }
+  std::size_t OfHousekeeping() {
+    const auto due = *timers_.begin();
+    timers_.erase(timers_.begin());
+    now_ = std::max(now_, due.first);
+    return Of(TimerFired{due.second});
+  }
+  // Until whatever was cold is warm.
+  void Rest() {
+    for (const TimePoint end = now_ + settings_.rules.cold_time + 1s; now_ < end;) OfHousekeeping();
+  }
+
+  std::vector<UpstreamInfo> list_;
+  TimePoint now_{1000s};
+
+ private:
+  static Settings Known(Settings settings) {
+    settings.balancers = 900;
+    return settings;
+  }
+  const Settings settings_;
+  Balancer balancer_;
+  std::multimap<TimePoint, std::uint64_t> timers_;
+};
+
+// Some steps for each time that the list can be halved, and some in any case.
+std::size_t Logarithmic(std::size_t upstreams) { return 16 + 8 * std::bit_width(upstreams); }
+
+constexpr std::size_t kSizes[] = {200, 3200, 4096};
+
+TEST(MembershipGrowth, AChangeOfOneUpstreamLooksAtFew) {
+  for (const std::size_t size : kSizes) {
+    Work work(size);
+    std::size_t most = 0;
+    for (std::size_t i = 0; i < 60; ++i) {
+      UpstreamInfo one = work.list_[(i * 67) % size];
+      for (const auto state : {UpstreamState::kDraining, UpstreamState::kServing, UpstreamState::kGone}) {
+        one.state = state;
+        most = std::max(most, work.OfChange(one));
+      }
+      one.state = UpstreamState::kServing;
+      one.started = work.now_;  // another process under its id
+      most = std::max(most, work.OfChange(one));
+      one.weight = 1.3;
+      most = std::max(most, work.OfChange(one));
+      most = std::max(most, work.Of(OperatorsWord{one.id, true}));
+      most = std::max(most, work.Of(OperatorsWord{one.id, false}));
+      work.Rest();
+    }
+    EXPECT_LE(most, Logarithmic(size)) << size << " upstreams";
+  }
+}
+
+TEST(MembershipGrowth, HousekeepingLooksOnlyAtWhatIsDue) {
+  for (const std::size_t size : kSizes) {
+    Work work(size);
+    EXPECT_EQ(work.OfHousekeeping(), 0U) << size << " upstreams at rest";
+    for (std::size_t i = 0; i < 3; ++i) {
+      UpstreamInfo cold = work.list_[i];
+      cold.started = work.now_;
+      work.OfChange(cold);
+    }
+    EXPECT_LE(work.OfHousekeeping(), 3 * Logarithmic(size)) << size << " upstreams, three of them cold";
+    work.Rest();
+    EXPECT_EQ(work.OfHousekeeping(), 0U) << size << " upstreams at rest again";
+  }
+}
+
+TEST(MembershipGrowth, AWholeListIsComparedInOnePass) {
+  for (const std::size_t size : kSizes) {
+    Work work(size);
+    const std::vector<UpstreamInfo> fewer(work.list_.begin(), work.list_.end() - size / 6);
+    for (const auto& list : {fewer, work.list_, work.list_})
+      EXPECT_LE(work.Of(MembershipUpdate{MembershipUpdate::Kind::kFull, list}), 6 * size);
+  }
+}
+
+// The subset is of the same size, as the sidecar's traffic is the same.
+TEST(MembershipGrowth, ARequestLooksAtItsSubset) {
+  for (const std::size_t size : kSizes) {
+    Work work(size);
+    std::size_t most = 0;
+    for (std::uint64_t i = 1; i <= 20; ++i) {
+      RequestArrived e;
+      e.request = RequestId{i};
+      e.deadline = work.now_ + 2s;
+      most = std::max(most, work.Of(e));
+      // It fails and gets its further attempts and its final answer.
+      for (std::size_t attempt = 0; attempt < 4; ++attempt) {
+        most = std::max(
+            most, work.Of(AttemptEnded{e.request, AttemptId{attempt}, Outcome::kNotSent, {}, false, {}}));
+      }
+      work.OfHousekeeping();
+    }
+    EXPECT_LE(most, 160U) << size << " upstreams";
+  }
+}
+
 }  // namespace
 }  // namespace kestrellb::testing
