--- a/node/sidecar.cpp
+++ b/node/sidecar.cpp
@@ -247,7 +247,7 @@
 
 const char* Sidecar::NotServing() const {
   if (!list_told_ && Now() - started_ < kListPatience) return "waiting for discovery";
-  return upstreams_.Known().empty() ? "no upstream is known" : nullptr;
+  return upstreams_.empty() ? "no upstream is known" : nullptr;
 }
 
 HttpResponse Sidecar::Ready() const {
@@ -301,15 +301,13 @@
 void Sidecar::Apply(MembershipList list) {
   {
     const Busy busy(delivering_);
-    if (list.update.kind != MembershipUpdate::Kind::kChanges) {
-      for (const std::string& uid : upstreams_.Known()) {
-        if (!list.locations.contains(uid)) list.locations[uid].state = kestrellb::UpstreamState::kGone;
-      }
-    }
+    const bool whole = list.update.kind != MembershipUpdate::Kind::kChanges;
     events_.push_back(std::move(list.update));
-    for (const auto& [uid, location] : list.locations) upstreams_.Apply(uid, location);
+    if (whole) upstreams_.ApplyWhole(list.locations);
+    if (!whole)
+      for (const auto& [uid, location] : list.locations) upstreams_.Apply(uid, location);
   }
-  upstream_told_ = upstream_told_ || !upstreams_.Known().empty();
+  upstream_told_ = upstream_told_ || !upstreams_.empty();
   Pump();
 }
 
--- a/node/upstreams.cpp
+++ b/node/upstreams.cpp
@@ -42,6 +42,8 @@
 
 // Interim answers ahead of the one answer; more are no honest upstream's.
 constexpr int kMostInterim = 8;
+// What an upstream that is gone is told to be.
+const Location kNowhere{UpstreamState::kGone, {}, 0};
 // No load is beyond this, whatever its unit.
 constexpr double kMostLoad = 1e6;
 
@@ -124,6 +126,7 @@
   }
 
   void Start(ExchangeId id, Call call) {
+    LeaveIdle();
     id_ = id;
     call_ = std::move(call);
     whole_ = false;
@@ -184,6 +187,7 @@
   void Close() {
     if (closed_) return;
     closed_ = true;
+    LeaveIdle();
     error_code ignored;
     socket_.close(ignored);
     timer_.cancel();
@@ -204,6 +208,8 @@
     return error == boost::asio::error::would_block;
   }
 
+  void EnterIdle() { among_idle_ = owner_.idle_.insert(owner_.idle_.end(), this); }
+
   ExchangeId id() const { return id_; }
   std::shared_ptr<Pool> pool() const { return pool_.lock(); }
   bool unsent() const { return phase_ == Phase::kConnecting; }
@@ -213,6 +219,11 @@
  private:
   enum class Phase { kIdle, kConnecting, kWriting, kWaiting };
 
+  void LeaveIdle() {
+    if (among_idle_) owner_.idle_.erase(*among_idle_);
+    among_idle_.reset();
+  }
+
   void ArmTimer(TimePoint at) {
     timer_.expires_at(ToSteady(at));
     timer_.async_wait([self = shared_from_this()](error_code error) {
@@ -528,7 +539,8 @@
   TimePoint usable_from_;
   error_code why_;
   TimePoint opened_;
-  Duration idle_{};  // before this exchange
+  Duration idle_{};                                             // before this exchange
+  std::optional<std::list<Connection*>::iterator> among_idle_;  // while it is idle in its pool
 };
 
 Upstreams::Upstreams(boost::asio::io_context& io, const kestrellb::Limits& limits, bool load_by_probe,
@@ -551,11 +563,28 @@
 }
 
 void Upstreams::Apply(const std::string& uid, const Location& location) {
-  auto& pool = pools_[uid];
+  Apply(pools_.try_emplace(uid).first, location);
+}
+
+// Both are sorted by their ids.
+void Upstreams::ApplyWhole(const std::map<std::string, Location>& locations) {
+  auto pool = pools_.begin();
+  for (const auto& [uid, location] : locations) {
+    while (pool != pools_.end() && pool->first < uid) pool = Apply(pool, kNowhere);
+    if (pool == pools_.end() || pool->first != uid) pool = pools_.try_emplace(pool, uid);
+    pool = Apply(pool, location);
+  }
+  while (pool != pools_.end()) pool = Apply(pool, kNowhere);
+}
+
+Upstreams::Pools::iterator Upstreams::Apply(Pools::iterator at, const Location& location) {
+  const std::string& uid = at->first;
+  auto& pool = at->second;
+  const auto next = std::next(at);
   if (!pool) pool = std::make_shared<Pool>(Pool{uid, {}, {}});
   const Location before = std::exchange(pool->location, location);
   const bool moved = before.endpoint != location.endpoint || before.boot_ms != location.boot_ms;
-  if (location.state == UpstreamState::kServing && !moved) return;
+  if (location.state == UpstreamState::kServing && !moved) return next;
   // Guards a drain against what was asked for before it was told: nothing queued or connecting goes there.
   const auto old = pool;
   if (moved) {
@@ -563,8 +592,9 @@
     pool = std::make_shared<Pool>(Pool{uid, location, {}});
     old->location.state = UpstreamState::kGone;
   }
-  if (location.state == UpstreamState::kGone) pools_.erase(uid);
+  if (location.state == UpstreamState::kGone) pools_.erase(at);
   Empty(old);
+  return next;
 }
 
 void Upstreams::TakeOut(const std::string& uid, bool out) {
@@ -582,12 +612,6 @@
   AbortUnsent(pool);
 }
 
-std::vector<std::string> Upstreams::Known() const {
-  std::vector<std::string> known;
-  for (const auto& [uid, pool] : pools_) known.push_back(uid);
-  return known;
-}
-
 void Upstreams::AbortUnsent(const std::shared_ptr<Pool>& pool) {
   std::vector<std::shared_ptr<Connection>> unsent;
   for (const auto& [id, connection] : exchanges_) {
@@ -645,16 +669,10 @@
 }
 
 bool Upstreams::EvictIdle() {
-  Pool* longest = nullptr;
-  for (const auto& [uid, pool] : pools_) {
-    if (pool->idle.empty()) continue;
-    if (longest == nullptr || pool->idle.front()->idle_since() < longest->idle.front()->idle_since()) {
-      longest = pool.get();
-    }
-  }
-  if (longest == nullptr) return false;
-  longest->idle.front()->Close();
-  longest->idle.erase(longest->idle.begin());
+  if (idle_.empty()) return false;
+  const auto longest = idle_.front()->shared_from_this();
+  Forget(*longest);
+  longest->Close();
   return true;
 }
 
@@ -689,6 +707,7 @@
   const auto pool = connection->pool();
   if (!pool || !MayOpen(*pool)) return connection->Close();
   pool->idle.push_back(connection);
+  connection->EnterIdle();
 }
 
 void Upstreams::Forget(const Connection& connection) {
@@ -710,13 +729,7 @@
 // being closed over there ends as a reset, and an unsafe one could not be sent again.
 void Upstreams::Sweep() {
   const TimePoint now = Now();
-  for (const auto& [uid, pool] : pools_) {
-    std::erase_if(pool->idle, [&](const auto& connection) {
-      if (now - connection->idle_since() < trusted_idle_) return false;
-      connection->Close();
-      return true;
-    });
-  }
+  while (!idle_.empty() && now - idle_.front()->idle_since() >= trusted_idle_) EvictIdle();
 }
 
 }  // namespace mothrack
--- a/node/upstreams.h
+++ b/node/upstreams.h
@@ -5,6 +5,7 @@
 #include <boost/asio/steady_timer.hpp>
 #include <cstdint>
 #include <functional>
+#include <list>
 #include <map>
 #include <memory>
 #include <optional>
@@ -70,7 +71,9 @@
   // What discovery tells of one upstream. Where it drains, is gone, moved or started anew, its idle
   // connections are closed and what has not begun to be written to it ends as not sent.
   void Apply(const std::string& uid, const Location& location);
-  std::vector<std::string> Known() const;
+  // What discovery tells of all: those that `locations` does not name are gone.
+  void ApplyWhole(const std::map<std::string, Location>& locations);
+  bool empty() const { return pools_.empty(); }
   bool Knows(const std::string& uid) const { return pools_.contains(uid); }
   // Taken out by the operators: as one that drains, whatever discovery tells of it.
   void TakeOut(const std::string& uid, bool out);
@@ -96,12 +99,15 @@
     Location location;
     std::vector<std::shared_ptr<Connection>> idle;  // the most recently used one last
   };
+  using Pools = std::map<std::string, std::shared_ptr<Pool>>;
 
   std::shared_ptr<Connection> TakeIdle(Pool& pool, Duration max_idle);
   std::shared_ptr<Connection> Open(const std::shared_ptr<Pool>& pool);
   // Closes the connection that has been idle longest; false where there is none.
   bool EvictIdle();
   bool MayOpen(const Pool& pool) const;
+  // The one that follows it.
+  Pools::iterator Apply(Pools::iterator at, const Location& location);
   // Ends what nobody may use any more: idle connections, and what has not begun to be written.
   void Empty(const std::shared_ptr<Pool>& pool);
   void AbortUnsent(const std::shared_ptr<Pool>& pool);
@@ -116,7 +122,8 @@
   const std::string probe_target_;
   const std::size_t pipe_;
   Descriptors& descriptors_;
-  std::map<std::string, std::shared_ptr<Pool>> pools_;
+  Pools pools_;
+  std::list<Connection*> idle_;  // of all pools, the one that has been idle longest first
   std::set<std::string> out_;
   std::map<ExchangeId, std::shared_ptr<Connection>> exchanges_;
   boost::asio::steady_timer sweep_;
