--- a/tests/membership_growth_test.cpp
+++ b/tests/membership_growth_test.cpp
@@ -6,10 +6,12 @@
 #include <cstdint>
 #include <map>
 #include <string>
+#include <utility>
 #include <variant>
 #include <vector>
 
 #include "gtest/gtest.h"
+#include "peers.h"
 #include "random_play.h"
 
 namespace kestrellb::testing {
@@ -156,5 +158,37 @@
   }
 }
 
+// No list of 4,096 upstreams is too long for the node: every field told, names of 128 bytes, spread over
+// lines.
+TEST(MembershipGrowth, ANodeTakesAnIndentedListOf4096Upstreams) {
+  using mothrack::testing::json;
+  namespace peers = mothrack::testing;
+  peers::Upstream live(peers::Upstream::Echo("live"));
+  json targets = json::array();
+  for (int i = 4096; i > 0; --i) {
+    const std::string name = std::to_string(i) + std::string(124, 'n');
+    json target = peers::Target(name, i == 1 ? live.address() : "127.0.0.1:65535",
+                                i == 1 ? "active" : "leaving", 1'700'000'000'000);
+    target.update({{"az", name}, {"model", name}, {"pod_group", 1'000'000}, {"capacity_hint", 1.0 / 3}});
+    targets.push_back(std::move(target));
+  }
+  const std::string whole = json{{"rev", 7}, {"all", true}, {"targets", std::move(targets)}}.dump(4);
+  RecordProperty("bytes", static_cast<int>(whole.size()));
+  peers::Peer discovery([&](peers::Wire& wire, int) {
+    if (wire.ReadRequest() && wire.Answer(200, whole)) wire.ReadsEnd();  // a watch that tells nothing
+  });
+  peers::Node::Options options;
+  options.discovery = discovery.address();
+  peers::Node node(options);
+  ASSERT_TRUE(node.Listening());
+  peers::Client client(node.port());
+  int asked = 0;
+  EXPECT_TRUE(peers::Eventually([&] {
+    const auto answer = client.Get("/page/x", "growth-" + std::to_string(++asked));
+    return answer && answer->result_int() == 200;
+  })) << node.log();
+  EXPECT_EQ(live.connections(), 1);
+}
+
 }  // namespace
 }  // namespace kestrellb::testing
