--- a/tests/membership_growth_test.cpp
+++ b/tests/membership_growth_test.cpp
@@ -1,9 +1,17 @@
 // What a long list of upstreams costs, and that keeping its sums and its order from change to change decides
 // nothing otherwise.
+#include <algorithm>
+#include <bit>
 #include <cstddef>
 #include <cstdint>
+#include <map>
+#include <string>
+#include <utility>
+#include <variant>
+#include <vector>
 
 #include "gtest/gtest.h"
+#include "peers.h"
 #include "random_play.h"
 
 namespace kestrellb::testing {
@@ -32,5 +40,155 @@
   EXPECT_GT(sent, 40000U);
 }
 
+// What is looked at, by a module that knows so many upstreams and has come to rest.
+class Work {
+ public:
+  explicit Work(std::size_t upstreams) : settings_(DefaultSettings()), balancer_(Known(settings_), 7) {
+    for (std::size_t i = 0; i < upstreams; ++i) list_.push_back(Up("upstream-" + std::to_string(i)));
+    Of(MembershipUpdate{MembershipUpdate::Kind::kRestored, list_});
+    Rest();
+  }
+
+  // By one event, and the next call that may have to count anew what it changed.
+  std::size_t Of(const Event& event) {
+    const std::size_t before = balancer_.upstreams_visited();
+    std::vector<Action> actions;
+    balancer_.handle(now_, event, actions);
+    for (const Action& action : actions)
+      if (const auto* timer = std::get_if<SetTimer>(&action)) timers_.emplace(timer->at, timer->token);
+    return balancer_.upstreams_visited() - before;
+  }
+  std::size_t OfChange(const UpstreamInfo& info) {
+    return Of(MembershipUpdate{MembershipUpdate::Kind::kChanges, {info}});
+  }
+  std::size_t OfHousekeeping() {
+    const auto due = *timers_.begin();
+    timers_.erase(timers_.begin());
+    now_ = std::max(now_, due.first);
+    return Of(TimerFired{due.second});
+  }
+  // Until whatever was cold is warm.
+  void Rest() {
+    for (const TimePoint end = now_ + settings_.rules.cold_time + 1s; now_ < end;) OfHousekeeping();
+  }
+
+  std::vector<UpstreamInfo> list_;
+  TimePoint now_{1000s};
+
+ private:
+  static Settings Known(Settings settings) {
+    settings.balancers = 900;
+    return settings;
+  }
+  const Settings settings_;
+  Balancer balancer_;
+  std::multimap<TimePoint, std::uint64_t> timers_;
+};
+
+// Some steps for each time that the list can be halved, and some in any case.
+std::size_t Logarithmic(std::size_t upstreams) { return 16 + 8 * std::bit_width(upstreams); }
+
+constexpr std::size_t kSizes[] = {200, 3200, 4096};
+
+TEST(MembershipGrowth, AChangeOfOneUpstreamLooksAtFew) {
+  for (const std::size_t size : kSizes) {
+    Work work(size);
+    std::size_t most = 0;
+    for (std::size_t i = 0; i < 60; ++i) {
+      UpstreamInfo one = work.list_[(i * 67) % size];
+      for (const auto state : {UpstreamState::kDraining, UpstreamState::kServing, UpstreamState::kGone}) {
+        one.state = state;
+        most = std::max(most, work.OfChange(one));
+      }
+      one.state = UpstreamState::kServing;
+      one.started = work.now_;  // another process under its id
+      most = std::max(most, work.OfChange(one));
+      one.weight = 1.3;
+      most = std::max(most, work.OfChange(one));
+      most = std::max(most, work.Of(OperatorsWord{one.id, true}));
+      most = std::max(most, work.Of(OperatorsWord{one.id, false}));
+      work.Rest();
+    }
+    EXPECT_LE(most, Logarithmic(size)) << size << " upstreams";
+  }
+}
+
+TEST(MembershipGrowth, HousekeepingLooksOnlyAtWhatIsDue) {
+  for (const std::size_t size : kSizes) {
+    Work work(size);
+    EXPECT_EQ(work.OfHousekeeping(), 0U) << size << " upstreams at rest";
+    for (std::size_t i = 0; i < 3; ++i) {
+      UpstreamInfo cold = work.list_[i];
+      cold.started = work.now_;
+      work.OfChange(cold);
+    }
+    EXPECT_LE(work.OfHousekeeping(), 3 * Logarithmic(size)) << size << " upstreams, three of them cold";
+    work.Rest();
+    EXPECT_EQ(work.OfHousekeeping(), 0U) << size << " upstreams at rest again";
+  }
+}
+
+TEST(MembershipGrowth, AWholeListIsComparedInOnePass) {
+  for (const std::size_t size : kSizes) {
+    Work work(size);
+    const std::vector<UpstreamInfo> fewer(work.list_.begin(), work.list_.end() - size / 6);
+    for (const auto& list : {fewer, work.list_, work.list_})
+      EXPECT_LE(work.Of(MembershipUpdate{MembershipUpdate::Kind::kFull, list}), 6 * size);
+  }
+}
+
+// The subset is of the same size, as the sidecar's traffic is the same.
+TEST(MembershipGrowth, ARequestLooksAtItsSubset) {
+  for (const std::size_t size : kSizes) {
+    Work work(size);
+    std::size_t most = 0;
+    for (std::uint64_t i = 1; i <= 20; ++i) {
+      RequestArrived e;
+      e.request = RequestId{i};
+      e.deadline = work.now_ + 2s;
+      most = std::max(most, work.Of(e));
+      // It fails and gets its further attempts and its final answer.
+      for (std::size_t attempt = 0; attempt < 4; ++attempt) {
+        most = std::max(
+            most, work.Of(AttemptEnded{e.request, AttemptId{attempt}, Outcome::kNotSent, {}, false, {}}));
+      }
+      work.OfHousekeeping();
+    }
+    EXPECT_LE(most, 160U) << size << " upstreams";
+  }
+}
+
+// No list of 4,096 upstreams is too long for the node: every field told, names of 128 bytes, spread over
+// lines.
+TEST(MembershipGrowth, ANodeTakesAnIndentedListOf4096Upstreams) {
+  using mothrack::testing::json;
+  namespace peers = mothrack::testing;
+  peers::Upstream live(peers::Upstream::Echo("live"));
+  json targets = json::array();
+  for (int i = 4096; i > 0; --i) {
+    const std::string name = std::to_string(i) + std::string(124, 'n');
+    json target = peers::Target(name, i == 1 ? live.address() : "127.0.0.1:65535",
+                                i == 1 ? "active" : "leaving", 1'700'000'000'000);
+    target.update({{"az", name}, {"model", name}, {"pod_group", 1'000'000}, {"capacity_hint", 1.0 / 3}});
+    targets.push_back(std::move(target));
+  }
+  const std::string whole = json{{"rev", 7}, {"all", true}, {"targets", std::move(targets)}}.dump(4);
+  RecordProperty("bytes", static_cast<int>(whole.size()));
+  peers::Peer discovery([&](peers::Wire& wire, int) {
+    if (wire.ReadRequest() && wire.Answer(200, whole)) wire.ReadsEnd();  // a watch that tells nothing
+  });
+  peers::Node::Options options;
+  options.discovery = discovery.address();
+  peers::Node node(options);
+  ASSERT_TRUE(node.Listening());
+  peers::Client client(node.port());
+  int asked = 0;
+  EXPECT_TRUE(peers::Eventually([&] {
+    const auto answer = client.Get("/page/x", "growth-" + std::to_string(++asked));
+    return answer && answer->result_int() == 200;
+  })) << node.log();
+  EXPECT_EQ(live.connections(), 1);
+}
+
 }  // namespace
 }  // namespace kestrellb::testing
