--- a/node/listener.cpp
+++ b/node/listener.cpp
@@ -3,6 +3,7 @@
 #include <poll.h>
 #include <sys/socket.h>
 
+#include <boost/asio/post.hpp>
 #include <boost/asio/socket_base.hpp>
 #include <boost/asio/write.hpp>
 #include <boost/beast/core/flat_buffer.hpp>
@@ -60,11 +61,14 @@
 constexpr Duration kAcceptPause = milliseconds(20);
 // A client that has ended its sending has closed, or it still waits for its answer, as HTTP allows. It is
 // sent an interim answer: one that has closed answers anything with a reset, well within this time.
-constexpr char kAreYouThere[] = "HTTP/1.1 102 Processing\r\n\r\n";
+constexpr boost::beast::string_view kAreYouThere = "HTTP/1.1 102 Processing\r\n\r\n";
+// HTTP/1.0 knows no interim answers. But any answer to it begins like this, so a byte of it can go ahead.
+constexpr boost::beast::string_view kAnswerBegins = "HTTP/1.0 ";
 constexpr Duration kResetWithin = milliseconds(5);
-// For so long no news of a client is good news. Nothing is to begin 0.1 s after it has gone, also where this
-// process is short of time and what came from the client is unread.
-constexpr Duration kNoNews = milliseconds(50);
+// One found to be there is asked again ahead of an attempt that begins later than this.
+constexpr Duration kStillThere = milliseconds(20);
+// Where there is no room to read, the end of a client and of its request is looked for so often.
+constexpr Duration kLookAgain = milliseconds(50);
 
 }  // namespace
 
@@ -113,13 +117,22 @@
     Read();
   }
 
-  bool Here() {
-    if (closed_ || there_) return !closed_;
-    const TimePoint now = Now();
-    if (now - looked_ < kNoNews) return true;
-    if (ended_ || LooksEnded()) return false;
-    looked_ = now;
-    return true;
+  // As the system has it now, also where bytes ahead of its end are unread. Nothing that was found earlier
+  // counts: the process may have been held up since.
+  Client Look() {
+    if (closed_) return Client::kGone;
+    if (there_ && CanAsk() && Now() - found_at_ > kStillThere) AskAnew();
+    if (!there_ && !asking_ && !ended_) {
+      char byte = 0;
+      ssize_t size = 0;
+      do {
+        size = ::recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+      } while (size < 0 && errno == EINTR);
+      if (size < 0) return errno == EAGAIN || errno == EWOULDBLOCK ? Client::kConnected : Client::kGone;
+      if (size > 0 && (Happened(POLLRDHUP) & (POLLRDHUP | POLLERR | POLLHUP)) == 0) return Client::kConnected;
+    }
+    if (IsOver()) return Client::kGone;
+    return there_ ? Client::kConnected : Client::kUnknown;
   }
 
   TimePoint since() const { return since_; }
@@ -214,34 +227,62 @@
     const std::size_t room = std::min(buffer_.max_size() - buffer_.size(), kReadSize);
     error_code error;
     const std::size_t size = socket_.read_some(buffer_.prepare(room), error);
-    if (error == boost::asio::error::would_block || error == boost::asio::error::try_again) return Read();
+    if (error == boost::asio::error::would_block || error == boost::asio::error::try_again ||
+        error == boost::asio::error::interrupted)
+      return Read();
     if (error == boost::asio::error::eof) return Ended();
     if (error) return Close();
     buffer_.commit(size);
     Progress();
   }
 
-  // No more will come: there is an answer to wait for, or nothing. While one is written that tells the rest.
+  // No more will come.
   void Ended() {
     ended_ = true;
-    if (state_ == State::kWriting) return;
-    if (state_ != State::kServing || upload_) return Close();
+    ActOnEnd();
+  }
+
+  // What was read ahead of the end of sending is parsed and passed on first. Then there is an answer to wait
+  // for, or nothing. While an answer is written, its write tells whether the client is there.
+  void ActOnEnd() {
+    if (!ended_ || closed_ || state_ == State::kWriting) return;
+    if (state_ != State::kServing) return Close();      // the rest of a request will not come
+    if (upload_ && upload_->HasRoom()) return Close();  // nor the rest of its body
     Ask();
   }
 
   void Ask() {
     if (there_ || std::exchange(asking_, true)) return;
-    if (version_ < 11) return Close();  // knows no interim answers
-    error_code error;
-    socket_.write_some(boost::asio::buffer(kAreYouThere, sizeof kAreYouThere - 1), error);
-    if (error || WasReset()) return Close();
+    const auto probe = version_ >= 11 ? kAreYouThere : kAnswerBegins.substr(sent_ahead_, 1);
+    const auto size = WriteNow(probe);
+    // Where it has no room for this its client has not read what it was sent before, nor reset it.
+    if (!size || WasReset()) return Close();
+    if (version_ < 11) {
+      sent_ahead_ += *size;
+    } else if (*size > 0) {
+      owed_ahead_ = std::string(probe.substr(*size));
+    }
     look_.expires_after(kResetWithin);
     look_.async_wait([self = shared_from_this()](error_code stopped) {
       if (stopped || self->closed_ || self->owner_ == nullptr) return;
-      if (self->WasReset()) return self->Close();
+      if (self->WasReset() || self->IsOver()) return self->Close();
       self->there_ = true;
-      if (self->waiting_) self->Serve(*std::exchange(self->waiting_, std::nullopt), nullptr);
-      self->Read();
+      self->found_at_ = Now();
+      if (auto waited = std::exchange(self->waiting_, std::nullopt))
+        self->Serve(std::move(waited->first), std::move(waited->second));
+      if (!self->closed_) self->Read();
+    });
+  }
+
+  // Few clients bear many interim answers; one goes ahead of each attempt at most.
+  bool CanAsk() const { return version_ >= 11 ? owed_ahead_.empty() : sent_ahead_ < kAnswerBegins.size(); }
+
+  // It may have closed since it was found to be there. Not at once: whoever looks is in the middle of
+  // something.
+  void AskAnew() {
+    there_ = asking_ = false;
+    boost::asio::post(owner_->io_, [self = shared_from_this()] {
+      if (!self->closed_ && self->owner_ != nullptr && self->state_ == State::kServing) self->Ask();
     });
   }
 
@@ -251,29 +292,42 @@
     return ::getsockopt(socket_.native_handle(), SOL_SOCKET, SO_ERROR, &failed, &size) != 0 || failed != 0;
   }
 
-  // The connection has ended both ways, not only the client's sending.
-  bool IsOver() {
-    pollfd look{socket_.native_handle(), 0, 0};
-    return ::poll(&look, 1, 0) > 0 && (look.revents & (POLLERR | POLLHUP)) != 0;
+  // Writes what the system takes at once, in as many pieces as it wants: so much of it; nothing where the
+  // connection is broken.
+  std::optional<std::size_t> WriteNow(boost::beast::string_view text) {
+    std::size_t written = 0;
+    error_code error;
+    while (written < text.size() && (!error || error == boost::asio::error::interrupted)) {
+      const auto rest = text.substr(written);
+      written += socket_.write_some(boost::asio::buffer(rest.data(), rest.size()), error);
+    }
+    const bool full = error == boost::asio::error::would_block || error == boost::asio::error::try_again;
+    return !error || full ? std::optional(written) : std::nullopt;
   }
 
-  // Has it closed, or ended its sending? Also where bytes before that are unread.
-  bool LooksEnded() {
-    char byte = 0;
-    const auto size = ::recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-    if (size <= 0) return size == 0 || (errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR);
-    pollfd look{socket_.native_handle(), POLLRDHUP, 0};
-    return ::poll(&look, 1, 0) > 0 && (look.revents & (POLLRDHUP | POLLERR | POLLHUP)) != 0;
+  // What the system says of the connection: POLLERR and POLLHUP, and of these.
+  int Happened(int events) {
+    pollfd look{socket_.native_handle(), static_cast<short>(events), 0};
+    int count = 0;
+    do {
+      count = ::poll(&look, 1, 0);
+    } while (count < 0 && errno == EINTR);
+    return count > 0 ? look.revents : 0;
   }
 
+  // The connection has ended both ways, not only the client's sending.
+  bool IsOver() { return (Happened(0) & (POLLERR | POLLHUP)) != 0; }
+
   // With no room to read, its end is looked for behind what is unread.
   void LookAgain() {
-    if (asking_ || state_ != State::kServing) return;
-    look_.expires_after(kNoNews);
+    const bool asked = asking_ && !there_;  // the timer is the question's
+    if (asked || there_ || state_ != State::kServing) return;
+    look_.expires_after(kLookAgain);
     look_.async_wait([self = shared_from_this()](error_code stopped) {
       if (stopped || self->closed_ || self->owner_ == nullptr) return;
       if (self->buffer_.size() < self->buffer_.max_size()) return;
-      if (self->state_ == State::kServing && self->LooksEnded()) return self->Ask();
+      const bool serving = self->state_ == State::kServing;
+      if (serving && !self->asking_ && self->Look() != Client::kConnected) return self->Ask();
       self->LookAgain();
     });
   }
@@ -285,7 +339,7 @@
       if (lingered_ > kMostLinger) return Close();
     }
     Parse();
-    if (ended_ && state_ == State::kReading) return Close();  // the rest of it will not come
+    ActOnEnd();
     Read();
   }
 
@@ -392,6 +446,7 @@
   // request.
   void Reject(http::status status, const std::string& why) {
     close_after_ = true;
+    waiting_.reset();
     if (const auto gone = std::exchange(gone_, nullptr)) gone();
     Answer(PlainResponse(status, why), nullptr);
   }
@@ -399,9 +454,8 @@
   // A client that asked whether to go on waits for this before it sends the body.
   void Continue() {
     if (!boost::beast::iequals(parser_->get()[http::field::expect], "100-continue")) return;
-    static constexpr char kGoOn[] = "HTTP/1.1 100 Continue\r\n\r\n";
-    error_code ignored;
-    socket_.write_some(boost::asio::buffer(kGoOn, sizeof kGoOn - 1), ignored);
+    static constexpr boost::beast::string_view kGoOn = "HTTP/1.1 100 Continue\r\n\r\n";
+    owed_ahead_ = std::string(kGoOn.substr(WriteNow(kGoOn).value_or(kGoOn.size())));
   }
 
   void Hand(HttpRequest request, Body body) {
@@ -420,13 +474,12 @@
           no ? PlainResponse(http::status::service_unavailable, no) : PlainResponse(http::status::ok, "up"),
           nullptr);
     }
-    looked_ = Now();
-    // It waited for an earlier answer behind the end of its sending; has it left since?
-    if (there_ && IsOver()) return Close();
-    if (!there_ && LooksEnded()) {
-      if (!body) waiting_ = std::move(request);
-      Ask();
-      if (closed_ || waiting_) return;
+    // It may have left since it sent this, also where it waits behind the end of its sending.
+    const Client client = Look();
+    if (client == Client::kGone) return Close();
+    if (client == Client::kUnknown) {
+      waiting_.emplace(std::move(request), std::move(body));
+      return Ask();
     }
     Serve(std::move(request), std::move(body));
   }
@@ -437,11 +490,11 @@
       if (!self->closed_) return self->Answer(std::move(response), std::move(answer));
       if (answer) answer->Leave();
     };
-    auto here = [weak = weak_from_this()] {
+    auto look = [weak = weak_from_this()] {
       const auto self = weak.lock();
-      return self && self->Here();
+      return self ? self->Look() : Client::kGone;
     };
-    auto gone = owner_->on_request_(std::move(request), std::move(body), std::move(reply), std::move(here));
+    auto gone = owner_->on_request_(std::move(request), std::move(body), std::move(reply), std::move(look));
     if (state_ == State::kServing) gone_ = std::move(gone);
   }
 
@@ -458,13 +511,34 @@
     if (body) return Pass(std::move(body));
     response_.keep_alive(!close_after_);
     response_.prepare_payload();
-    http::async_write(socket_, response_, [self = shared_from_this()](error_code error, std::size_t) {
-      if (self->closed_ || self->owner_ == nullptr) return;
-      if (error) return self->Close();
-      self->Answered();
+    head_.emplace(response_);
+    AfterOwed([this] {
+      http::async_write(socket_, *head_, [self = shared_from_this()](error_code error, std::size_t) {
+        if (self->closed_ || self->owner_ == nullptr) return;
+        if (error) return self->Close();
+        self->Answered();
+      });
     });
   }
 
+  // Ahead of an answer goes the rest of an interim one; of the answer itself some may have gone already.
+  void AfterOwed(std::function<void()> write) {
+    if (const auto sent = std::exchange(sent_ahead_, 0); sent > 0) {
+      error_code ignored;
+      head_->next(ignored, [](error_code&, const auto&) {});
+      head_->consume(sent);
+    }
+    if (owed_ahead_.empty()) return write();
+    boost::asio::async_write(
+        socket_, boost::asio::buffer(owed_ahead_),
+        [self = shared_from_this(), write = std::move(write)](error_code error, std::size_t) {
+          if (self->closed_ || self->owner_ == nullptr) return;
+          if (error) return self->Close();
+          self->owed_ahead_.clear();
+          write();
+        });
+  }
+
   // An answer of which only the head and a piece are here. It must be plain to the client where it ends, or
   // that it broke.
   void Pass(Body body) {
@@ -481,9 +555,13 @@
       if (self && !self->closed_ && self->answer_ && !self->writing_) self->PassPiece();
     };
     head_.emplace(response_);
+    head_->split(true);
     writing_ = true;
-    http::async_write_header(
-        socket_, *head_, [self = shared_from_this()](error_code error, std::size_t) { self->Passed(error); });
+    AfterOwed([this] {
+      http::async_write_header(socket_, *head_, [self = shared_from_this()](error_code error, std::size_t) {
+        self->Passed(error);
+      });
+    });
   }
 
   void Passed(error_code error) {
@@ -551,11 +629,11 @@
   std::optional<Descriptors::Slot> slot_;
   tcp::socket socket_;
   boost::asio::steady_timer look_;
-  std::optional<HttpRequest> waiting_;  // until it is known whether its client is there
-  TimePoint looked_;                    // nothing said by then that the client had gone
-  bool ended_ = false;                  // it has ended its sending
-  bool asking_ = false;                 // whether it is there, once
-  bool there_ = false;                  // it is, and waits for its answer all the same
+  std::optional<std::pair<HttpRequest, Body>> waiting_;  // until it is known whether its client is there
+  bool ended_ = false;                                   // it has ended its sending
+  bool asking_ = false;                                  // whether it is there, once
+  bool there_ = false;                                   // it is, and waits for its answer all the same
+  TimePoint found_at_;                                   // to be there
   boost::beast::flat_buffer buffer_;
   std::optional<http::request_parser<http::buffer_body>> parser_;
   std::string body_;  // of a request that is still to come whole
@@ -566,6 +644,8 @@
   Body answer_;  // that passes through
   std::optional<http::response_serializer<http::string_body>> head_;
   std::string passing_;
+  std::size_t sent_ahead_ = 0;  // bytes of the answer to an HTTP/1.0 client, before there is one
+  std::string owed_ahead_;      // the rest of an interim answer
   bool writing_ = false;
   bool chunked_ = false;
   Duration linger_ = kLinger;
--- a/node/listener.h
+++ b/node/listener.h
@@ -24,10 +24,12 @@
   using Reply = std::function<void(HttpResponse, Body body)>;
   // What is to be done when the client leaves before its answer.
   using OnGone = std::function<void()>;
-  // Is the client still there, as far as is known by now? For what begins later than its request came.
-  using Here = std::function<bool()>;
+  // A client that has ended its sending may have closed: that is not known for a moment.
+  enum class Client { kConnected, kUnknown, kGone };
+  // Looks at the client's connection. To be asked right before anything is begun for its request.
+  using Look = std::function<Client()>;
   // Takes one request and calls `reply` once, perhaps at once. `body`: of a request that passes through.
-  using OnRequest = std::function<OnGone(HttpRequest request, Body body, Reply reply, Here here)>;
+  using OnRequest = std::function<OnGone(HttpRequest request, Body body, Reply reply, Look look)>;
 
   // `can_serve`: `/up` says no until then. `pipe`: how much of a body that passes through is held.
   // Binds and listens, with other processes where it is `shared`, or takes over `listening`, a socket that
--- a/node/sidecar.cpp
+++ b/node/sidecar.cpp
@@ -30,6 +30,8 @@
 // again. Ids are never used again, so they need no longer memory than such a copy takes.
 constexpr Duration kIdMemory = std::chrono::seconds(5);
 constexpr std::size_t kMostEndedIds = 8192;
+// An attempt for a client that has ended its sending waits so long before its client is looked at again.
+constexpr Duration kLookAgain = milliseconds(2);
 // A client that says it waits longer than this many of its class's deadlines has no idea what it says.
 constexpr int kMostDeadlines = 2;
 // So long the list as last held is not good enough to be called ready: discovery answers at once unless it is
@@ -152,8 +154,8 @@
       listener_(
           io, config.listen, config.admin.has_value(), Listening(handover_, config.listen), config.pipe,
           descriptors_, log_,
-          [this](HttpRequest request, Body body, Listener::Reply reply, Listener::Here here) {
-            return Take(std::move(request), std::move(body), std::move(reply), std::move(here));
+          [this](HttpRequest request, Body body, Listener::Reply reply, Listener::Look look) {
+            return Take(std::move(request), std::move(body), std::move(reply), std::move(look));
           },
           [this] { return upstream_told_; }) {
   for (std::size_t i = 0; i < settings_.classes.size(); ++i) {
@@ -288,7 +290,8 @@
     const kestrellb::Event next = std::move(events_.front());
     events_.pop_front();
     actions.clear();
-    balancer_.handle(Now(), next, actions);
+    handled_at_ = Now();
+    balancer_.handle(handled_at_, next, actions);
     for (const auto& action : actions) {
       std::visit([this](const auto& a) { CarryOut(a); }, action);
     }
@@ -313,7 +316,7 @@
   Pump();
 }
 
-Listener::OnGone Sidecar::Take(HttpRequest request, Body body, Listener::Reply reply, Listener::Here here) {
+Listener::OnGone Sidecar::Take(HttpRequest request, Body body, Listener::Reply reply, Listener::Look look) {
   const TimePoint now = Now();
   const auto bad = [&reply](const std::string& why) {
     reply(Unfit(why), nullptr);
@@ -354,11 +357,12 @@
   pending.message = std::make_shared<const HttpRequest>(std::move(request));
   pending.deadline = event.deadline;
   pending.reply = std::move(reply);
-  pending.here = std::move(here);
+  pending.look = std::move(look);
   const RequestId id = event.request;
   if (body) {
     pending.deadline = TimePoint::max();
     body->on_end = [this, id, timeout = event.deadline - now] { BodyEnded(id, timeout); };
+    if (body->finished()) body->Finish();  // it came whole before anybody listened
     pending.body = std::move(body);
   }
   requests_.emplace(id, std::move(pending));
@@ -462,19 +466,56 @@
   if (it == requests_.end()) return;
   Pending& pending = it->second;
   const AttemptId attempt{pending.attempts.size()};
-  const Upstreams::ExchangeId exchange{++last_exchange_};
-  pending.attempts.push_back(exchange);
+  pending.attempts.push_back(Upstreams::ExchangeId{++last_exchange_});
   ++pending.out;
-  const auto on_end = [this, id = action.request, attempt, uid = action.upstream.value](
-                          ExchangeResult result) { Ended(id, attempt, uid, std::move(result)); };
-  // The client left, perhaps unheard so far, or has its answer: nothing more is sent for it.
-  if (!pending.reply || !pending.here()) return on_end({Outcome::kNotSent, {}, {}, {}});
-  const auto on_start = [this, id = action.request, attempt](HttpResponse head, Body body) {
+  Launch(action, attempt, handled_at_);
+}
+
+// Once its request has its answer nobody waits for more.
+Listener::Client Sidecar::LookAtClient(RequestId id) const {
+  const auto it = requests_.find(id);
+  return it != requests_.end() && it->second.reply ? it->second.look() : Listener::Client::kGone;
+}
+
+void Sidecar::Launch(const kestrellb::SendAttempt& action, AttemptId attempt, TimePoint decided) {
+  const RequestId id = action.request;
+  const auto it = requests_.find(id);
+  if (it == requests_.end()) return;
+  const Pending& pending = it->second;
+  const auto client = LookAtClient(id);
+  if (client == Listener::Client::kUnknown) return LaunchLater(action, attempt, decided);
+  // The client may end its sending, or leave, while a connection for it comes up.
+  const auto on_end = [this, action, attempt, decided](ExchangeResult result) {
+    const bool unsent = result.outcome == Outcome::kNotSent;
+    if (unsent && LookAtClient(action.request) == Listener::Client::kUnknown)
+      return LaunchLater(action, attempt, decided);
+    Ended(action.request, attempt, action.upstream.value, std::move(result));
+  };
+  if (client == Listener::Client::kGone) return on_end({Outcome::kNotSent, {}, {}, {}});
+  const Duration spent = Now() - decided;
+  Upstreams::Call call;
+  call.request = pending.message;
+  call.body = pending.body;
+  call.timeout = action.timeout;
+  // Of a body that still comes the time runs from its last byte.
+  if (pending.deadline != TimePoint::max())
+    call.timeout = std::max<Duration>(call.timeout - spent, milliseconds(1));
+  call.max_idle = action.max_idle;
+  if (action.begin_within != Duration::max()) call.begin_within = action.begin_within - spent;
+  call.wanted = [this, id] { return LookAtClient(id) == Listener::Client::kConnected; };
+  call.on_start = [this, id, attempt](HttpResponse head, Body body) {
     Started(id, attempt, std::move(head), std::move(body));
   };
-  upstreams_.Send(exchange, action.upstream.value,
-                  {pending.message, pending.body, action.timeout, action.max_idle, action.begin_within,
-                   pending.here, on_start, on_end});
+  call.on_end = on_end;
+  upstreams_.Send(pending.attempts[static_cast<std::size_t>(attempt)], action.upstream.value,
+                  std::move(call));
+}
+
+void Sidecar::LaunchLater(const kestrellb::SendAttempt& action, AttemptId attempt, TimePoint decided) {
+  const auto timer = std::make_shared<boost::asio::steady_timer>(timer_.get_executor(), kLookAgain);
+  timer->async_wait([this, timer, action, attempt, decided](error_code error) {
+    if (!error) Launch(action, attempt, decided);
+  });
 }
 
 void Sidecar::CarryOut(const kestrellb::CancelAttempt& action) {
--- a/node/sidecar.h
+++ b/node/sidecar.h
@@ -51,7 +51,7 @@
     Body body;  // of a request that passes through
     TimePoint deadline;
     Listener::Reply reply;  // empty once the request has its answer or its client is gone
-    Listener::Here here;
+    Listener::Look look;
     std::vector<Upstreams::ExchangeId> attempts;
     std::size_t out = 0;                            // attempts that have not ended
     std::optional<kestrellb::AttemptId> answering;  // the one whose answer passes through
@@ -60,9 +60,13 @@
   void Deliver(kestrellb::Event event);
   void Pump();
   void Apply(MembershipList list);
-  Listener::OnGone Take(HttpRequest request, Body body, Listener::Reply reply, Listener::Here here);
+  Listener::OnGone Take(HttpRequest request, Body body, Listener::Reply reply, Listener::Look look);
   // The last byte of a request that passes through has come, or it never will.
   void BodyEnded(kestrellb::RequestId id, Duration timeout);
+  // Sends an attempt that was decided on at `decided`, unless its client has gone by now.
+  void Launch(const kestrellb::SendAttempt& action, kestrellb::AttemptId attempt, TimePoint decided);
+  void LaunchLater(const kestrellb::SendAttempt& action, kestrellb::AttemptId attempt, TimePoint decided);
+  Listener::Client LookAtClient(kestrellb::RequestId id) const;
   void Started(kestrellb::RequestId id, kestrellb::AttemptId attempt, HttpResponse head, Body body);
   void Gone(kestrellb::RequestId id);
   void Ended(kestrellb::RequestId id, kestrellb::AttemptId attempt, const std::string& upstream,
@@ -108,6 +112,7 @@
   std::optional<std::uint64_t> known_;  // the version of the list it was started with, until that was used
   std::deque<kestrellb::Event> events_;
   bool delivering_ = false;
+  TimePoint handled_at_;  // the time that the module was last told
   std::unordered_map<kestrellb::RequestId, Pending> requests_;
   // Ids as the clients gave them, of requests that are open or have ended a short while ago.
   std::set<std::string, std::less<>> taken_ids_;
--- a/node/upstreams.cpp
+++ b/node/upstreams.cpp
@@ -139,23 +139,15 @@
     phase_ = connected_ ? Phase::kWriting : Phase::kConnecting;
     ++use_;
     interim_ = 0;
-    if (connected_) {
-      ArmTimer(gives_up_);
-      Read();
-      return Write();
-    }
+    if (connected_) return BeginRequest();
     ArmTimer(std::min({gives_up_, sent_ + owner_.connect_timeout_, begin_by_}));
     const auto pool = pool_.lock();
     socket_.async_connect(pool->location.endpoint, [self = shared_from_this()](error_code error) {
       if (self->closed_) return;
       if (error) return self->End(Cause::kBroken, error);
       self->connected_ = true;
-      const bool late = Now() >= self->begin_by_;
-      if (!self->wanted_ || late || (self->call_.wanted && !self->call_.wanted())) return self->Spare();
-      self->phase_ = Phase::kWriting;
-      self->ArmTimer(self->gives_up_);
-      self->Read();
-      self->Write();
+      self->idle_since_ = Now();
+      self->BeginRequest();
     });
   }
 
@@ -228,20 +220,46 @@
   // Its handler may be on its way already: it looks at the time.
   void DisarmTimer() { timer_.expires_at(std::chrono::steady_clock::time_point::max()); }
 
-  void Write() {
+  // Writes the first byte, unless there is no use in it any more. The process may be held up between any two
+  // steps: what takes time comes first, then the clock is read, and the client is looked at last, so that
+  // nothing lies between that look and the write.
+  void BeginRequest() {
+    if (!wanted_) return Spare();
+    phase_ = Phase::kWriting;
+    ArmTimer(call_.body ? Now() + kSilentPeer : gives_up_);
+    const TimePoint now = Now();
+    Compose(now);
+    if (now >= begin_by_ || (call_.wanted && !call_.wanted())) return Spare();
+    write_pending_ = true;
+    if (call_.body) {
+      WriteHead();
+    } else {
+      Write();
+    }
+    Read();
+  }
+
+  void Compose(TimePoint now) {
     const HttpRequest& request = *call_.request;
     message_.emplace(request.method(), request.target(), 11);
     message_->base() = request.base();
     message_->version(11);
     // The peer learns how long it will be waited for from now on, which is what is left after connecting.
-    const Duration wait = call_.body ? call_.timeout : Duration(gives_up_ - Now());
+    const Duration wait = call_.body ? call_.timeout : Duration(gives_up_ - now);
     const auto left = std::chrono::duration_cast<milliseconds>(wait).count();
     message_->set("X-Timeout-Ms", std::to_string(std::max<std::int64_t>(left, 1)));
-    if (call_.body) return WriteHead();
-    message_->body() = {request.body().data(), request.body().size()};
-    message_->prepare_payload();
+    if (!call_.body) {
+      message_->body() = {request.body().data(), request.body().size()};
+      message_->prepare_payload();
+    } else if (call_.body->length()) {
+      message_->content_length(call_.body->length());
+    } else {
+      message_->chunked(true);
+    }
     serializer_.emplace(*message_);
-    write_pending_ = true;
+  }
+
+  void Write() {
     http::async_write(socket_, *serializer_, [self = shared_from_this()](error_code error, std::size_t) {
       self->write_pending_ = false;
       if (self->ending_) return self->Finish(*self->ending_);
@@ -253,19 +271,11 @@
 
   // A request that passes through: its head, then its pieces as they come.
   void WriteHead() {
-    if (call_.body->length()) {
-      message_->content_length(call_.body->length());
-    } else {
-      message_->chunked(true);
-    }
-    serializer_.emplace(*message_);
     call_.body->on_data = [weak = weak_from_this()] {
       const auto self = weak.lock();
       if (self && !self->closed_ && self->call_.body && !self->write_pending_ && !self->whole_)
         self->WritePiece();
     };
-    write_pending_ = true;
-    ArmTimer(Now() + kSilentPeer);
     http::async_write_header(
         socket_, *serializer_,
         [self = shared_from_this()](error_code error, std::size_t) { self->PieceWritten(error, false); });
@@ -429,7 +439,8 @@
     const auto self = shared_from_this();
     owner_.exchanges_.erase(id_);
     if (keep) {
-      Rest(kSecondAnswer);
+      const TimePoint now = Now();
+      Rest(now, now + kSecondAnswer);
     } else {
       Close();
     }
@@ -444,14 +455,14 @@
     const auto on_end = std::exchange(call_.on_end, nullptr);
     owner_.exchanges_.erase(id_);
     const ExchangeResult result = Result(Outcome::kNotSent);
-    Rest(Duration::zero());
+    // The upstream counts its rest from its last answer, whatever was meant to be sent since.
+    Rest(idle_since_, idle_since_);
     on_end(result);
   }
 
-  // Carries nothing for `apart`.
-  void Rest(Duration apart) {
-    idle_since_ = Now();
-    usable_from_ = idle_since_ + apart;
+  void Rest(TimePoint since, TimePoint usable_from) {
+    idle_since_ = since;
+    usable_from_ = usable_from;
     Clear();
     Watch();
     owner_.Release(shared_from_this());
@@ -688,7 +699,10 @@
 void Upstreams::Release(const std::shared_ptr<Connection>& connection) {
   const auto pool = connection->pool();
   if (!pool || !MayOpen(*pool)) return connection->Close();
-  pool->idle.push_back(connection);
+  // The one that has been idle longest is first.
+  const auto longer = [](TimePoint since, const auto& other) { return since < other->idle_since(); };
+  const auto at = std::upper_bound(pool->idle.begin(), pool->idle.end(), connection->idle_since(), longer);
+  pool->idle.insert(at, connection);
 }
 
 void Upstreams::Forget(const Connection& connection) {
--- a/node/upstreams.h
+++ b/node/upstreams.h
@@ -56,7 +56,9 @@
     Duration timeout{};                       // from now; where the body passes through, from its last byte
     Duration max_idle{};                      // of the connection
     Duration begin_within = Duration::max();  // where nothing of it is written by then it ends as not sent
-    std::function<bool()> wanted;             // asked once more where its connection had to come up
+    // Asked right before its first byte is written, with nothing but the write behind it: where it says no,
+    // nothing is written and it ends as not sent.
+    std::function<bool()> wanted;
     OnStart on_start;
     OnEnd on_end;
   };
