--- a/node/body.h
+++ b/node/body.h
@@ -8,9 +8,12 @@
 #include <cstdint>
 #include <functional>
 #include <memory>
+#include <optional>
 #include <string>
 #include <utility>
 
+#include "clock.h"
+
 namespace mothrack {
 
 // One side puts pieces in while there is room, the other takes them out. Each hears of the other by its hook,
@@ -33,23 +36,37 @@
     held_.append(bytes, size);
     Tell(&BodyPipe::on_data);
   }
+  // When more of it was last known to be still to be sent; asked while it is not known to be sent whole.
+  std::function<TimePoint()> coming_at;
+  // Its last byte was sent at `at`, or soon after; the rest of it may still have to be read. The first call
+  // counts.
+  void Sent(TimePoint at) {
+    if (sent_at_) return;
+    sent_at_ = at;
+    Tell(&BodyPipe::on_sent);
+  }
   void Finish() {
     finished_ = true;
     Tell(&BodyPipe::on_data);
-    Tell(&BodyPipe::on_end);
   }
   // It will never be whole.
   void Break() {
     broken_ = !finished_;
     Tell(&BodyPipe::on_data);
-    Tell(&BodyPipe::on_end);
   }
   bool left() const { return left_; }
 
   // ---- Of the side that takes ----
 
-  Hook on_end;   // for whoever counts the time: no more will come
   Hook on_data;  // there is more, or the end of it
+  // For whoever counts the time: called when all of it has been sent, also where that was before.
+  void WhenSent(Hook hook) {
+    on_sent = std::move(hook);
+    if (sent_at_) Tell(&BodyPipe::on_sent);
+  }
+  std::optional<TimePoint> sent_at() const { return sent_at_; }
+  // The last byte was not sent before this time.
+  TimePoint LastByteNotBefore() const { return sent_at_ ? *sent_at_ : coming_at ? coming_at() : Now(); }
   std::string Take() {
     touched_ = touched_ || !held_.empty();
     Tell(&BodyPipe::on_room);
@@ -75,6 +92,8 @@
   }
 
   boost::asio::io_context& io_;
+  Hook on_sent;
+  std::optional<TimePoint> sent_at_;
   const std::size_t capacity_;
   const boost::optional<std::uint64_t> length_;
   std::string held_;
--- a/node/listener.cpp
+++ b/node/listener.cpp
@@ -321,13 +321,16 @@
   // With no room to read, its end is looked for behind what is unread.
   void LookAgain() {
     const bool asked = asking_ && !there_;  // the timer is the question's
-    if (asked || there_ || state_ != State::kServing) return;
+    const bool known = there_ && (!upload_ || upload_->sent_at());
+    if (asked || known || state_ != State::kServing) return;
     look_.expires_after(kLookAgain);
     look_.async_wait([self = shared_from_this()](error_code stopped) {
       if (stopped || self->closed_ || self->owner_ == nullptr) return;
       if (self->buffer_.size() < self->buffer_.max_size()) return;
-      const bool serving = self->state_ == State::kServing;
-      if (serving && !self->asking_ && self->Look() != Client::kConnected) return self->Ask();
+      if (self->state_ == State::kServing) {
+        self->LookForLastByte();
+        if (!self->asking_ && self->Look() != Client::kConnected) return self->Ask();
+      }
       self->LookAgain();
     });
   }
@@ -339,6 +342,7 @@
       if (lingered_ > kMostLinger) return Close();
     }
     Parse();
+    LookForLastByte();
     ActOnEnd();
     Read();
   }
@@ -397,6 +401,13 @@
   // Whoever sent all that means the rest as well: it passes through from here on.
   void BeginUpload() {
     upload_ = std::make_shared<BodyPipe>(owner_->io_, owner_->pipe_, parser_->content_length());
+    coming_at_ = last_byte_;
+    upload_->coming_at = [weak = weak_from_this()] {
+      const auto self = weak.lock();
+      if (!self || !self->upload_) return Now();
+      if (self->StillComes()) self->coming_at_ = Now();
+      return self->coming_at_;
+    };
     upload_->on_room = [weak = weak_from_this()] {
       const auto self = weak.lock();
       if (!self || self->closed_ || !self->upload_) return;
@@ -412,9 +423,28 @@
     body_.shrink_to_fit();
   }
 
+  // Is there more of the body to come than the system holds unread? Known where its length is.
+  bool StillComes() {
+    error_code error;
+    const std::size_t unparsed = buffer_.size() + socket_.available(error);
+    const auto left = parser_->content_length_remaining();
+    return left ? *left > unparsed : unparsed == 0;
+  }
+
+  // The client's time runs from the last byte it sent, also where that waits for room.
+  void LookForLastByte() {
+    if (!upload_ || upload_->sent_at()) return;
+    if (upload_->HasRoom() || StillComes()) {
+      coming_at_ = Now();
+    } else if (ended_ || parser_->content_length_remaining()) {
+      upload_->Sent(coming_at_);
+    }
+  }
+
   void EndUpload() {
     if (!upload_) return;
     upload_->on_room = nullptr;
+    upload_->coming_at = nullptr;
     std::exchange(upload_, nullptr)->Break();
   }
 
@@ -430,6 +460,8 @@
     if (fault) return Reject(http::status::bad_request, fault);
     if (upload_) {
       upload_->on_room = nullptr;
+      upload_->coming_at = nullptr;
+      upload_->Sent(Now());
       return std::exchange(upload_, nullptr)->Finish();
     }
     HttpRequest request;
@@ -640,6 +672,7 @@
   Body upload_;       // of one that passes through, until its last byte has come
   std::uint64_t arrived_ = 0;
   TimePoint last_byte_;
+  TimePoint coming_at_;  // when more of a body that passes through was last known to be still to be sent
   HttpResponse response_;
   Body answer_;  // that passes through
   std::optional<http::response_serializer<http::string_body>> head_;
--- a/node/sidecar.cpp
+++ b/node/sidecar.cpp
@@ -356,13 +356,13 @@
   pending.wire_id = key;
   pending.message = std::make_shared<const HttpRequest>(std::move(request));
   pending.deadline = event.deadline;
+  pending.timeout = event.deadline - now;
   pending.reply = std::move(reply);
   pending.look = std::move(look);
   const RequestId id = event.request;
   if (body) {
     pending.deadline = TimePoint::max();
-    body->on_end = [this, id, timeout = event.deadline - now] { BodyEnded(id, timeout); };
-    if (body->finished()) body->Finish();  // it came whole before anybody listened
+    body->WhenSent([this, id] { BodySent(id); });
     pending.body = std::move(body);
   }
   requests_.emplace(id, std::move(pending));
@@ -370,11 +370,20 @@
   return [this, id] { Gone(id); };
 }
 
-void Sidecar::BodyEnded(RequestId id, Duration timeout) {
+void Sidecar::BodySent(RequestId id) {
   const auto it = requests_.find(id);
-  if (it == requests_.end() || !it->second.reply || !it->second.body->finished()) return;
-  it->second.deadline = Now() + timeout;
-  Deliver(kestrellb::RequestWhole{id, it->second.deadline});
+  if (it == requests_.end() || !it->second.reply) return;
+  Pending& pending = it->second;
+  pending.deadline = *pending.body->sent_at() + pending.timeout;
+  Deliver(kestrellb::RequestWhole{id, pending.deadline});
+}
+
+Duration Sidecar::LeftToClient(RequestId id, TimePoint now) const {
+  const auto it = requests_.find(id);
+  if (it == requests_.end()) return Duration::zero();
+  const Pending& pending = it->second;
+  if (pending.deadline != TimePoint::max()) return pending.deadline - now;
+  return pending.body->LastByteNotBefore() + pending.timeout - now;
 }
 
 void Sidecar::Started(RequestId id, AttemptId attempt, HttpResponse head, Body body) {
@@ -503,6 +512,8 @@
   call.max_idle = action.max_idle;
   if (action.begin_within != Duration::max()) call.begin_within = action.begin_within - spent;
   call.wanted = [this, id] { return LookAtClient(id) == Listener::Client::kConnected; };
+  call.left = [this, id](TimePoint now) { return LeftToClient(id, now); };
+  call.patience = pending.timeout;
   call.on_start = [this, id, attempt](HttpResponse head, Body body) {
     Started(id, attempt, std::move(head), std::move(body));
   };
--- a/node/sidecar.h
+++ b/node/sidecar.h
@@ -48,8 +48,9 @@
   struct Pending {
     std::string wire_id;
     std::shared_ptr<const HttpRequest> message;
-    Body body;  // of a request that passes through
-    TimePoint deadline;
+    Body body;              // of a request that passes through
+    TimePoint deadline;     // not known while its body still comes
+    Duration timeout{};     // how long its client waits from its last byte on
     Listener::Reply reply;  // empty once the request has its answer or its client is gone
     Listener::Look look;
     std::vector<Upstreams::ExchangeId> attempts;
@@ -61,8 +62,10 @@
   void Pump();
   void Apply(MembershipList list);
   Listener::OnGone Take(HttpRequest request, Body body, Listener::Reply reply, Listener::Look look);
-  // The last byte of a request that passes through has come, or it never will.
-  void BodyEnded(kestrellb::RequestId id, Duration timeout);
+  // The last byte of a request that passes through has been sent.
+  void BodySent(kestrellb::RequestId id);
+  // What its client will still wait, at least.
+  Duration LeftToClient(kestrellb::RequestId id, TimePoint now) const;
   // Sends an attempt that was decided on at `decided`, unless its client has gone by now.
   void Launch(const kestrellb::SendAttempt& action, kestrellb::AttemptId attempt, TimePoint decided);
   void LaunchLater(const kestrellb::SendAttempt& action, kestrellb::AttemptId attempt, TimePoint decided);
--- a/node/upstreams.cpp
+++ b/node/upstreams.cpp
@@ -226,7 +226,7 @@
   void BeginRequest() {
     if (!wanted_) return Spare();
     phase_ = Phase::kWriting;
-    ArmTimer(call_.body ? Now() + kSilentPeer : gives_up_);
+    ArmTimer(call_.body ? TakenBy() : gives_up_);
     const TimePoint now = Now();
     Compose(now);
     if (now >= begin_by_ || (call_.wanted && !call_.wanted())) return Spare();
@@ -245,7 +245,7 @@
     message_->base() = request.base();
     message_->version(11);
     // The peer learns how long it will be waited for from now on, which is what is left after connecting.
-    const Duration wait = call_.body ? call_.timeout : Duration(gives_up_ - now);
+    const Duration wait = Bounded(call_.body ? call_.timeout : Duration(gives_up_ - now), now);
     const auto left = std::chrono::duration_cast<milliseconds>(wait).count();
     message_->set("X-Timeout-Ms", std::to_string(std::max<std::int64_t>(left, 1)));
     if (!call_.body) {
@@ -269,6 +269,14 @@
     });
   }
 
+  // No more than what is left to the client.
+  Duration Bounded(Duration wait, TimePoint now) const {
+    return call_.left ? std::min(wait, call_.left(now)) : wait;
+  }
+
+  // Until a piece of a body has to be taken.
+  TimePoint TakenBy() const { return Now() + std::min(kSilentPeer, call_.patience); }
+
   // A request that passes through: its head, then its pieces as they come.
   void WriteHead() {
     call_.body->on_data = [weak = weak_from_this()] {
@@ -292,7 +300,7 @@
       self->PieceWritten(error, last);
     };
     write_pending_ = true;
-    ArmTimer(Now() + kSilentPeer);
+    ArmTimer(TakenBy());
     if (outgoing_.empty()) return boost::asio::async_write(socket_, http::make_chunk_last(), written);
     const auto bytes = boost::asio::buffer(outgoing_);
     if (chunked) return boost::asio::async_write(socket_, http::make_chunk(bytes), written);
@@ -314,7 +322,7 @@
     whole_ = true;
     phase_ = Phase::kWaiting;
     sent_ = Now();
-    gives_up_ = sent_ + call_.timeout;
+    gives_up_ = sent_ + Bounded(call_.timeout, sent_);
     ArmTimer(gives_up_);
   }
 
@@ -627,7 +635,8 @@
     on_end(std::move(result));
   };
   Send(id, uid,
-       {request, nullptr, connect_timeout_, max_idle, Duration::max(), nullptr, nullptr, std::move(ended)});
+       {request, nullptr, connect_timeout_, max_idle, Duration::max(), nullptr, nullptr, Duration::max(),
+        nullptr, std::move(ended)});
 }
 
 void Upstreams::Cancel(ExchangeId id) {
--- a/node/upstreams.h
+++ b/node/upstreams.h
@@ -59,6 +59,10 @@
     // Asked right before its first byte is written, with nothing but the write behind it: where it says no,
     // nothing is written and it ends as not sent.
     std::function<bool()> wanted;
+    // What the client will still wait, at a time: the upstream is told no more, and waited for no longer.
+    // Null: no client waits.
+    std::function<Duration(TimePoint)> left;
+    Duration patience = Duration::max();  // an upstream that takes nothing of a body for so long has failed
     OnStart on_start;
     OnEnd on_end;
   };
--- a/tests/client_time_test.cpp
+++ b/tests/client_time_test.cpp
@@ -33,6 +33,97 @@
   return settings;
 }
 
+int MillisecondsSince(steady_clock::time_point then) {
+  return static_cast<int>(std::chrono::duration_cast<milliseconds>(steady_clock::now() - then).count());
+}
+
+int Told(const Request& request) { return std::stoi(std::string(request["X-Timeout-Ms"])); }
+
+// ---- The time that an upstream is told ----
+
+// The connection comes up late; the client's time runs from the last byte it sent. Bodies that are held, that
+// pass through, with and without a length, all read by then or in part still in the system's buffer.
+TEST(ToldTime, IsWhatIsLeftWhenAConnectionHasComeUp) {
+  constexpr int kTimeout = 15000;
+  const auto chunked = [](std::size_t size) {
+    return "POST /submit/k HTTP/1.1\r\nHost: x\r\nX-Request-ID: a1\r\nX-Timeout-Ms: 15000\r\n"
+           "Transfer-Encoding: chunked\r\n\r\n11170\r\n" +
+           std::string(70000, 'x') + "\r\n" +
+           std::string(size > 70000 ? "7530\r\n" + std::string(30000, 'x') + "\r\n" : "") + "0\r\n\r\n";
+  };
+  const auto post = [](std::size_t size) {
+    return PostText("/submit/k", "a1", std::string(size, 'x'), kTimeout);
+  };
+  for (const std::string& text : {post(10), post(80000), post(120000), chunked(70000), chunked(100000)}) {
+    BlackHole late;
+    Node node(With(List({Target("u1", late.address())}), PatientSettings()));
+    ASSERT_TRUE(node.Listening());
+    Client client(node.port());
+    ASSERT_TRUE(client.Send(text));
+    const auto sent = steady_clock::now();
+    std::this_thread::sleep_for(milliseconds(400));
+    const int passed = MillisecondsSince(sent);
+    const auto wire = late.Accept();
+    const auto request = wire->ReadRequest();
+    ASSERT_TRUE(request);
+    EXPECT_LE(Told(*request), kTimeout - passed) << text.size();
+    EXPECT_GT(Told(*request), 1000) << text.size();
+    wire->Answer(200, "x");
+    ASSERT_TRUE(client.Read());
+  }
+}
+
+// The first attempt's connection does not come up in time.
+TEST(ToldTime, IsWhatIsLeftToASecondAttempt) {
+  constexpr int kConnect = 400, kTimeout = 15000;
+  json settings = PatientSettings();
+  settings["Limits"]["ConnectTimeout"] = 1000 * kConnect;
+  for (const std::size_t size : {10U, 80000U, 120000U}) {
+    BlackHole never;
+    Upstream upstream([](Wire& wire, const Request&, int) { wire.Answer(200, "x"); });
+    Discovery discovery(List({Target("u1", never.address())}));
+    Node::Options options = With(List({Target("u1", never.address())}), settings);
+    options.discovery = discovery.address();
+    Node node(options);
+    ASSERT_TRUE(node.Listening());
+    Client client(node.port());
+    ASSERT_TRUE(client.Send(PostText("/submit/k", "a1", std::string(size, 'x'), kTimeout)));
+    discovery.Tell(List({Target("u1", never.address()), Target("u2", upstream.address())}));
+    const auto answer = client.Read();
+    ASSERT_TRUE(answer);
+    ASSERT_EQ(answer->result_int(), 200U);
+    EXPECT_LE(Told(upstream.requests().at(0)), kTimeout - kConnect) << size;
+  }
+}
+
+// A body waits for room at an upstream that takes nothing: the client's time runs all the same, and its
+// answer comes long before the connection would be given up.
+TEST(ToldTime, OfABodyThatNobodyTakesRunsOut) {
+  BlackHole never;
+  Peer deaf([](Wire& wire, int) { wire.ReadsEnd(); }, true);
+  Gate over;
+  Peer hung([&](Wire&, int) { over.Pass(); }, true);
+  struct Case {
+    std::string address;
+    std::size_t size;
+  };
+  for (const Case& one : {Case{never.address(), 80000}, Case{never.address(), 95000},
+                          Case{never.address(), 120000}, Case{hung.address(), 30000000}}) {
+    Node node(With(List({Target("u1", one.address)}), PatientSettings()));
+    ASSERT_TRUE(node.Listening());
+    Client client(node.port());
+    const auto begun = steady_clock::now();
+    std::thread sending([&] { client.Send(PostText("/submit/k", "a1", std::string(one.size, 'x'), 500)); });
+    const auto answer = client.Read();
+    EXPECT_LT(MillisecondsSince(begun), 7000) << one.size << " of " << one.address;
+    ASSERT_TRUE(answer) << one.size;
+    EXPECT_GE(answer->result_int(), 500U);
+    client.wire.Reset();
+    sending.join();
+  }
+  over.Open();
+}
+
 // ---- Attempts for a client that has gone ----
 
 // Its news are never remembered: it leaves in the very moment after it was found there.
@@ -82,6 +173,7 @@
     call.request = request;
     call.timeout = call.max_idle = std::chrono::seconds(15);
     call.wanted = [&, here] { return steps += "look ", here; };
+    call.left = [&](TimePoint) { return steps += "clock ", std::chrono::seconds(15); };
     call.on_end = [&](ExchangeResult result) { ended = std::move(result); };
     upstreams.Send(Upstreams::ExchangeId{++exchange}, "u1", std::move(call));
     while (!ended) io.run_one();
@@ -98,7 +190,7 @@
   pause();
   EXPECT_EQ(send(false), kestrellb::Outcome::kNotSent) << "idle";
   EXPECT_EQ(send(true), kestrellb::Outcome::kServed);
-  EXPECT_EQ(steps, "look look look look ");
+  EXPECT_EQ(steps, "clock look clock look clock look clock look ");
   EXPECT_EQ(upstream.requests().size(), 2U);
   EXPECT_EQ(upstream.connections(), 1);
 }
