--- a/node/listener.cpp
+++ b/node/listener.cpp
@@ -1,6 +1,8 @@
 #include "listener.h"
 
+#include <linux/sockios.h>
 #include <poll.h>
+#include <sys/ioctl.h>
 #include <sys/socket.h>
 
 #include <boost/asio/post.hpp>
@@ -58,6 +60,9 @@
 constexpr Duration kAcceptWhileDraining = milliseconds(800);
 // A connection opened in that time is about to carry a request.
 constexpr Duration kFreshConnection = milliseconds(300);
+// So long after clients began to be sent away the requests that one has sent ahead are served; then the next
+// answer ends its connection. Who sends ahead without end must not keep it open.
+constexpr Duration kServeAhead = seconds(1);
 constexpr Duration kAcceptPause = milliseconds(20);
 // A client that has ended its sending has closed, or it still waits for its answer, as HTTP allows. It is
 // sent an interim answer: one that has closed answers anything with a reset, well within this time.
@@ -67,6 +72,9 @@
 constexpr Duration kResetWithin = milliseconds(5);
 // One found to be there is asked again ahead of an attempt that begins later than this.
 constexpr Duration kStillThere = milliseconds(20);
+// To one whose connection is closed for want of room.
+constexpr boost::beast::string_view kNoRoom =
+    "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
 // Where there is no room to read, the end of a client and of its request is looked for so often.
 constexpr Duration kLookAgain = milliseconds(50);
 
@@ -110,8 +118,10 @@
     Close();
   }
 
-  // Ends an idle one. Not by a close alone: over a request that comes in that moment it would be a reset.
+  // Ends an idle one. Not by a close alone: over a request that comes in that moment it would be a reset. One
+  // that has carried none is answered: its client need not know that a request may cross its end.
   void End() {
+    if (unused_) return Reject(http::status::service_unavailable, "draining");
     close_after_ = true;
     Linger();
     Read();
@@ -149,11 +159,24 @@
     return socket_.available(error) > 0 && !error;
   }
 
+  // Closes it for want of room. Whoever has begun a request, or is about to send its first, is told that
+  // nothing was done, as far as the system takes it at once; an idle one asks on another connection.
+  void Evict() {
+    if (Reading() && (started_ || unused_)) WriteNow(kNoRoom);
+    Close();
+  }
+
+  // Some of its answer has not reached the client's system: a close could take it along.
+  bool HasUnsent() {
+    int size = 0;
+    return ::ioctl(socket_.native_handle(), SIOCOUTQ, &size) == 0 && size > 0;
+  }
+
   // Which goes first when descriptors run out, the lowest number first; nothing where it must stay. Usual
   // clients' connections outlast those of clients that say nothing.
-  std::optional<int> Spare(TimePoint now) const {
+  std::optional<int> Spare(TimePoint now) {
     const Duration age = now - since_;
-    if (state_ == State::kLingering) return 0;
+    if (state_ == State::kLingering && !HasUnsent()) return 0;
     if (state_ != State::kReading) return std::nullopt;
     // A kept connection is closed at no cost: its client asks on another. One that has not asked yet is about
     // to.
@@ -167,19 +190,27 @@
     if (closed_) return;
     const Duration age = now - since_;
     if (upload_ || (state_ == State::kReading && started_)) {
-      if (Stalled(now) && (upload_ || !HasUnread()))
-        Reject(http::status::request_timeout, "request did not come in time");
+      if (Stalled(now) && !HasUnread()) Reject(http::status::request_timeout, "request did not come in time");
     } else if (state_ == State::kReading) {
-      if (unused_ && age > kStalled && !HasUnread()) Close();
+      // Answered, not only closed: a first request that crosses this has its answer.
+      if (unused_ && age > kStalled && !HasUnread())
+        Reject(http::status::request_timeout, "no request came in time");
     } else if (state_ == State::kLingering) {
       if (age > linger_) Close();
     } else if (state_ == State::kWriting && answer_) {
-      if (writing_ && age > kStuckReader) Close();
+      if (writing_ && age > kStuckReader) Reset();
     } else if (state_ == State::kWriting) {
       if (Seconds(age - kStalled) > static_cast<double>(response_.body().size()) / kLeastRate) Close();
     }
   }
 
+  // For a while what was sent ahead is still served when clients are sent away, and all of it to one that has
+  // ended its sending: it can send no more.
+  bool ServesAhead() {
+    if (buffer_.size() == 0 && !HasUnread()) return false;
+    return ended_ || there_ || Now() - owner_->leaving_since_ < kServeAhead;
+  }
+
   bool Fresh(TimePoint now) const { return unused_ && now - since_ < kFreshConnection; }
 
  private:
@@ -190,7 +221,7 @@
   // Is a request that has begun to come overdue? Nobody is to blame for bytes there is no room for.
   bool Stalled(TimePoint now) const {
     const Duration age = now - since_;
-    if (age <= kStalled || (upload_ && !upload_->HasRoom())) return false;
+    if (age <= kStalled || (upload_ && (held_up_ || !upload_->HasRoom()))) return false;
     return arrived_ == 0 || now - last_byte_ > kSilentBody ||
            static_cast<double>(arrived_) < Seconds(age - kStalled) * kLeastRate;
   }
@@ -206,6 +237,7 @@
     head_checked_ = false;
     scanned_ = 0;
     skipped_ = false;
+    held_up_ = false;
     since_ = Now();
     if (buffer_.size() == 0) buffer_.shrink_to_fit();  // most connections are idle most of the time
   }
@@ -349,18 +381,20 @@
 
   void Parse() {
     while ((state_ == State::kReading || upload_) && buffer_.size() > 0) {
-      if (!std::exchange(started_, true) && !std::exchange(unused_, false)) since_ = Now();
-      if (upload_ && !upload_->HasRoom()) return;
+      if (upload_ && !upload_->HasRoom()) {
+        held_up_ = true;
+        return;
+      }
       if (!parser_->is_header_done()) {
         if (const auto empty = scanned_ == 0 && !skipped_ ? EmptyLine(Unparsed()) : 0; empty > 0) {
           if (empty == 1 && buffer_.size() == 1) return;  // the rest of it is still to come
           skipped_ = empty == 2;
           if (skipped_) {
             buffer_.consume(empty);
-            started_ = buffer_.size() > 0;  // on its own it is no request: the connection is still idle
-            continue;
+            continue;  // on its own it is no request: the connection is still idle
           }
         }
+        if (!std::exchange(started_, true) && !std::exchange(unused_, false)) since_ = Now();
         const Head head = LookAtHead(Unparsed(), scanned_);
         if (head == Head::kPartial) return;
         if (head == Head::kBad) return Reject(http::status::bad_request, "bad request head");
@@ -411,8 +445,10 @@
     upload_->on_room = [weak = weak_from_this()] {
       const auto self = weak.lock();
       if (!self || self->closed_ || !self->upload_) return;
-      self->since_ = self->last_byte_ = Now();
-      self->arrived_ = 1;
+      if (std::exchange(self->held_up_, false)) {
+        self->since_ = self->last_byte_ = Now();
+        self->arrived_ = 1;
+      }
       self->Progress();
     };
     upload_->Put(body_.data(), body_.size());
@@ -536,7 +572,8 @@
     if (upload_) close_after_ = true, linger_ = kLongLinger;
     EndUpload();
     // The one who finds a request unfit asks for the close by the answer.
-    if (!response.keep_alive() || (owner_ != nullptr && owner_->Leaving())) close_after_ = true;
+    if (!response.keep_alive()) close_after_ = true;
+    if (owner_ != nullptr && owner_->Leaving() && !ServesAhead()) close_after_ = true;
     if (ended_ && buffer_.size() == 0) close_after_ = true;
     response_ = std::move(response);
     response_.version(version_);
@@ -687,9 +724,10 @@
   TimePoint since_;  // of the state, or of a request's first byte
   unsigned version_ = 11;
   bool started_ = false;  // some of a request has come
-  bool unused_ = true;    // nothing has ever come
+  bool unused_ = true;    // no request has ever begun
   bool head_checked_ = false;
   bool skipped_ = false;      // an empty line ahead of it
+  bool held_up_ = false;      // what came of a body that passes through waits for room
   std::size_t scanned_ = 0;   // of a head that is still to come whole
   std::size_t lingered_ = 0;  // bytes read since the last answer
   bool close_after_ = false;
@@ -803,13 +841,14 @@
       busy.insert(best.get());
       continue;
     }
-    best->Close();
+    best->Evict();
     return true;
   }
 }
 
 void Listener::SendAway(bool away) {
   if (std::exchange(away_, away) == away) return;
+  leaving_since_ = Now();
   sweep_.cancel();
   Sweep();
   ScheduleSweep();
@@ -821,7 +860,7 @@
   handed_over_ = handed_over;
   error_code ignored;
   if (handed_over) acceptor_.close(ignored);  // its queue stays open there
-  drain_started_ = Now();
+  leaving_since_ = drain_started_ = Now();
   sweep_.cancel();
   Sweep();
   ScheduleSweep();
--- a/node/listener.h
+++ b/node/listener.h
@@ -79,6 +79,7 @@
   bool away_ = false;
   std::function<void()> drained_;  // set while draining
   TimePoint drain_started_;
+  TimePoint leaving_since_;  // clients are sent away, for whatever reason
 };
 
 }  // namespace mothrack
--- a/tests/client_connection_test.cpp
+++ b/tests/client_connection_test.cpp
@@ -205,5 +205,149 @@
   }
 }
 
+// ---- Every request that was read gets an answer ----
+
+unsigned Status(Client& client) {
+  const auto answer = FinalAnswer(client);
+  return answer ? answer->result_int() : 0;
+}
+
+// Whoever stops before its first request is whole and stays is told, within 3 s of the start.
+TEST(Closing, ClientsThatStopAndStayGetTheirError) {
+  Node node(With(json::array()));
+  ASSERT_TRUE(node.Listening());
+  const std::string upload = PostText("/submit/k", "a1", std::string(100000, 'x'), 15000);
+  for (const std::string& begin : std::vector<std::string>{"", "\r\n", "\r", "GET /page/k HTTP/1.1\r\nX-"}) {
+    Client client(node.port());
+    ASSERT_TRUE(client.Send(begin));
+    EXPECT_EQ(Status(client), 408U) << begin;
+  }
+}
+
+// A body over what is held that comes a byte at a time has its time, too, though its upstream takes it all.
+TEST(Closing, ALargeBodyThatTricklesGetsItsError) {
+  Peer upstream([](Wire& wire, int) { wire.ReadsEnd(); });
+  Node node(With(List({Target("u1", upstream.address())})));
+  ASSERT_TRUE(node.Listening());
+  Client client(node.port());
+  ASSERT_TRUE(client.Send(PostText("/submit/k", "a1", std::string(100000, 'x'), 15000).substr(0, 80000)));
+  std::atomic<bool> over{false};
+  std::thread trickling([&] {
+    for (int i = 0; i < 75 && !over && client.Send("x"); ++i) std::this_thread::sleep_for(milliseconds(200));
+    over = true;  // far longer than it is owed
+  });
+  const unsigned status = Status(client);
+  EXPECT_FALSE(over);
+  over = true;
+  trickling.join();
+  EXPECT_EQ(status, 408U);
+}
+
+// For want of descriptors the connections of clients that have not sent their whole request are closed: each
+// is told so. Those whose request is whole, be it read or not, are served.
+TEST(Closing, EvictedClientsAreToldThatNothingWasDone) {
+  Upstream upstream(Upstream::Echo("u"));
+  Node::Options options = With(List({Target("u1", upstream.address())}));
+  options.sockets = 64;
+  Node node(options);
+  ASSERT_TRUE(node.Listening());
+  const int idle = node.descriptors();
+  std::vector<std::unique_ptr<Client>> clients;
+  for (int i = 0; i < 24; ++i) {
+    clients.push_back(std::make_unique<Client>(node.port()));
+    ASSERT_TRUE(clients.back()->Send(GetText("/page/k", "p" + std::to_string(i)).substr(0, 20)));
+  }
+  ASSERT_TRUE(Eventually([&] { return node.descriptors() >= idle + 24; }));
+  std::vector<std::unique_ptr<Client>> more;
+  for (int i = 0; i < 5; ++i) {
+    more.push_back(std::make_unique<Client>(node.port()));
+    const auto answer = more.back()->Get("/page/k", "q" + std::to_string(i));
+    ASSERT_TRUE(answer);
+    EXPECT_EQ(answer->result_int(), 200U);
+  }
+  int told = 0;
+  for (const auto& client : clients) {
+    const unsigned status = Status(*client);
+    EXPECT_TRUE(status == 503U || status == 408U) << status;
+    told += status == 503U;
+  }
+  EXPECT_GT(told, 0);
+}
+
+// ---- A planned stop ----
+
+// Requests that were sent ahead are served, whether their client can send more or not.
+TEST(PlannedStop, ServesTheRequestsThatWereSentAhead) {
+  for (const bool ends : {false, true}) {
+    Gate asked, go;
+    Upstream upstream([&](Wire& wire, const Request& request, int number) {
+      if (number == 0) {
+        asked.Open();
+        go.Pass();
+      }
+      wire.Answer(200, std::string(request.target()));
+    });
+    Node node(With(List({Target("u1", upstream.address())})));
+    ASSERT_TRUE(node.Listening());
+    Client resting(node.port());
+    ASSERT_TRUE(resting.Send("GET /up HTTP/1.1\r\nHost: x\r\n\r\n"));
+    ASSERT_TRUE(resting.Read());
+    Client client(node.port());
+    std::string ahead;
+    for (int i = 0; i < 3; ++i)
+      ahead += GetText("/page/" + std::to_string(i), "a" + std::to_string(i), 15000);
+    ASSERT_TRUE(client.Send(ahead));
+    if (ends) EndSending(client);
+    asked.Pass();
+    node.Signal(SIGTERM);
+    EXPECT_TRUE(resting.wire.ReadsEnd());  // it has begun
+    go.Open();
+    for (int i = 0; i < 3; ++i) {
+      const auto answer = FinalAnswer(client);
+      ASSERT_TRUE(answer) << i << (ends ? " of one that ended its sending" : "");
+      EXPECT_EQ(answer->body(), "/page/" + std::to_string(i));
+      EXPECT_EQ(answer->keep_alive(), i < 2);
+    }
+    EXPECT_TRUE(client.wire.ReadsEnd());
+    EXPECT_EQ(node.Wait(), 0);
+  }
+}
+
+// Whoever goes on sending ahead does not keep its connection, nor the process.
+TEST(PlannedStop, EndsThoughAClientSendsAheadWithoutEnd) {
+  Upstream upstream(Upstream::Echo("u"));
+  Node node(With(List({Target("u1", upstream.address())})));
+  ASSERT_TRUE(node.Listening());
+  Client client(node.port());
+  std::atomic<bool> ended{false};
+  std::thread sending([&] {
+    for (int i = 0; !ended && client.Send(GetText("/page/k", "a" + std::to_string(i))); ++i) {
+    }
+  });
+  ASSERT_TRUE(client.Read());
+  node.Signal(SIGTERM);
+  while (client.Read()) {
+  }
+  EXPECT_EQ(node.Wait(), 0);
+  ended = true;
+  sending.join();
+}
+
+// The first request of a connection may cross its end: it finds an answer there.
+TEST(PlannedStop, AnswersAConnectionThatHasCarriedNothing) {
+  Upstream upstream(Upstream::Echo("u"));
+  Node node(With(List({Target("u1", upstream.address())})));
+  ASSERT_TRUE(node.Listening());
+  Client resting(node.port());
+  Client held(node.port());
+  ASSERT_TRUE(held.Get("/page/k", "a1"));  // the one before it was accepted
+  node.Signal(SIGTERM);
+  EXPECT_EQ(Status(resting), 503U);
+  ASSERT_TRUE(resting.Send(PostText("/submit/crossing", "c1", "x")));
+  EXPECT_FALSE(resting.Read());
+  EXPECT_EQ(node.Wait(), 0);
+  EXPECT_EQ(upstream.requests().size(), 1U);
+}
+
 }  // namespace
 }  // namespace mothrack::testing
