--- a/node/listener.cpp
+++ b/node/listener.cpp
@@ -1,8 +1,11 @@
 #include "listener.h"
 
+#include <linux/sockios.h>
 #include <poll.h>
+#include <sys/ioctl.h>
 #include <sys/socket.h>
 
+#include <boost/asio/post.hpp>
 #include <boost/asio/socket_base.hpp>
 #include <boost/asio/write.hpp>
 #include <boost/beast/core/flat_buffer.hpp>
@@ -59,13 +62,22 @@
 constexpr Duration kEmptyBacklogWithin = milliseconds(500);
 // A connection opened in that time is about to carry a request.
 constexpr Duration kFreshConnection = milliseconds(300);
+// So long after clients began to be sent away the requests that one has sent ahead are served; then the next
+// answer ends its connection. Who sends ahead without end must not keep it open.
+constexpr Duration kServeAhead = seconds(1);
 // A client that has ended its sending has closed, or it still waits for its answer, as HTTP allows. It is
 // sent an interim answer: one that has closed answers anything with a reset, well within this time.
-constexpr char kAreYouThere[] = "HTTP/1.1 102 Processing\r\n\r\n";
+constexpr boost::beast::string_view kAreYouThere = "HTTP/1.1 102 Processing\r\n\r\n";
+// HTTP/1.0 knows no interim answers. But any answer to it begins like this, so a byte of it can go ahead.
+constexpr boost::beast::string_view kAnswerBegins = "HTTP/1.0 ";
 constexpr Duration kResetWithin = milliseconds(5);
-// For so long no news of a client is good news. Nothing is to begin 0.1 s after it has gone, also where this
-// process is short of time and what came from the client is unread.
-constexpr Duration kNoNews = milliseconds(50);
+// One found to be there is asked again ahead of an attempt that begins later than this.
+constexpr Duration kStillThere = milliseconds(20);
+// To one whose connection is closed for want of room.
+constexpr boost::beast::string_view kNoRoom =
+    "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
+// Where there is no room to read, the end of a client and of its request is looked for so often.
+constexpr Duration kLookAgain = milliseconds(50);
 
 }  // namespace
 
@@ -107,20 +119,31 @@
     Close();
   }
 
-  // Ends an idle one. Not by a close alone: over a request that comes in that moment it would be a reset.
+  // Ends an idle one. Not by a close alone: over a request that comes in that moment it would be a reset. One
+  // that has carried none is answered: its client need not know that a request may cross its end.
   void End() {
+    if (unused_) return Reject(http::status::service_unavailable, "draining");
     close_after_ = true;
     Linger();
     Read();
   }
 
-  bool Here() {
-    if (closed_ || there_) return !closed_;
-    const TimePoint now = Now();
-    if (now - looked_ < kNoNews) return true;
-    if (ended_ || LooksEnded()) return false;
-    looked_ = now;
-    return true;
+  // As the system has it now, also where bytes ahead of its end are unread. Nothing that was found earlier
+  // counts: the process may have been held up since.
+  Client Look() {
+    if (closed_) return Client::kGone;
+    if (there_ && CanAsk() && Now() - found_at_ > kStillThere) AskAnew();
+    if (!there_ && !asking_ && !ended_) {
+      char byte = 0;
+      ssize_t size = 0;
+      do {
+        size = ::recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+      } while (size < 0 && errno == EINTR);
+      if (size < 0) return errno == EAGAIN || errno == EWOULDBLOCK ? Client::kConnected : Client::kGone;
+      if (size > 0 && (Happened(POLLRDHUP) & (POLLRDHUP | POLLERR | POLLHUP)) == 0) return Client::kConnected;
+    }
+    if (IsOver()) return Client::kGone;
+    return there_ ? Client::kConnected : Client::kUnknown;
   }
 
   TimePoint since() const { return since_; }
@@ -137,11 +160,24 @@
     return socket_.available(error) > 0 && !error;
   }
 
+  // Closes it for want of room. Whoever has begun a request, or is about to send its first, is told that
+  // nothing was done, as far as the system takes it at once; an idle one asks on another connection.
+  void Evict() {
+    if (Reading() && (started_ || unused_)) WriteNow(kNoRoom);
+    Close();
+  }
+
+  // Some of its answer has not reached the client's system: a close could take it along.
+  bool HasUnsent() {
+    int size = 0;
+    return ::ioctl(socket_.native_handle(), SIOCOUTQ, &size) == 0 && size > 0;
+  }
+
   // Which goes first when descriptors run out, the lowest number first; nothing where it must stay. Usual
   // clients' connections outlast those of clients that say nothing.
-  std::optional<int> Spare(TimePoint now) const {
+  std::optional<int> Spare(TimePoint now) {
     const Duration age = now - since_;
-    if (state_ == State::kLingering) return 0;
+    if (state_ == State::kLingering && !HasUnsent()) return 0;
     if (state_ != State::kReading) return std::nullopt;
     // A kept connection is closed at no cost: its client asks on another. One that has not asked yet is about
     // to.
@@ -155,19 +191,28 @@
     if (closed_) return;
     const Duration age = now - since_;
     if (upload_ || (state_ == State::kReading && started_)) {
-      if (Stalled(now) && (upload_ || !HasUnread()))
-        Reject(http::status::request_timeout, "request did not come in time");
+      if (Stalled(now) && !HasUnread()) Reject(http::status::request_timeout, "request did not come in time");
     } else if (state_ == State::kReading) {
-      if (unused_ && age > kStalled && !HasUnread()) Close();
+      // Answered, not only closed: a first request that crosses this has its answer.
+      if (unused_ && age > kStalled && !HasUnread())
+        Reject(http::status::request_timeout, "no request came in time");
     } else if (state_ == State::kLingering) {
       if (age > linger_) Close();
     } else if (state_ == State::kWriting && answer_) {
-      if (writing_ && age > kStuckReader) Close();
+      if (writing_ && age > kStuckReader) Reset();
     } else if (state_ == State::kWriting) {
       if (Seconds(age - kStalled) > static_cast<double>(response_.body().size()) / kLeastRate) Close();
     }
   }
 
+  // For a while what was sent ahead is still served when clients are sent away, and all of it to one that has
+  // ended its sending: it can send no more.
+  bool ServesAhead() {
+    if (buffer_.size() == 0 && !HasUnread()) return false;
+    const TimePoint now = Now();
+    return ended_ || there_ || (now - owner_->leaving_since_ < kServeAhead && now < owner_->stop_by_);
+  }
+
   bool Fresh(TimePoint now) const { return unused_ && now - since_ < kFreshConnection; }
 
  private:
@@ -178,7 +223,7 @@
   // Is a request that has begun to come overdue? Nobody is to blame for bytes there is no room for.
   bool Stalled(TimePoint now) const {
     const Duration age = now - since_;
-    if (age <= kStalled || (upload_ && !upload_->HasRoom())) return false;
+    if (age <= kStalled || (upload_ && (held_up_ || !upload_->HasRoom()))) return false;
     return arrived_ == 0 || now - last_byte_ > kSilentBody ||
            static_cast<double>(arrived_) < Seconds(age - kStalled) * kLeastRate;
   }
@@ -194,6 +239,7 @@
     head_checked_ = false;
     scanned_ = 0;
     skipped_ = false;
+    held_up_ = false;
     since_ = Now();
     if (buffer_.size() == 0) buffer_.shrink_to_fit();  // most connections are idle most of the time
   }
@@ -215,34 +261,62 @@
     const std::size_t room = std::min(buffer_.max_size() - buffer_.size(), kReadSize);
     error_code error;
     const std::size_t size = socket_.read_some(buffer_.prepare(room), error);
-    if (error == boost::asio::error::would_block || error == boost::asio::error::try_again) return Read();
+    if (error == boost::asio::error::would_block || error == boost::asio::error::try_again ||
+        error == boost::asio::error::interrupted)
+      return Read();
     if (error == boost::asio::error::eof) return Ended();
     if (error) return Close();
     buffer_.commit(size);
     Progress();
   }
 
-  // No more will come: there is an answer to wait for, or nothing. While one is written that tells the rest.
+  // No more will come.
   void Ended() {
     ended_ = true;
-    if (state_ == State::kWriting) return;
-    if (state_ != State::kServing || upload_) return Close();
+    ActOnEnd();
+  }
+
+  // What was read ahead of the end of sending is parsed and passed on first. Then there is an answer to wait
+  // for, or nothing. While an answer is written, its write tells whether the client is there.
+  void ActOnEnd() {
+    if (!ended_ || closed_ || state_ == State::kWriting) return;
+    if (state_ != State::kServing) return Close();      // the rest of a request will not come
+    if (upload_ && upload_->HasRoom()) return Close();  // nor the rest of its body
     Ask();
   }
 
   void Ask() {
     if (there_ || std::exchange(asking_, true)) return;
-    if (version_ < 11) return Close();  // knows no interim answers
-    error_code error;
-    socket_.write_some(boost::asio::buffer(kAreYouThere, sizeof kAreYouThere - 1), error);
-    if (error || WasReset()) return Close();
+    const auto probe = version_ >= 11 ? kAreYouThere : kAnswerBegins.substr(sent_ahead_, 1);
+    const auto size = WriteNow(probe);
+    // Where it has no room for this its client has not read what it was sent before, nor reset it.
+    if (!size || WasReset()) return Close();
+    if (version_ < 11) {
+      sent_ahead_ += *size;
+    } else if (*size > 0) {
+      owed_ahead_ = std::string(probe.substr(*size));
+    }
     look_.expires_after(kResetWithin);
     look_.async_wait([self = shared_from_this()](error_code stopped) {
       if (stopped || self->closed_ || self->owner_ == nullptr) return;
-      if (self->WasReset()) return self->Close();
+      if (self->WasReset() || self->IsOver()) return self->Close();
       self->there_ = true;
-      if (self->waiting_) self->Serve(*std::exchange(self->waiting_, std::nullopt), nullptr);
-      self->Read();
+      self->found_at_ = Now();
+      if (auto waited = std::exchange(self->waiting_, std::nullopt))
+        self->Serve(std::move(waited->first), std::move(waited->second));
+      if (!self->closed_) self->Read();
+    });
+  }
+
+  // Few clients bear many interim answers; one goes ahead of each attempt at most.
+  bool CanAsk() const { return version_ >= 11 ? owed_ahead_.empty() : sent_ahead_ < kAnswerBegins.size(); }
+
+  // It may have closed since it was found to be there. Not at once: whoever looks is in the middle of
+  // something.
+  void AskAnew() {
+    there_ = asking_ = false;
+    boost::asio::post(owner_->io_, [self = shared_from_this()] {
+      if (!self->closed_ && self->owner_ != nullptr && self->state_ == State::kServing) self->Ask();
     });
   }
 
@@ -252,29 +326,45 @@
     return ::getsockopt(socket_.native_handle(), SOL_SOCKET, SO_ERROR, &failed, &size) != 0 || failed != 0;
   }
 
-  // The connection has ended both ways, not only the client's sending.
-  bool IsOver() {
-    pollfd look{socket_.native_handle(), 0, 0};
-    return ::poll(&look, 1, 0) > 0 && (look.revents & (POLLERR | POLLHUP)) != 0;
+  // Writes what the system takes at once, in as many pieces as it wants: so much of it; nothing where the
+  // connection is broken.
+  std::optional<std::size_t> WriteNow(boost::beast::string_view text) {
+    std::size_t written = 0;
+    error_code error;
+    while (written < text.size() && (!error || error == boost::asio::error::interrupted)) {
+      const auto rest = text.substr(written);
+      written += socket_.write_some(boost::asio::buffer(rest.data(), rest.size()), error);
+    }
+    const bool full = error == boost::asio::error::would_block || error == boost::asio::error::try_again;
+    return !error || full ? std::optional(written) : std::nullopt;
   }
 
-  // Has it closed, or ended its sending? Also where bytes before that are unread.
-  bool LooksEnded() {
-    char byte = 0;
-    const auto size = ::recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-    if (size <= 0) return size == 0 || (errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR);
-    pollfd look{socket_.native_handle(), POLLRDHUP, 0};
-    return ::poll(&look, 1, 0) > 0 && (look.revents & (POLLRDHUP | POLLERR | POLLHUP)) != 0;
+  // What the system says of the connection: POLLERR and POLLHUP, and of these.
+  int Happened(int events) {
+    pollfd look{socket_.native_handle(), static_cast<short>(events), 0};
+    int count = 0;
+    do {
+      count = ::poll(&look, 1, 0);
+    } while (count < 0 && errno == EINTR);
+    return count > 0 ? look.revents : 0;
   }
 
+  // The connection has ended both ways, not only the client's sending.
+  bool IsOver() { return (Happened(0) & (POLLERR | POLLHUP)) != 0; }
+
   // With no room to read, its end is looked for behind what is unread.
   void LookAgain() {
-    if (asking_ || state_ != State::kServing) return;
-    look_.expires_after(kNoNews);
+    const bool asked = asking_ && !there_;  // the timer is the question's
+    const bool known = there_ && (!upload_ || upload_->sent_at());
+    if (asked || known || state_ != State::kServing) return;
+    look_.expires_after(kLookAgain);
     look_.async_wait([self = shared_from_this()](error_code stopped) {
       if (stopped || self->closed_ || self->owner_ == nullptr) return;
       if (self->buffer_.size() < self->buffer_.max_size()) return;
-      if (self->state_ == State::kServing && self->LooksEnded()) return self->Ask();
+      if (self->state_ == State::kServing) {
+        self->LookForLastByte();
+        if (!self->asking_ && self->Look() != Client::kConnected) return self->Ask();
+      }
       self->LookAgain();
     });
   }
@@ -286,24 +376,27 @@
       if (lingered_ > kMostLinger) return Close();
     }
     Parse();
-    if (ended_ && state_ == State::kReading) return Close();  // the rest of it will not come
+    LookForLastByte();
+    ActOnEnd();
     Read();
   }
 
   void Parse() {
     while ((state_ == State::kReading || upload_) && buffer_.size() > 0) {
-      if (!std::exchange(started_, true) && !std::exchange(unused_, false)) since_ = Now();
-      if (upload_ && !upload_->HasRoom()) return;
+      if (upload_ && !upload_->HasRoom()) {
+        held_up_ = true;
+        return;
+      }
       if (!parser_->is_header_done()) {
         if (const auto empty = scanned_ == 0 && !skipped_ ? EmptyLine(Unparsed()) : 0; empty > 0) {
           if (empty == 1 && buffer_.size() == 1) return;  // the rest of it is still to come
           skipped_ = empty == 2;
           if (skipped_) {
             buffer_.consume(empty);
-            started_ = buffer_.size() > 0;  // on its own it is no request: the connection is still idle
-            continue;
+            continue;  // on its own it is no request: the connection is still idle
           }
         }
+        if (!std::exchange(started_, true) && !std::exchange(unused_, false)) since_ = Now();
         const Head head = LookAtHead(Unparsed(), scanned_);
         if (head == Head::kPartial) return;
         if (head == Head::kBad) return Reject(http::status::bad_request, "bad request head");
@@ -344,11 +437,20 @@
   // Whoever sent all that means the rest as well: it passes through from here on.
   void BeginUpload() {
     upload_ = std::make_shared<BodyPipe>(owner_->io_, owner_->pipe_, parser_->content_length());
+    coming_at_ = last_byte_;
+    upload_->coming_at = [weak = weak_from_this()] {
+      const auto self = weak.lock();
+      if (!self || !self->upload_) return Now();
+      if (self->StillComes()) self->coming_at_ = Now();
+      return self->coming_at_;
+    };
     upload_->on_room = [weak = weak_from_this()] {
       const auto self = weak.lock();
       if (!self || self->closed_ || !self->upload_) return;
-      self->since_ = self->last_byte_ = Now();
-      self->arrived_ = 1;
+      if (std::exchange(self->held_up_, false)) {
+        self->since_ = self->last_byte_ = Now();
+        self->arrived_ = 1;
+      }
       self->Progress();
     };
     upload_->Put(body_.data(), body_.size());
@@ -359,9 +461,28 @@
     body_.shrink_to_fit();
   }
 
+  // Is there more of the body to come than the system holds unread? Known where its length is.
+  bool StillComes() {
+    error_code error;
+    const std::size_t unparsed = buffer_.size() + socket_.available(error);
+    const auto left = parser_->content_length_remaining();
+    return left ? *left > unparsed : unparsed == 0;
+  }
+
+  // The client's time runs from the last byte it sent, also where that waits for room.
+  void LookForLastByte() {
+    if (!upload_ || upload_->sent_at()) return;
+    if (upload_->HasRoom() || StillComes()) {
+      coming_at_ = Now();
+    } else if (ended_ || parser_->content_length_remaining()) {
+      upload_->Sent(coming_at_);
+    }
+  }
+
   void EndUpload() {
     if (!upload_) return;
     upload_->on_room = nullptr;
+    upload_->coming_at = nullptr;
     std::exchange(upload_, nullptr)->Break();
   }
 
@@ -377,6 +498,8 @@
     if (fault) return Reject(http::status::bad_request, fault);
     if (upload_) {
       upload_->on_room = nullptr;
+      upload_->coming_at = nullptr;
+      upload_->Sent(Now());
       return std::exchange(upload_, nullptr)->Finish();
     }
     HttpRequest request;
@@ -393,6 +516,7 @@
   // request.
   void Reject(http::status status, const std::string& why) {
     close_after_ = true;
+    waiting_.reset();
     if (const auto gone = std::exchange(gone_, nullptr)) gone();
     Answer(PlainResponse(status, why), nullptr);
   }
@@ -400,9 +524,8 @@
   // A client that asked whether to go on waits for this before it sends the body.
   void Continue() {
     if (!boost::beast::iequals(parser_->get()[http::field::expect], "100-continue")) return;
-    static constexpr char kGoOn[] = "HTTP/1.1 100 Continue\r\n\r\n";
-    error_code ignored;
-    socket_.write_some(boost::asio::buffer(kGoOn, sizeof kGoOn - 1), ignored);
+    static constexpr boost::beast::string_view kGoOn = "HTTP/1.1 100 Continue\r\n\r\n";
+    owed_ahead_ = std::string(kGoOn.substr(WriteNow(kGoOn).value_or(kGoOn.size())));
   }
 
   void Hand(HttpRequest request, Body body) {
@@ -421,13 +544,12 @@
           no ? PlainResponse(http::status::service_unavailable, no) : PlainResponse(http::status::ok, "up"),
           nullptr);
     }
-    looked_ = Now();
-    // It waited for an earlier answer behind the end of its sending; has it left since?
-    if (there_ && IsOver()) return Close();
-    if (!there_ && LooksEnded()) {
-      if (!body) waiting_ = std::move(request);
-      Ask();
-      if (closed_ || waiting_) return;
+    // It may have left since it sent this, also where it waits behind the end of its sending.
+    const Client client = Look();
+    if (client == Client::kGone) return Close();
+    if (client == Client::kUnknown) {
+      waiting_.emplace(std::move(request), std::move(body));
+      return Ask();
     }
     Serve(std::move(request), std::move(body));
   }
@@ -438,11 +560,11 @@
       if (!self->closed_) return self->Answer(std::move(response), std::move(answer));
       if (answer) answer->Leave();
     };
-    auto here = [weak = weak_from_this()] {
+    auto look = [weak = weak_from_this()] {
       const auto self = weak.lock();
-      return self && self->Here();
+      return self ? self->Look() : Client::kGone;
     };
-    auto gone = owner_->on_request_(std::move(request), std::move(body), std::move(reply), std::move(here));
+    auto gone = owner_->on_request_(std::move(request), std::move(body), std::move(reply), std::move(look));
     if (state_ == State::kServing) gone_ = std::move(gone);
   }
 
@@ -452,20 +574,42 @@
     if (upload_) close_after_ = true, linger_ = kLongLinger;
     EndUpload();
     // The one who finds a request unfit asks for the close by the answer.
-    if (!response.keep_alive() || (owner_ != nullptr && owner_->Leaving())) close_after_ = true;
+    if (!response.keep_alive()) close_after_ = true;
+    if (owner_ != nullptr && owner_->Leaving() && !ServesAhead()) close_after_ = true;
     if (ended_ && buffer_.size() == 0) close_after_ = true;
     response_ = std::move(response);
     response_.version(version_);
     if (body) return Pass(std::move(body));
     response_.keep_alive(!close_after_);
     response_.prepare_payload();
-    http::async_write(socket_, response_, [self = shared_from_this()](error_code error, std::size_t) {
-      if (self->closed_ || self->owner_ == nullptr) return;
-      if (error) return self->Close();
-      self->Answered();
+    head_.emplace(response_);
+    AfterOwed([this] {
+      http::async_write(socket_, *head_, [self = shared_from_this()](error_code error, std::size_t) {
+        if (self->closed_ || self->owner_ == nullptr) return;
+        if (error) return self->Close();
+        self->Answered();
+      });
     });
   }
 
+  // Ahead of an answer goes the rest of an interim one; of the answer itself some may have gone already.
+  void AfterOwed(std::function<void()> write) {
+    if (const auto sent = std::exchange(sent_ahead_, 0); sent > 0) {
+      error_code ignored;
+      head_->next(ignored, [](error_code&, const auto&) {});
+      head_->consume(sent);
+    }
+    if (owed_ahead_.empty()) return write();
+    boost::asio::async_write(
+        socket_, boost::asio::buffer(owed_ahead_),
+        [self = shared_from_this(), write = std::move(write)](error_code error, std::size_t) {
+          if (self->closed_ || self->owner_ == nullptr) return;
+          if (error) return self->Close();
+          self->owed_ahead_.clear();
+          write();
+        });
+  }
+
   // An answer of which only the head and a piece are here. It must be plain to the client where it ends, or
   // that it broke.
   void Pass(Body body) {
@@ -482,9 +626,13 @@
       if (self && !self->closed_ && self->answer_ && !self->writing_) self->PassPiece();
     };
     head_.emplace(response_);
+    head_->split(true);
     writing_ = true;
-    http::async_write_header(
-        socket_, *head_, [self = shared_from_this()](error_code error, std::size_t) { self->Passed(error); });
+    AfterOwed([this] {
+      http::async_write_header(socket_, *head_, [self = shared_from_this()](error_code error, std::size_t) {
+        self->Passed(error);
+      });
+    });
   }
 
   void Passed(error_code error) {
@@ -552,21 +700,24 @@
   std::optional<Descriptors::Slot> slot_;
   tcp::socket socket_;
   boost::asio::steady_timer look_;
-  std::optional<HttpRequest> waiting_;  // until it is known whether its client is there
-  TimePoint looked_;                    // nothing said by then that the client had gone
-  bool ended_ = false;                  // it has ended its sending
-  bool asking_ = false;                 // whether it is there, once
-  bool there_ = false;                  // it is, and waits for its answer all the same
+  std::optional<std::pair<HttpRequest, Body>> waiting_;  // until it is known whether its client is there
+  bool ended_ = false;                                   // it has ended its sending
+  bool asking_ = false;                                  // whether it is there, once
+  bool there_ = false;                                   // it is, and waits for its answer all the same
+  TimePoint found_at_;                                   // to be there
   boost::beast::flat_buffer buffer_;
   std::optional<http::request_parser<http::buffer_body>> parser_;
   std::string body_;  // of a request that is still to come whole
   Body upload_;       // of one that passes through, until its last byte has come
   std::uint64_t arrived_ = 0;
   TimePoint last_byte_;
+  TimePoint coming_at_;  // when more of a body that passes through was last known to be still to be sent
   HttpResponse response_;
   Body answer_;  // that passes through
   std::optional<http::response_serializer<http::string_body>> head_;
   std::string passing_;
+  std::size_t sent_ahead_ = 0;  // bytes of the answer to an HTTP/1.0 client, before there is one
+  std::string owed_ahead_;      // the rest of an interim answer
   bool writing_ = false;
   bool chunked_ = false;
   Duration linger_ = kLinger;
@@ -575,9 +726,10 @@
   TimePoint since_;  // of the state, or of a request's first byte
   unsigned version_ = 11;
   bool started_ = false;  // some of a request has come
-  bool unused_ = true;    // nothing has ever come
+  bool unused_ = true;    // no request has ever begun
   bool head_checked_ = false;
   bool skipped_ = false;      // an empty line ahead of it
+  bool held_up_ = false;      // what came of a body that passes through waits for room
   std::size_t scanned_ = 0;   // of a head that is still to come whole
   std::size_t lingered_ = 0;  // bytes read since the last answer
   bool close_after_ = false;
@@ -663,13 +815,14 @@
       busy.insert(best.get());
       continue;
     }
-    best->Close();
+    best->Evict();
     return true;
   }
 }
 
 void Listener::SendAway(bool away) {
   if (std::exchange(away_, away) == away) return;
+  leaving_since_ = Now();
   sweep_.cancel();
   Sweep();
   ScheduleSweep();
@@ -682,7 +835,7 @@
   handed_over_ = handed_over;
   error_code ignored;
   if (handed_over) acceptor_.close(ignored);  // its queue stays open there
-  drain_started_ = Now();
+  leaving_since_ = drain_started_ = Now();
   sweep_.cancel();
   Sweep();
   ScheduleSweep();
