--- a/node/operator_state.cpp
+++ b/node/operator_state.cpp
@@ -108,10 +108,16 @@
 
 void OperatorStateStore::Drain(bool drained) { Say(kDrained, drained); }
 
+bool OperatorStateStore::Holds(const std::string& word) const {
+  const auto owed = owed_.find(word);
+  return owed != owed_.end() ? owed->second.set : stored_.contains(word);
+}
+
 // The words that hold count at once, whatever becomes of the folder.
 void OperatorStateStore::Say(const std::string& word, bool set) {
-  const auto owed = owed_.find(word);
-  if ((owed != owed_.end() ? owed->second.set : stored_.contains(word)) == set && !look_error_) return;
+  // What another process changed since the last look is not in `stored_` yet.
+  if (Holds(word) == set && !folder_.path().empty()) Look();
+  if (Holds(word) == set && !look_error_) return;
   owed_[word] = {set, false};
   Publish();
   on_said_(word, set);
--- a/node/operator_state.h
+++ b/node/operator_state.h
@@ -61,6 +61,7 @@
 
   static std::string Word(const std::string& upstream);
 
+  bool Holds(const std::string& word) const;
   void Say(const std::string& word, bool set);
   void Publish();
   bool Store(const std::string& word, bool set);
--- a/tests/operator_state_test.cpp
+++ b/tests/operator_state_test.cpp
@@ -84,6 +84,18 @@
   EXPECT_EQ(Process(path_).disabled(), process.disabled());
 }
 
+// Where the two can't tell each other: the later call goes before what was last seen of the earlier one.
+TEST_F(OperatorStateTest, ACallUndoesWhatAnotherProcessStoredJustNow) {
+  Process first(path_), other(path_);
+  first.store.Disable("u1");
+  other.store.Enable("u1");
+  EXPECT_TRUE(Files().empty());
+  EXPECT_TRUE(first.Eventually([&] { return first.disabled().empty(); }));
+  other.store.Drain(true);
+  first.store.Drain(false);
+  EXPECT_TRUE(Files().empty());
+}
+
 TEST_F(OperatorStateTest, WithNoFolderItHoldsInTheProcessAndIsSaidSo) {
   Process process("");
   EXPECT_EQ(process.store.StorageFault(), "");
