--- a/tests/lab_growth_test.cpp
+++ b/tests/lab_growth_test.cpp
@@ -1,6 +1,7 @@
 // Growth experiments: their keys, the fleets that they play, the comparison, and a small one from end to end.
 #include <gtest/gtest.h>
 
+#include <chrono>
 #include <cmath>
 #include <limits>
 #include <sstream>
@@ -17,7 +18,7 @@
 namespace {
 
 const std::string kUsual =
-    "name = \"g\"\nlength_s = 3\nwarm_up_s = 1\nsizes = [20]\nsidecars_per_upstream = 1.5\n";
+    "name = \"g\"\nlength_s = 3\nwarm_up_s = 0\nsizes = [20]\nsidecars_per_upstream = 1.5\n";
 const std::string kDay = R"(
 [load]
 per_upstream = 15
@@ -33,7 +34,7 @@
 notice_delay_s = [0.05, 0.2]
 [[fault]]
 kind = "restart"
-at_s = 0
+at_s = 0.3
 lasts_s = 1
 share = 0.5
 )";
@@ -115,7 +116,7 @@
     capacity[i] = cores / static_cast<double>(d.sidecars.size());
     rate[i] = d.requests_per_s / static_cast<double>(d.sidecars.size());
     struck[i] = d.faults[0].upstreams.size();
-    EXPECT_EQ(d.faults[0].at, played.warm_up);
+    EXPECT_EQ(d.faults[0].at, std::chrono::milliseconds(300));
     EXPECT_FALSE(played.growth);
     const Experiment real = GrowthExperiment(e, fleet, GrowthPart::kReal);
     EXPECT_EQ(real.clock, ClockKind::kReal);
