--- a/lab/discovery_server.h
+++ b/lab/discovery_server.h
@@ -53,7 +53,7 @@
   // A change counts as told to a sidecar, on the server's thread; empty: nobody wants to know. It counts once
   // its agent has it; 6 s after the watch fell silent or 4 s after discovery was moved, where the sidecar
   // does not call before; with the answer to a call, or 6 s after it could be had, where `on_request`.
-  std::function<void(std::size_t sidecar, const MembershipEntry& entry, TimePoint at)> on_told;
+  std::function<void(std::size_t sidecar, const MembershipEntry& entry, TimePoint at)> on_told = {};
   bool on_request = false;
 };
 
--- a/lab/http_upstream.h
+++ b/lab/http_upstream.h
@@ -40,8 +40,8 @@
   bool probes = false;          // else they are answered with 404
   bool answer_at_once = false;  // the model is not asked: for measuring what else takes time
   // Empty: nobody wants to know.
-  std::function<void(const ArrivedAttempt&)> on_attempt;
-  std::function<void(std::size_t upstream, TimePoint at)> on_start;  // of a new process, cold
+  std::function<void(const ArrivedAttempt&)> on_attempt = {};
+  std::function<void(std::size_t upstream, TimePoint at)> on_start = {};  // of a new process, cold
 };
 
 // Since the start of the run.
