--- a/lab/deployment.cpp
+++ b/lab/deployment.cpp
@@ -211,6 +211,7 @@
       break;
     case FaultKind::kSidecarsKilled:
     case FaultKind::kSidecarsStopped:
+    case FaultKind::kClockStepped:
       event.sidecars = DrawShare(deployment.sidecars.size(), event.share, generator);
       break;
     case FaultKind::kRegionCut:
@@ -239,6 +240,7 @@
     event.share = spec.share;
     event.count = spec.count;
     event.zone = spec.zone;
+    event.step = spec.step;
     const std::string purpose =
         "fault " + std::string(FaultName(spec.kind)) + " at " + std::to_string(spec.at.count());
     Generator generator(DeriveSeed(experiment.seed, purpose, alike[purpose]++));
--- a/lab/deployment.h
+++ b/lab/deployment.h
@@ -41,6 +41,7 @@
   double share = 0;
   int count = 1;
   std::string zone;
+  Duration step{};
   std::vector<std::size_t>
       upstreams;                      // that it strikes, in the order drawn (a change for each, or a restart)
   std::vector<std::size_t> sidecars;  // likewise
--- a/lab/experiment.cpp
+++ b/lab/experiment.cpp
@@ -22,6 +22,7 @@
 constexpr std::size_t kMostSidecars = 20000;
 constexpr std::size_t kMostRealSidecars = 300;
 constexpr std::size_t kLongestName = 64;
+constexpr double kLongestStepS = 86'400;  // of a wall clock
 constexpr Bounds kShare{0, 1};
 // Of one class or kind against the others.
 constexpr Bounds kPart{0, 1e6};
@@ -45,6 +46,7 @@
   KeyUse factor = KeyUse::kRefused;
   KeyUse count = KeyUse::kRefused;
   KeyUse zone = KeyUse::kRefused;
+  KeyUse step = KeyUse::kRefused;
   double least_factor = 1;
 };
 
@@ -68,6 +70,7 @@
       {.kind = FaultKind::kClientsStalled, .name = "clients_stalled", .lasts = kMay, .count = kMay},
       {.kind = FaultKind::kNewConfigurations, .name = "new_configurations", .lasts = kMay, .count = kMay},
       {.kind = FaultKind::kDiscoverySlow, .name = "discovery_slow", .lasts = kNeeded},
+      {.kind = FaultKind::kClockStepped, .name = "clock_stepped", .share = kNeeded, .step = kNeeded},
       {.kind = FaultKind::kBurst, .name = "burst", .lasts = kNeeded, .factor = kNeeded, .least_factor = 0.01},
   };
   return kForms;
@@ -224,11 +227,8 @@
 }
 
 void CheckFaultKeys(const TableReader& table, const FaultForm& form) {
-  const NamedValue<KeyUse> uses[] = {{"lasts_s", form.lasts},
-                                     {"share", form.share},
-                                     {"factor", form.factor},
-                                     {"count", form.count},
-                                     {"zone", form.zone}};
+  const NamedValue<KeyUse> uses[] = {{"lasts_s", form.lasts}, {"share", form.share}, {"factor", form.factor},
+                                     {"count", form.count},   {"zone", form.zone},   {"step_s", form.step}};
   for (const auto& [key, use] : uses) {
     if (use == KeyUse::kRequired) table.Require({key});
     if (use == KeyUse::kRefused && table.Has(key)) {
@@ -246,7 +246,8 @@
 }
 
 bool NeedsRealSidecars(FaultKind kind) {
-  return kind == FaultKind::kClientsStalled || kind == FaultKind::kNewConfigurations;
+  return kind == FaultKind::kClientsStalled || kind == FaultKind::kNewConfigurations ||
+         kind == FaultKind::kClockStepped;
 }
 
 FaultSpec ReadFault(TableReader& table, const Experiment& experiment) {
@@ -261,6 +262,7 @@
   table.ReadNumber("factor", spec.factor, {form.least_factor, 1000});
   table.ReadCount("count", spec.count, 1, 100'000);
   table.ReadText("zone", spec.zone);
+  table.ReadTime("step_s", spec.step, seconds(1), {-kLongestStepS, kLongestStepS});
   table.Finish();
   if (spec.at >= experiment.length) table.Fail("at_s", "the fault begins after the run's end (length_s)");
   if (spec.at + spec.lasts > experiment.length) {
--- a/lab/experiment.h
+++ b/lab/experiment.h
@@ -149,7 +149,8 @@
   kNewConfigurations,
   // Discovery answers late and in pieces, and turns some connections and calls away.
   kDiscoverySlow,
-  kBurst,  // `factor` times the load
+  kClockStepped,  // the wall clocks of `share` of the real sidecars' machines go on from a time `step` later
+  kBurst,         // `factor` times the load
 };
 
 // As in experiment files: `crash`, `zone_lost` and so on.
@@ -163,6 +164,7 @@
   double factor = 1;
   int count = 1;
   std::string zone;  // empty: drawn by the seed
+  Duration step{};   // of a wall clock; negative: back
 };
 
 enum class Comparison { kAtLeast, kAtMost };
--- a/lab/fault_player.cpp
+++ b/lab/fault_player.cpp
@@ -71,6 +71,9 @@
     case FaultKind::kDiscoverySlow:
       discovery_.SetSlow(true);
       break;
+    case FaultKind::kClockStepped:
+      if (real_operator_ != nullptr) real_operator_->StepClocks(fault.sidecars, fault.step);
+      break;
     case FaultKind::kBurst:
       SetLoadFactor(load_factor_ * fault.factor);
       break;
@@ -116,6 +119,7 @@
     case FaultKind::kSidecarsStopped:
     case FaultKind::kClientsStalled:
     case FaultKind::kNewConfigurations:
+    case FaultKind::kClockStepped:
       break;  // they end by themselves
   }
 }
--- a/lab/real_fleet.cpp
+++ b/lab/real_fleet.cpp
@@ -52,6 +52,9 @@
 
 void RealFleet::StartSidecars(const DiscoveryServer& discovery, const MembershipRegistry& registry) {
   std::vector<LoadTarget> targets;
+  const bool clocks_are_stepped =
+      std::any_of(deployment_.faults.begin(), deployment_.faults.end(),
+                  [](const FaultEvent& fault) { return fault.kind == FaultKind::kClockStepped; });
   for (const SidecarInstance& instance : deployment_.sidecars) {
     if (!instance.real) continue;
     SidecarConfig config;
@@ -63,6 +66,7 @@
     config.known = ToJson(registry.Since(std::nullopt, ListedService(experiment_, instance)));
     config.settings = SidecarSettings(experiment_, deployment_, instance);
     members_.push_back({instance.index, SidecarProcess(program_, folder_.path(), std::move(config))});
+    if (clocks_are_stepped) members_.back().process.HaveOwnClock(folder_.path());
     members_.back().process.Start();
     targets.push_back({members_.back().process.listen(), instance.requests_per_s, instance.index});
   }
@@ -137,6 +141,10 @@
   if (Member* const member = Find(sidecar)) member->process.SpoilConfiguration();
 }
 
+void RealFleet::StepClock(std::size_t sidecar, Duration by) {
+  if (Member* const member = Find(sidecar)) member->process.StepClock(by);
+}
+
 void RealFleet::SetConnecting(std::size_t sidecar, bool connecting) {
   load_thread_.Post([this, sidecar, connecting] { load_->SetConnecting(sidecar, connecting); });
 }
--- a/lab/real_fleet.h
+++ b/lab/real_fleet.h
@@ -75,6 +75,8 @@
   // std::runtime_error where it can't be written.
   void MoveDiscovery(std::size_t sidecar, const mothrack::Endpoint& discovery);
   void SpoilConfiguration(std::size_t sidecar);
+  // The wall clock of its machine goes on from a time that is so much later.
+  void StepClock(std::size_t sidecar, Duration by);
   // Whether its application opens connections.
   void SetConnecting(std::size_t sidecar, bool connecting);
   // A client of each sidecar stops there.
--- a/lab/schedule.cpp
+++ b/lab/schedule.cpp
@@ -49,6 +49,7 @@
   if (!event.zone.empty()) out << " zone " << event.zone;
   if (event.share > 0) out << " share " << event.share;
   if (event.factor != 1) out << " factor " << event.factor;
+  if (event.step != Duration::zero()) out << " step " << Seconds(event.step) << " s";
   if (event.kind == FaultKind::kChange) out << " count " << event.count;
 }
 
--- a/lab/sidecar_config.cpp
+++ b/lab/sidecar_config.cpp
@@ -210,11 +210,21 @@
   ProcessOptions options;
   options.program = program_;
   options.environment = Environment(config_, std::filesystem::absolute(config_path_).string());
+  if (clock_) options.environment.merge(clock_->Environment());
   options.log_file = log_path_;
   process_.emplace(options);
   AwaitListening();
 }
 
+void SidecarProcess::HaveOwnClock(const std::string& folder) {
+  clock_.emplace(std::filesystem::absolute(folder + "/" + config_.name + ".clock").string());
+}
+
+void SidecarProcess::StepClock(Duration by) {
+  if (!clock_) throw std::logic_error("sidecar " + config_.name + " has no wall clock of its own");
+  clock_->Step(by);
+}
+
 bool SidecarProcess::AwaitReady(Duration patience) { return IsReady(listen(), patience); }
 
 Process& SidecarProcess::process() {
--- a/lab/sidecar_config.h
+++ b/lab/sidecar_config.h
@@ -12,6 +12,7 @@
 #include "nlohmann/json.hpp"
 #include "port_reservation.h"
 #include "process.h"
+#include "wall_clock.h"
 
 namespace aspendyke::lab {
 
@@ -51,6 +52,10 @@
   // Starts it anew and waits until it listens, for a few seconds at most. Throws std::runtime_error with its
   // log's end where it does not, and std::system_error where the program can't be started.
   void Start();
+  // Before the first start: its machine's wall clock is its own, kept in `folder`, and can be stepped.
+  void HaveOwnClock(const std::string& folder);
+  // Throws std::logic_error where it has none.
+  void StepClock(Duration by);
   // Whether it answers that it is ready, within that time. Blocks.
   bool AwaitReady(Duration patience);
   // What is known is what a restarted sidecar begins with.
@@ -77,6 +82,7 @@
   std::string log_path_;
   SidecarConfig config_;
   PortReservation port_;
+  std::optional<WallClock> clock_;
   std::optional<Process> process_;
 };
 
--- a/lab/sidecar_operator.cpp
+++ b/lab/sidecar_operator.cpp
@@ -59,6 +59,12 @@
   boost::asio::post(tasks_, [this, malformed] { ReconfigureNow(malformed); });
 }
 
+void SidecarOperator::StepClocks(std::vector<std::size_t> sidecars, Duration by) {
+  boost::asio::post(tasks_, [this, sidecars = std::move(sidecars), by] {
+    for (const std::size_t sidecar : sidecars) fleet_.StepClock(sidecar, by);
+  });
+}
+
 void SidecarOperator::KillNow(std::size_t sidecar) {
   if (!away_.insert(sidecar).second) return;
   fleet_.KillSidecar(sidecar);
--- a/lab/sidecar_operator.h
+++ b/lab/sidecar_operator.h
@@ -51,6 +51,9 @@
   // to be refused whole; one that is not moves discovery to another address.
   void Reconfigure(bool malformed);
 
+  // The wall clocks of their machines go on from a time that is so much later. Hollow ones have none.
+  void StepClocks(std::vector<std::size_t> sidecars, Duration by);
+
   // On the thread of `tasks`.
   const SidecarOperatorCounters& counters() const { return counters_; }
   bool idle() const { return away_.empty(); }  // all run
--- a/lab/virtual_engine.cpp
+++ b/lab/virtual_engine.cpp
@@ -272,6 +272,7 @@
     case FaultKind::kClientsStalled:
     case FaultKind::kNewConfigurations:
     case FaultKind::kDiscoverySlow:
+    case FaultKind::kClockStepped:
       break;  // refused by the file's reader: there are no connections
   }
 }
@@ -318,6 +319,7 @@
     case FaultKind::kClientsStalled:
     case FaultKind::kNewConfigurations:
     case FaultKind::kDiscoverySlow:
+    case FaultKind::kClockStepped:
       break;  // they end by themselves
   }
 }
--- /dev/null
+++ b/lab/wall_clock_shift.cpp
@@ -0,0 +1,64 @@
+// A library that is preloaded into a sidecar under test: the process sees a wall clock that is off by what
+// stands in the file that ASPENDYKE_WALL_CLOCK_FILE names, a whole number of nanoseconds (8 bytes, as the
+// machine stores them). The file may change while the process runs: the clock is stepped. Monotonic clocks
+// are the machine's. Without the file nothing is changed.
+#include <fcntl.h>
+#include <sys/mman.h>
+#include <sys/syscall.h>
+#include <sys/time.h>
+#include <time.h>
+#include <unistd.h>
+
+#include <cstdint>
+#include <cstdlib>
+
+namespace {
+
+constexpr std::int64_t kNanosecondsPerSecond = 1'000'000'000;
+
+const volatile std::int64_t* MapShift() {
+  const char* const path = std::getenv("ASPENDYKE_WALL_CLOCK_FILE");
+  if (path == nullptr) return nullptr;
+  const int file = ::open(path, O_RDONLY | O_CLOEXEC);
+  if (file < 0) return nullptr;
+  void* const memory = ::mmap(nullptr, sizeof(std::int64_t), PROT_READ, MAP_SHARED, file, 0);
+  ::close(file);
+  return memory == MAP_FAILED ? nullptr : static_cast<const volatile std::int64_t*>(memory);
+}
+
+std::int64_t Shift() {
+  static const volatile std::int64_t* const shift = MapShift();
+  return shift == nullptr ? 0 : *shift;
+}
+
+bool IsWallClock(clockid_t clock) { return clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE; }
+
+}  // namespace
+
+extern "C" {
+
+__attribute__((visibility("default"))) int clock_gettime(clockid_t clock, timespec* time) noexcept {
+  const long result = ::syscall(SYS_clock_gettime, clock, time);
+  if (result != 0 || !IsWallClock(clock)) return static_cast<int>(result);
+  const std::int64_t shifted = time->tv_sec * kNanosecondsPerSecond + time->tv_nsec + Shift();
+  time->tv_sec = shifted / kNanosecondsPerSecond;
+  time->tv_nsec = shifted % kNanosecondsPerSecond;
+  return 0;
+}
+
+__attribute__((visibility("default"))) int gettimeofday(timeval* time, void*) noexcept {
+  timespec now{};
+  if (clock_gettime(CLOCK_REALTIME, &now) != 0) return -1;
+  time->tv_sec = now.tv_sec;
+  time->tv_usec = now.tv_nsec / 1000;
+  return 0;
+}
+
+__attribute__((visibility("default"))) time_t time(time_t* seconds) noexcept {
+  timespec now{};
+  clock_gettime(CLOCK_REALTIME, &now);
+  if (seconds != nullptr) *seconds = now.tv_sec;
+  return now.tv_sec;
+}
+
+}  // extern "C"
--- a/tests/lab_faults_test.cpp
+++ b/tests/lab_faults_test.cpp
@@ -5,7 +5,9 @@
 #include <boost/asio/steady_timer.hpp>
 #include <boost/asio/write.hpp>
 #include <chrono>
+#include <filesystem>
 #include <functional>
+#include <map>
 #include <memory>
 #include <mutex>
 #include <set>
@@ -20,10 +22,12 @@
 #include "lab/experiment.h"
 #include "lab/fleet_rules.h"
 #include "lab/http_load.h"
+#include "lab/process.h"
 #include "lab/real_fleet.h"
 #include "lab/scheduler.h"
 #include "lab/sidecar_operator.h"
 #include "lab/stalled_clients.h"
+#include "lab/wall_clock.h"
 #include "node/clock.h"
 
 namespace aspendyke::lab {
@@ -269,16 +273,23 @@
 
 // ---- A real sidecar ----
 
-// What the upstreams see of it reaches the rules: here the rules were told of drains that it was not.
-TEST(RealSidecar, ThatSendsToDrainingUpstreamsIsSeen) {
+// What the upstreams see of it reaches the rules: here the rules were told of drains and a start that it was
+// not.
+TEST(RealSidecar, ThatSendsTooLateToDrainingUpstreamsAndTooMuchToAColdOneIsSeen) {
   Experiment experiment = Fleet().experiment;
   experiment.sidecars.real = 1;
-  experiment.load.per_upstream = 10;
+  experiment.sidecars_per_upstream = 0.34;  // one
+  experiment.load.per_upstream = 15;
+  experiment.upstreams.cold_from = 1;  // a cold one answers as fast as any, but the rules allow it little
   const Deployment deployment = MakeDeployment(experiment, 3);
   const SidecarInstance& real = *std::find_if(deployment.sidecars.begin(), deployment.sidecars.end(),
                                               [](const SidecarInstance& s) { return s.real; });
-  FleetRules rules(experiment, deployment, SidecarSettings(experiment, deployment, real));
+  kestrellb::Settings settings = SidecarSettings(experiment, deployment, real);
+  settings.rules.cold_from = 0.001;
+  settings.rules.cold_time = seconds(1000);
+  FleetRules rules(experiment, deployment, settings);
   HttpUpstreamOptions options;
+  options.on_start = [&](std::size_t upstream, TimePoint at) { rules.Started(upstream, at); };
   options.on_attempt = [&](const ArrivedAttempt& attempt) {
     ASSERT_EQ(attempt.sidecar, real.index);
     rules.Attempted(*attempt.sidecar, attempt.upstream, attempt.work, attempt.at);
@@ -300,11 +311,47 @@
     entry.state = UpstreamState::kDraining;
     rules.Told(real.index, entry, mothrack::Now());
   }
-  const TimePoint end = mothrack::Now() + kPatience;
-  while (rules.counters().late_to_draining == 0 && mothrack::Now() < end) {
-    std::this_thread::sleep_for(milliseconds(20));
-  }
-  EXPECT_GT(rules.counters().late_to_draining, 0u);
+  const auto await = [](const std::function<bool()>& condition) {
+    const TimePoint end = mothrack::Now() + kPatience;
+    while (!condition() && mothrack::Now() < end) std::this_thread::sleep_for(milliseconds(20));
+    return condition();
+  };
+  EXPECT_TRUE(await([&] { return rules.counters().late_to_draining > 0; }));
+
+  // Nor was it told that an upstream started anew.
+  entries[0].state = UpstreamState::kServing;
+  entries[0].boot_ms = 1;
+  fleet.AtUpstreams([&](HttpUpstreams& upstreams) {
+    upstreams.Crash(0);
+    upstreams.Start(0);
+    rules.Told(real.index, entries[0], mothrack::Now());
+  });
+  EXPECT_TRUE(await([&] { return rules.counters().cold_overloads == 1; }));
+}
+
+// What a program that is started in that environment takes for the Unix time, against the machine's.
+std::int64_t SecondsAhead(const std::map<std::string, std::string>& environment, const std::string& folder) {
+  ProcessOptions options;
+  options.program = "/bin/date";
+  options.arguments = {"+%s"};
+  options.environment = environment;
+  options.log_file = folder + "/date.log";
+  std::filesystem::remove(options.log_file);
+  Process date(options);
+  date.Wait();
+  const auto now = std::chrono::system_clock::now().time_since_epoch();
+  return std::stoll(date.Log()) - std::chrono::duration_cast<seconds>(now).count();
+}
+
+TEST(WallClock, IsSteppedInBothDirectionsForThoseWhoStartWithIt) {
+  const TemporaryFolder folder;
+  WallClock clock(folder.path() + "/clock");
+  EXPECT_NEAR(SecondsAhead(clock.Environment(), folder.path()), 0, 20);
+  clock.Step(seconds(3600));
+  EXPECT_NEAR(SecondsAhead(clock.Environment(), folder.path()), 3600, 20);
+  clock.Step(seconds(-7200));
+  EXPECT_NEAR(SecondsAhead(clock.Environment(), folder.path()), -3600, 20);
+  EXPECT_NEAR(SecondsAhead({}, folder.path()), 0, 20);
 }
 
 // ---- Discovery ----
@@ -402,8 +449,8 @@
   const std::string head =
       "name = \"f\"\nlength_s = 5\nsizes = [2]\n[[class]]\nname = \"a\"\n"
       "mean_work_ms = 1\naim_ms = 10\ndeadline_ms = 10\n[[fault]]\nat_s = 1\nkind = ";
-  for (const char* fault :
-       {"\"clients_stalled\"", "\"new_configurations\"", "\"discovery_slow\"\nlasts_s = 1"}) {
+  for (const char* fault : {"\"clients_stalled\"", "\"new_configurations\"",
+                            "\"clock_stepped\"\nshare = 1\nstep_s = 1", "\"discovery_slow\"\nlasts_s = 1"}) {
     EXPECT_THROW(ParseExperiment(head + fault, "f.toml"), ExperimentError) << fault;
   }
   const Experiment experiment = ParseExperiment(head + "\"sidecars_stopped\"\nshare = 1", "f.toml");
