--- a/lab/fault_player.cpp
+++ b/lab/fault_player.cpp
@@ -124,7 +124,8 @@
   }
 }
 
-void FaultPlayer::Spread(const FaultEvent& fault, std::size_t count, std::function<void(std::size_t)> turn) {
+void FaultPlayer::Spread(const FaultEvent& fault, std::size_t count,
+                         const std::function<void(std::size_t)>& turn) {
   const auto turns = static_cast<Duration::rep>(count);
   for (Duration::rep i = 0; i < turns; ++i) {
     scheduler_.After((fault.until - fault.at) * i / turns, [turn, i] { turn(static_cast<std::size_t>(i)); });
--- a/lab/fault_player.h
+++ b/lab/fault_player.h
@@ -42,7 +42,7 @@
   void BeginConfigurations(const FaultEvent& fault);
   void RestartHollow(std::size_t sidecar);
   // Does `turn` for each number below `count`, evenly over the fault's time.
-  void Spread(const FaultEvent& fault, std::size_t count, std::function<void(std::size_t)> turn);
+  void Spread(const FaultEvent& fault, std::size_t count, const std::function<void(std::size_t)>& turn);
   void SetLoadFactor(double factor);
 
   const Deployment& deployment_;
