--- a/lab/fault_player.cpp
+++ b/lab/fault_player.cpp
@@ -71,6 +71,9 @@
     case FaultKind::kDiscoverySlow:
       discovery_.SetSlow(true);
       break;
+    case FaultKind::kClockStepped:
+      if (real_operator_ != nullptr) real_operator_->StepClocks(fault.sidecars, fault.step);
+      break;
     case FaultKind::kBurst:
       SetLoadFactor(load_factor_ * fault.factor);
       break;
@@ -116,11 +119,13 @@
     case FaultKind::kSidecarsStopped:
     case FaultKind::kClientsStalled:
     case FaultKind::kNewConfigurations:
+    case FaultKind::kClockStepped:
       break;  // they end by themselves
   }
 }
 
-void FaultPlayer::Spread(const FaultEvent& fault, std::size_t count, std::function<void(std::size_t)> turn) {
+void FaultPlayer::Spread(const FaultEvent& fault, std::size_t count,
+                         const std::function<void(std::size_t)>& turn) {
   const auto turns = static_cast<Duration::rep>(count);
   for (Duration::rep i = 0; i < turns; ++i) {
     scheduler_.After((fault.until - fault.at) * i / turns, [turn, i] { turn(static_cast<std::size_t>(i)); });
