--- a/node/listener.cpp
+++ b/node/listener.cpp
@@ -15,13 +15,14 @@
 #include <boost/beast/http/parser.hpp>
 #include <boost/beast/http/serializer.hpp>
 #include <boost/beast/http/write.hpp>
-#include <cerrno>
 #include <chrono>
 #include <optional>
 #include <string>
 #include <utility>
 #include <vector>
 
+#include "socket_io.h"
+
 namespace mothrack {
 namespace {
 
@@ -56,6 +57,7 @@
 // Whoever sends on for long after the last answer gets the reset: reading megabytes to the end is no service.
 constexpr std::size_t kMostLinger = 256 * 1024;
 constexpr std::size_t kReadSize = 8192;
+constexpr Duration kReadPause = milliseconds(5);  // where the system had no memory for a read
 // Clients go on opening connections for a moment after a planned stop began.
 constexpr Duration kAcceptWhileDraining = milliseconds(800);
 // And where accepting fails just then, for so long more: the process may be killed soon after.
@@ -134,13 +136,11 @@
     if (closed_) return Client::kGone;
     if (there_ && CanAsk() && Now() - found_at_ > kStillThere) AskAnew();
     if (!there_ && !asking_ && !ended_) {
-      char byte = 0;
-      ssize_t size = 0;
-      do {
-        size = ::recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-      } while (size < 0 && errno == EINTR);
-      if (size < 0) return errno == EAGAIN || errno == EWOULDBLOCK ? Client::kConnected : Client::kGone;
-      if (size > 0 && (Happened(POLLRDHUP) & (POLLRDHUP | POLLERR | POLLHUP)) == 0) return Client::kConnected;
+      const IoStatus status = Peek(socket_.native_handle()).status;
+      if (status == IoStatus::kBroken) return Client::kGone;
+      if (status == IoStatus::kWouldBlock) return Client::kConnected;
+      if (status != IoStatus::kEnd && PollNow(socket_.native_handle(), POLLRDHUP) == 0)
+        return Client::kConnected;
     }
     if (IsOver()) return Client::kGone;
     return there_ ? Client::kConnected : Client::kUnknown;
@@ -258,17 +258,26 @@
 
   void Receive() {
     const std::size_t room = std::min(buffer_.max_size() - buffer_.size(), kReadSize);
-    error_code error;
-    const std::size_t size = socket_.read_some(buffer_.prepare(room), error);
-    if (error == boost::asio::error::would_block || error == boost::asio::error::try_again ||
-        error == boost::asio::error::interrupted)
-      return Read();
-    if (error == boost::asio::error::eof) return Ended();
-    if (error) return Close();
-    buffer_.commit(size);
+    const auto into = buffer_.prepare(room);
+    const IoResult read = ReadSome(socket_.native_handle(), into.data(), into.size());
+    if (read.status == IoStatus::kWouldBlock) return Read();
+    if (read.status == IoStatus::kShortage) return ReadLater();
+    if (read.status == IoStatus::kEnd) return Ended();
+    if (read.status == IoStatus::kBroken) return Close();
+    buffer_.commit(read.size);
     Progress();
   }
 
+  // Not at once: the machine is short of memory, and the bytes are there still.
+  void ReadLater() {
+    reading_ = true;
+    const auto timer = std::make_shared<boost::asio::steady_timer>(owner_->io_, kReadPause);
+    timer->async_wait([self = shared_from_this(), timer](error_code stopped) {
+      self->reading_ = false;
+      if (!stopped && !self->closed_ && self->owner_ != nullptr) self->Read();
+    });
+  }
+
   // No more will come.
   void Ended() {
     ended_ = true;
@@ -329,27 +338,18 @@
   // connection is broken.
   std::optional<std::size_t> WriteNow(boost::beast::string_view text) {
     std::size_t written = 0;
-    error_code error;
-    while (written < text.size() && (!error || error == boost::asio::error::interrupted)) {
+    while (written < text.size()) {
       const auto rest = text.substr(written);
-      written += socket_.write_some(boost::asio::buffer(rest.data(), rest.size()), error);
+      const IoResult result = WriteSome(socket_.native_handle(), rest.data(), rest.size());
+      if (result.status == IoStatus::kBroken) return std::nullopt;
+      if (result.status != IoStatus::kDone) break;
+      written += result.size;
     }
-    const bool full = error == boost::asio::error::would_block || error == boost::asio::error::try_again;
-    return !error || full ? std::optional(written) : std::nullopt;
-  }
-
-  // What the system says of the connection: POLLERR and POLLHUP, and of these.
-  int Happened(int events) {
-    pollfd look{socket_.native_handle(), static_cast<short>(events), 0};
-    int count = 0;
-    do {
-      count = ::poll(&look, 1, 0);
-    } while (count < 0 && errno == EINTR);
-    return count > 0 ? look.revents : 0;
+    return written;
   }
 
   // The connection has ended both ways, not only the client's sending.
-  bool IsOver() { return (Happened(0) & (POLLERR | POLLHUP)) != 0; }
+  bool IsOver() { return PollNow(socket_.native_handle(), 0) != 0; }
 
   // With no room to read, its end is looked for behind what is unread.
   void LookAgain() {
--- a/tests/client_connection_test.cpp
+++ b/tests/client_connection_test.cpp
@@ -5,6 +5,7 @@
 #include <array>
 #include <atomic>
 #include <boost/asio/read.hpp>
+#include <cerrno>
 #include <chrono>
 #include <csignal>
 #include <functional>
@@ -15,6 +16,7 @@
 #include <utility>
 #include <vector>
 
+#include "fault_injection.h"
 #include "gtest/gtest.h"
 #include "peers.h"
 
@@ -168,6 +170,49 @@
   EXPECT_EQ(upstream.requests().size(), 2U);
 }
 
+// Reads, looks and writes on its connection that fail for the moment, or do a byte at a time, neither end it
+// nor spoil its answer.
+TEST(EndOfSending, IsToldThroughTroubleOfTheSystemsCalls) {
+  const auto on = Descriptor::kAccepted;
+  const std::vector<Fault> faults = {{.call = SystemCall::kRead, .error = EINTR, .times = 3, .on = on},
+                                     {.call = SystemCall::kRead, .error = ENOBUFS, .times = 3, .on = on},
+                                     {.call = SystemCall::kRead, .error = ENOMEM, .times = 3, .on = on},
+                                     {.call = SystemCall::kPoll, .error = EINTR, .times = 3},
+                                     {.call = SystemCall::kWrite, .error = EINTR, .times = 3, .on = on},
+                                     {.call = SystemCall::kWrite, .at_most = 1, .times = 1, .on = on},
+                                     {.call = SystemCall::kRead, .at_most = 1, .times = 3, .on = on}};
+  for (const Fault& fault : faults) {
+    for (const bool older : {false, true}) {
+      const std::string what =
+          std::to_string(static_cast<int>(fault.call)) + " " + std::to_string(fault.error);
+      Gate asked, go;
+      Upstream upstream([&](Wire& wire, const Request& request, int) {
+        asked.Open();
+        go.Pass();
+        wire.Answer(200, std::string(request.target()));
+      });
+      FaultInjector injector;
+      Node::Options options = With(List({Target("u1", upstream.address())}));
+      options.environment = injector.environment();
+      Node node(options);
+      ASSERT_TRUE(node.Listening());
+      Client client(node.port());
+      const auto forced = injector.Force(fault);
+      const std::string request = GetText("/page/k", "a1", 15000);
+      ASSERT_TRUE(client.Send(older ? Older(request) : request));
+      asked.Pass();
+      EndSending(client);
+      char begin = 0;
+      boost::asio::read(client.wire.socket, boost::asio::buffer(&begin, 1));
+      go.Open();
+      const std::string bytes = begin + AllBytes(client);
+      EXPECT_NE(bytes.find(" 200 x\r\n"), std::string::npos) << what << bytes;
+      EXPECT_TRUE(bytes.ends_with("\r\n\r\n/page/k")) << what << bytes;
+      EXPECT_GT(injector.forced(forced), 0) << what;
+    }
+  }
+}
+
 // A client that waited behind the end of its sending and has closed since is asked anew ahead of a further
 // attempt. Its system says nothing of the close until then.
 TEST(EndOfSending, ThatWasFollowedByACloseIsSentNoFurtherAttempt) {
