--- a/include/kestrellb/balancer.h
+++ b/include/kestrellb/balancer.h
@@ -186,6 +186,7 @@
   kReset,          // the connection broke: may have run
   kCancelled,      // called off: may have run
   kNotSent,        // the sidecar did not send it (the request had ended): did not run
+  kLocalFailure,   // this machine could not open a connection (no descriptor, port or route): did not run
 };
 
 // An upstream's view of its load; absent values were not reported.
--- a/src/balancer.cpp
+++ b/src/balancer.cpp
@@ -220,7 +220,7 @@
     const bool served = outcome == Outcome::kServed;
     if (attempt.trial) JudgeTrial(u, outcome);
     if (outcome != Outcome::kConnectFailed && outcome != Outcome::kTimeout &&
-        outcome != Outcome::kCancelled) {
+        outcome != Outcome::kCancelled && outcome != Outcome::kLocalFailure) {
       u.waiting_since = now_;
     }
     // Said to be full: it needs about the time of an answer to have room again.
@@ -355,6 +355,7 @@
     const bool kept = outcome == Outcome::kServed || outcome == Outcome::kError || outcome == Outcome::kFull;
     if (kept) ++u.idle, u.idle_since = now_;
     if (outcome == Outcome::kConnectFailed || outcome == Outcome::kReset) u.idle = 0;
+    if (outcome == Outcome::kLocalFailure) u.idle = 0, u.connects_again = now_ + kConnectPause;
     // Reset at once on a connection that had been idle: it had been dropped unseen. Guards calls that may not
     // be repeated: idle ones are closed before that age, and trusted longer again with time.
     const bool at_once = elapsed < Scaled(settings_.limits.connect_timeout, kAskPatience);
@@ -392,13 +393,14 @@
       outstanding += u.outstanding;
     }
     std::vector<UpstreamPtr> best;
-    int best_standing = only_good ? 1 : 6;
+    int best_standing = only_good ? 1 : 12;
     for (const UpstreamPtr& taker : takers) {
       const Upstream& u = *taker;
       // Where connecting takes long or fails, one without a connection is no better than a crowded one.
       const bool crowded = u.outstanding + 1 > kCrowdSlack + 0.5 + outstanding * Weight(u) / weight ||
                            (connecting_.value > kHardToConnect && !HasConnection(u));
-      const int standing = (Tried(r, u) ? 3 : 0) + (Suspect(u) ? 2 : crowded ? 1 : 0);
+      const bool unconnected = !HasConnection(u) && (LocalFailures(r) > 0 || now_ < u.connects_again);
+      const int standing = (unconnected ? 6 : 0) + (Tried(r, u) ? 3 : 0) + (Suspect(u) ? 2 : crowded ? 1 : 0);
       if (standing < best_standing) best.clear();
       if (standing > best_standing) continue;
       best_standing = standing;
@@ -428,7 +430,7 @@
   bool MaySend(const Request& r, const Upstream& upstream) const {
     if (r.ended || r.streaming || r.spent || (r.passing && AnyOut(r))) return false;
     if (!r.open && now_ >= r.deadline) return false;
-    if (r.attempts.size() >= settings_.limits.max_attempts) return false;
+    if (!AttemptLeft(r, settings_.limits.max_attempts, HasConnection(upstream))) return false;
     for (const Attempt& a : r.attempts) {
       if (a.outcome && ProvesNotRun(*a.outcome)) continue;
       if (!a.outcome && !settings_.limits.second_copies) return false;
@@ -655,7 +657,7 @@
     if (r.attempts.empty()) return true;
     if (!r.open && r.cls->late_worth <= 0 && now_ >= r.arrived + r.cls->aim) return false;
     const auto& last = r.attempts.back().outcome;
-    if (last && ProvesNotRun(*last) && r.attempts.size() <= kFreeRepeats) return true;
+    if (last && ProvesNotRun(*last) && (NeverLeft(*last) || r.attempts.size() <= kFreeRepeats)) return true;
     if (retry_budget_ < 1) return false;
     retry_budget_ -= 1;
     return true;
@@ -769,7 +771,7 @@
 
   void CountLate(const Request& r, Upstream& u, Outcome outcome, Duration elapsed) {
     const bool late = outcome != Outcome::kServed || elapsed > Scaled(r.cls->aim, kLateFrom);
-    if (outcome != Outcome::kCancelled && outcome != Outcome::kNotSent)
+    if (outcome != Outcome::kCancelled && !NeverLeft(outcome))
       for (Fading* share : {&u.late, &all_late_}) share->Add(late, now_, LateMemory());
     if (!Telling(u) && 2 * telling_weight_ > serving_weight_) return;
     if (outcome != Outcome::kServed && outcome != Outcome::kTimeout && outcome != Outcome::kFull) return;
--- a/src/state.h
+++ b/src/state.h
@@ -2,6 +2,7 @@
 #pragma once
 
 #include <algorithm>
+#include <chrono>
 #include <cmath>
 #include <cstdint>
 #include <map>
@@ -63,7 +64,13 @@
 
 // What an outcome says by the interface: nothing ran; the upstream failed.
 inline bool ProvesNotRun(Outcome outcome) {
-  return outcome == Outcome::kFull || outcome == Outcome::kConnectFailed || outcome == Outcome::kNotSent;
+  return outcome == Outcome::kFull || outcome == Outcome::kConnectFailed || outcome == Outcome::kNotSent ||
+         outcome == Outcome::kLocalFailure;
+}
+
+// Nothing of it left this machine.
+inline bool NeverLeft(Outcome outcome) {
+  return outcome == Outcome::kNotSent || outcome == Outcome::kLocalFailure;
 }
 
 inline bool IsFailure(Outcome outcome) {
@@ -105,6 +112,7 @@
   // Connections of this sidecar that wait for a call, and since when the last one does.
   int idle = 0;
   TimePoint idle_since;
+  TimePoint connects_again;  // this machine could not open a further one: others go first until then
   // Rotation.
   double credit = 0;
   int outstanding = 0;
@@ -163,6 +171,24 @@
   return std::ranges::any_of(r.attempts, [](const Attempt& a) { return !a.outcome; });
 }
 
+// Where this machine can't open a connection to an upstream, others go first for so long; a request may meet
+// so many such failures beyond its attempts.
+constexpr Duration kConnectPause = std::chrono::milliseconds(100);
+constexpr std::size_t kMostLocalFailures = 16;
+
+// Attempts that this machine could not open a connection for.
+inline std::size_t LocalFailures(const Request& r) {
+  const auto local = [](const Attempt& a) { return a.outcome == Outcome::kLocalFailure; };
+  return static_cast<std::size_t>(std::ranges::count_if(r.attempts, local));
+}
+
+// Is one more attempt left for it? What this machine could not connect for reached nobody: an upstream that
+// has a connection may still take it.
+inline bool AttemptLeft(const Request& r, std::size_t most, bool connected) {
+  if (r.attempts.size() >= most + kMostLocalFailures) return false;
+  return r.attempts.size() - (connected ? LocalFailures(r) : 0) < most;
+}
+
 // Sent to for this request, or asked.
 inline bool Tried(const Request& r, const Upstream& u) {
   const auto same = [&u](const auto& a) { return a.upstream.get() == &u; };
