--- a/node/sidecar.cpp
+++ b/node/sidecar.cpp
@@ -87,6 +87,7 @@
   if (outcome == Outcome::kTimeout) return "timed out";
   if (outcome == Outcome::kConnectFailed) return "could not connect";
   if (outcome == Outcome::kReset) return "reset";
+  if (outcome == Outcome::kLocalFailure) return "failed on this machine";
   return nullptr;
 }
 
--- a/node/upstreams.cpp
+++ b/node/upstreams.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/ip/tcp.hpp>
+#include <boost/asio/post.hpp>
 #include <boost/asio/write.hpp>
 #include <boost/beast/core/flat_buffer.hpp>
 #include <boost/beast/http/buffer_body.hpp>
@@ -16,6 +17,9 @@
 #include <chrono>
 #include <utility>
 
+#include "connect.h"
+#include "socket_io.h"
+
 namespace mothrack {
 namespace {
 
@@ -31,6 +35,9 @@
 constexpr int kIdleShare = 10;
 constexpr Duration kIdleMargin = milliseconds(500);
 constexpr auto kSweep = milliseconds(250);
+// Where a closed idle connection made no room for a socket, others hold what is short: the next may only
+// then.
+constexpr Duration kVainEviction = milliseconds(100);
 
 // An answer of unknown length is held back for this part of the time it has left, in case it is a short one,
 // that another upstream could still give where this one breaks.
@@ -115,12 +122,15 @@
     buffer_.max_size(kMostRead);
   }
 
+  // Opens a socket and begins to connect; an error is this machine's own.
   error_code OpenSocket() {
     error_code error;
     socket_.open(pool_.lock()->location.endpoint.protocol(), error);
     if (!error) socket_.set_option(tcp::no_delay(true), error);
     if (!error) socket_.non_blocking(true, error);
-    return error;
+    if (error) return error;
+    begun_ = BeginConnect(socket_, pool_.lock()->location.endpoint);
+    return begun_ && begun_->local ? begun_->error : error_code();
   }
 
   void Start(ExchangeId id, Call call) {
@@ -136,30 +146,25 @@
     }
     gives_up_ = sent_ + call_.timeout;
     begin_by_ = call_.begin_within == Duration::max() ? TimePoint::max() : sent_ + call_.begin_within;
-    phase_ = connected_ ? Phase::kWriting : Phase::kConnecting;
+    const bool usable = Usable();
+    phase_ = usable ? Phase::kWriting : Phase::kConnecting;
     ++use_;
     interim_ = 0;
-    if (connected_) {
-      ArmTimer(gives_up_);
-      Read();
-      return Write();
-    }
+    if (usable) return WriteNow();
+    if (connected_) return ArmTimer(std::min({gives_up_, usable_from_, begin_by_}));
     ArmTimer(std::min({gives_up_, sent_ + owner_.connect_timeout_, begin_by_}));
-    const auto pool = pool_.lock();
-    socket_.async_connect(pool->location.endpoint, [self = shared_from_this()](error_code error) {
+    auto connected = [self = shared_from_this()](ConnectResult result) {
       if (self->closed_) return;
-      if (error) return self->End(Cause::kBroken, error);
+      if (result.error) return self->End(result.local ? Cause::kLocal : Cause::kBroken, result.error);
       self->connected_ = true;
-      const bool late = Now() >= self->begin_by_;
-      if (!self->wanted_ || late || (self->call_.wanted && !self->call_.wanted())) return self->Spare();
-      self->phase_ = Phase::kWriting;
-      self->ArmTimer(self->gives_up_);
-      self->Read();
-      self->Write();
-    });
+      self->WriteIfWanted();
+    };
+    if (!begun_) return AwaitConnected(socket_, std::move(connected));
+    boost::asio::post(owner_.io_,
+                      [connected = std::move(connected), result = *begun_] { connected(result); });
   }
 
-  enum class Cause { kBroken, kTimeout, kCancelled, kNotSent };
+  enum class Cause { kBroken, kTimeout, kCancelled, kNotSent, kLocal };
 
   // The exchange ends without an answer, and its connection with it: late bytes must never reach another
   // request. Whether the last byte was written is asked once no write is under way: a write that the system
@@ -209,6 +214,7 @@
   bool unsent() const { return phase_ == Phase::kConnecting; }
   TimePoint idle_since() const { return idle_since_; }
   TimePoint usable_from() const { return usable_from_; }
+  bool Usable() const { return connected_ && Now() >= usable_from_; }
 
  private:
   enum class Phase { kIdle, kConnecting, kWriting, kWaiting };
@@ -220,11 +226,29 @@
       // Guards against a timer that fired just before it was set anew.
       if (self->timer_.expiry() > std::chrono::steady_clock::now()) return;
       if (std::exchange(self->holds_back_, false)) return self->StopHoldingBack();
-      const bool too_late = self->phase_ == Phase::kConnecting && Now() >= self->begin_by_;
+      const bool rests = self->connected_ && self->phase_ == Phase::kConnecting;  // until it may be used
+      if (rests && self->Usable() && Now() < self->gives_up_) {
+        return self->LooksAlive() ? self->WriteIfWanted() : self->End(Cause::kLocal);
+      }
+      const bool too_late = self->phase_ == Phase::kConnecting && (rests || Now() >= self->begin_by_);
       self->End(too_late ? Cause::kNotSent : Cause::kTimeout);
     });
   }
 
+  // Its request may have ended, or run out of time, while the connection came up.
+  void WriteIfWanted() {
+    const bool late = Now() >= begin_by_;
+    if (!wanted_ || late || (call_.wanted && !call_.wanted())) return Spare();
+    phase_ = Phase::kWriting;
+    WriteNow();
+  }
+
+  void WriteNow() {
+    ArmTimer(gives_up_);
+    Read();
+    Write();
+  }
+
   // Its handler may be on its way already: it looks at the time.
   void DisarmTimer() { timer_.expires_at(std::chrono::steady_clock::time_point::max()); }
 
@@ -484,6 +508,7 @@
     if (cause == Cause::kBroken) outcome = written ? Outcome::kReset : Outcome::kConnectFailed;
     if (cause == Cause::kTimeout) outcome = written ? Outcome::kTimeout : Outcome::kConnectFailed;
     if (cause == Cause::kCancelled) outcome = Outcome::kCancelled;
+    if (cause == Cause::kLocal) outcome = Outcome::kLocalFailure;
     phase_ = Phase::kIdle;
     const auto on_end = std::exchange(call_.on_end, nullptr);
     const auto self = shared_from_this();
@@ -506,6 +531,7 @@
   std::optional<http::request_serializer<http::span_body<const char>>> serializer_;
   Phase phase_ = Phase::kIdle;
   bool connected_ = false;
+  std::optional<ConnectResult> begun_;  // what connect() itself said
   bool closed_ = false;
   bool write_pending_ = false;
   std::optional<Cause> ending_;
@@ -598,14 +624,18 @@
 
 void Upstreams::Send(ExchangeId id, const std::string& uid, Call call) {
   const auto it = pools_.find(uid);
-  std::shared_ptr<Connection> connection;
+  Opened opened;
   if (it != pools_.end() && MayOpen(*it->second)) {
-    connection = TakeIdle(*it->second, call.max_idle);
-    if (!connection) connection = Open(it->second);
+    opened.connection = TakeIdle(*it->second, call.max_idle);
+    if (!opened.connection) opened = Open(it->second);
+    if (opened.error) opened.connection = TakeSoonUsable(*it->second);
+  }
+  if (!opened.connection) {
+    const auto outcome = opened.error ? Outcome::kLocalFailure : Outcome::kNotSent;
+    return call.on_end({outcome, {}, {}, {}, opened.error});
   }
-  if (!connection) return call.on_end({Outcome::kNotSent, {}, {}, {}});
-  exchanges_.emplace(id, connection);
-  connection->Start(id, std::move(call));
+  exchanges_.emplace(id, opened.connection);
+  opened.connection->Start(id, std::move(call));
 }
 
 void Upstreams::Probe(ExchangeId id, const std::string& uid, Duration max_idle, OnEnd on_end) {
@@ -671,18 +701,42 @@
   return nullptr;
 }
 
-// Idle connections make room; where there is none, the attempt is not sent. That is no failure of the
-// upstream and proves that nothing ran.
-std::shared_ptr<Upstreams::Connection> Upstreams::Open(const std::shared_ptr<Pool>& pool) {
+// One that rests between two exchanges, where none can be opened: its exchange waits for it, kSecondAnswer at
+// most.
+std::shared_ptr<Upstreams::Connection> Upstreams::TakeSoonUsable(Pool& pool) {
+  const auto resting = [](const auto& connection) {
+    return !connection->Usable() && connection->LooksAlive();
+  };
+  const auto it = std::ranges::find_if(pool.idle, resting);
+  if (it == pool.idle.end()) return nullptr;
+  const auto connection = *it;
+  pool.idle.erase(it);
+  return connection;
+}
+
+// Idle connections make room by the deployment's limit; where there is none, the attempt is not sent. That is
+// no failure of the upstream and proves that nothing ran. Where the system refuses a socket, only a shortage
+// of this very process is helped by closing an idle one, and by one: else they are what requests can still be
+// sent on.
+Upstreams::Opened Upstreams::Open(const std::shared_ptr<Pool>& pool) {
   while (!descriptors_.Room(Descriptors::Side::kUpstream)) {
-    if (!EvictIdle()) return nullptr;
+    if (!EvictIdle()) return {};
   }
-  do {
-    auto connection = std::make_shared<Connection>(*this, pool);
-    if (!connection->OpenSocket()) return connection;
-    connection->Close();
-  } while (EvictIdle());
-  return nullptr;
+  Opened opened = TryOpen(pool);
+  if (opened.error != boost::asio::error::no_descriptors || Now() < evicts_again_ || !EvictIdle()) {
+    return opened;
+  }
+  opened = TryOpen(pool);
+  if (opened.error) evicts_again_ = Now() + kVainEviction;
+  return opened;
+}
+
+Upstreams::Opened Upstreams::TryOpen(const std::shared_ptr<Pool>& pool) {
+  auto connection = std::make_shared<Connection>(*this, pool);
+  const error_code error = connection->OpenSocket();
+  if (!error) return {std::move(connection)};
+  connection->Close();
+  return {nullptr, error};
 }
 
 void Upstreams::Release(const std::shared_ptr<Connection>& connection) {
--- a/node/upstreams.h
+++ b/node/upstreams.h
@@ -98,7 +98,13 @@
   };
 
   std::shared_ptr<Connection> TakeIdle(Pool& pool, Duration max_idle);
-  std::shared_ptr<Connection> Open(const std::shared_ptr<Pool>& pool);
+  std::shared_ptr<Connection> TakeSoonUsable(Pool& pool);
+  struct Opened {
+    std::shared_ptr<Connection> connection;  // null where none could be opened
+    boost::system::error_code error{};       // what the system said to that; none where the limit is reached
+  };
+  Opened Open(const std::shared_ptr<Pool>& pool);
+  Opened TryOpen(const std::shared_ptr<Pool>& pool);
   // Closes the connection that has been idle longest; false where there is none.
   bool EvictIdle();
   bool MayOpen(const Pool& pool) const;
@@ -119,6 +125,7 @@
   std::map<std::string, std::shared_ptr<Pool>> pools_;
   std::set<std::string> out_;
   std::map<ExchangeId, std::shared_ptr<Connection>> exchanges_;
+  TimePoint evicts_again_;  // closing an idle connection did not help: none is closed for that before then
   boost::asio::steady_timer sweep_;
 };
 
--- a/tests/fault_injection.cpp
+++ b/tests/fault_injection.cpp
@@ -184,6 +184,7 @@
     if (error_ != 0) errno = error_;
     return error_ != 0;
   }
+  bool Interrupted() const { return error_ == EINTR; }
   bool loses_connection() const { return loses_; }
   std::size_t Bytes(std::size_t asked) const { return std::min(asked, at_most_); }
 
@@ -265,7 +266,9 @@
 
 int connect(int descriptor, const sockaddr* peer, socklen_t size) {
   static const auto next = Next(&::connect, "connect");
-  if (Forced(SystemCall::kConnect, {descriptor, nullptr, peer}).Fails()) return -1;
+  const Forced forced(SystemCall::kConnect, {descriptor, nullptr, peer});
+  if (forced.Interrupted()) next(descriptor, peer, size);  // it goes on all the same
+  if (forced.Fails()) return -1;
   return next(descriptor, peer, size);
 }
 
@@ -362,7 +365,7 @@
 
 int epoll_ctl(int loop, int operation, int descriptor, epoll_event* event) noexcept {
   static const auto next = Next(&::epoll_ctl, "epoll_ctl");
-  if (Forced(SystemCall::kEpollControl, {descriptor}).Fails()) return -1;
+  if (operation == EPOLL_CTL_ADD && Forced(SystemCall::kEpollControl, {descriptor}).Fails()) return -1;
   return next(loop, operation, descriptor, event);
 }
 
--- a/tests/fault_injection.h
+++ b/tests/fault_injection.h
@@ -30,7 +30,7 @@
   kWrite,         // send, sendto, sendmsg, write, writev
   kPoll,          // poll
   kEpollWait,     // epoll_wait
-  kEpollControl,  // epoll_ctl
+  kEpollControl,  // epoll_ctl with EPOLL_CTL_ADD
   kGetOption,     // getsockopt
   kOpen,          // open, openat, creat, fopen
   kSync,          // fsync, fdatasync
--- a/tests/system_call_faults_test.cpp
+++ b/tests/system_call_faults_test.cpp
@@ -3,6 +3,7 @@
 #include <gtest/gtest.h>
 #include <poll.h>
 
+#include <algorithm>
 #include <cerrno>
 #include <chrono>
 #include <csignal>
@@ -42,14 +43,13 @@
 // The program with upstreams that answer at once, and a client whose connection was open before any fault.
 class SystemCallFaults : public ::testing::Test {
  protected:
-  void Start(int upstreams = 1, const Upstream::Handler& handler = nullptr, json settings = Settings()) {
-    std::vector<json> known;
+  void Start(int upstreams = 1, const Upstream::Handler& handler = nullptr, std::vector<json> known = {}) {
     for (int i = 0; i < upstreams; ++i) {
       const std::string name = "u" + std::to_string(i);
       upstreams_.push_back(std::make_unique<Upstream>(handler ? handler : Upstream::Echo(name)));
       known.push_back(Target(name, upstreams_.back()->address()));
     }
-    Node::Options options = With(List(known), std::move(settings));
+    Node::Options options = With(List(known));
     options.environment = faults_.environment();
     options.admin = "127.0.0.1:0";
     options.tmpdir = folder_.path();
@@ -119,7 +119,7 @@
   bool loses;  // the connection that waited, as Linux has it
 };
 
-std::string NameOf(const ::testing::TestParamInfo<AcceptRow>& row) {
+std::string AcceptName(const ::testing::TestParamInfo<AcceptRow>& row) {
   return ::strerrorname_np(row.param.error);
 }
 
@@ -238,7 +238,86 @@
                                            AcceptRow{EHOSTUNREACH, true}, AcceptRow{EINTR, false},
                                            AcceptRow{EMFILE, false}, AcceptRow{ENFILE, false},
                                            AcceptRow{ENOBUFS, false}, AcceptRow{ENOMEM, false}),
-                         NameOf);
+                         AcceptName);
+
+// ---- socket and connect ----
+
+struct LocalRow {
+  SystemCall call;
+  int error;
+};
+
+std::string LocalName(const ::testing::TestParamInfo<LocalRow>& row) {
+  const std::string call = row.param.call == SystemCall::kSocket    ? "socket"
+                           : row.param.call == SystemCall::kConnect ? "connect"
+                                                                    : "epoll_ctl";
+  return call + ::strerrorname_np(row.param.error);
+}
+
+class FailingConnections : public SystemCallFaults, public ::testing::WithParamInterface<LocalRow> {
+ protected:
+  // Until connections rest at many upstreams.
+  void WarmUp() {
+    for (int i = 0; i < 40; ++i) ASSERT_EQ(Ask(*client_, "warm" + std::to_string(i)), 200u);
+  }
+};
+
+// What rests serves while no connection can be opened; none of it is closed, and nobody is blamed for it.
+TEST_P(FailingConnections, WhatRestsServesOn) {
+  Start(9);
+  WarmUp();
+  // Two at once: what rests at an upstream is in use now and then.
+  Client second(node_->port());
+  ASSERT_EQ(Ask(second, "second"), 200u);
+  const int open_before = node_->descriptors();
+  const auto fault = faults_.Force({.call = GetParam().call, .error = GetParam().error});
+  for (int i = 0; i < 60; ++i) {
+    ASSERT_TRUE(second.Send(GetText("/page/x", "second" + std::to_string(i), kDeadlineMs)));
+    ASSERT_EQ(Ask(*client_, "first" + std::to_string(i)), 200u) << i;
+    const auto answer = AnswerAtOnce(second);
+    ASSERT_TRUE(answer.has_value());
+    ASSERT_EQ(answer->result_int(), 200u) << i;
+  }
+  if (GetParam().error != EMFILE) {
+    EXPECT_TRUE(Eventually([&] { return node_->descriptors() == open_before; }));
+  }
+  faults_.Stop(fault);
+  EXPECT_EQ(node_->log().find("ejected"), std::string::npos);
+}
+
+class FailingConnect : public FailingConnections {};
+
+// One upstream can't be connected to for a while: the others serve, and it is back once it can be.
+TEST_P(FailingConnect, IsNoMarkAgainstTheUpstream) {
+  const Upstream hard(Upstream::Echo("hard"));
+  const auto port =
+      static_cast<std::uint16_t>(std::stoi(hard.address().substr(hard.address().find(':') + 1)));
+  const auto fault = faults_.Force({.call = SystemCall::kConnect, .error = GetParam().error, .port = port});
+  Start(1, nullptr, {Target("hard", hard.address())});
+  for (int i = 0; faults_.forced(fault) < 6; ++i) {
+    ASSERT_LT(i, 20000);
+    ASSERT_EQ(Ask(*client_, "on" + std::to_string(i)), 200u);
+  }
+  faults_.Stop(fault);
+  EXPECT_EQ(node_->log().find("ejected"), std::string::npos);
+  EXPECT_TRUE(Eventually([&, i = 0]() mutable {
+    return Ask(*client_, "back" + std::to_string(i++)) == 200u && hard.connections() > 0;
+  }));
+}
+
+const auto kLocalConnects =
+    ::testing::Values(LocalRow{SystemCall::kConnect, EADDRNOTAVAIL},
+                      LocalRow{SystemCall::kConnect, ENETUNREACH}, LocalRow{SystemCall::kConnect, EAGAIN},
+                      LocalRow{SystemCall::kConnect, ENOBUFS}, LocalRow{SystemCall::kConnect, EPERM});
+INSTANTIATE_TEST_SUITE_P(Connect, FailingConnections, kLocalConnects, LocalName);
+INSTANTIATE_TEST_SUITE_P(Errors, FailingConnect, kLocalConnects, LocalName);
+INSTANTIATE_TEST_SUITE_P(Socket, FailingConnections,
+                         ::testing::Values(LocalRow{SystemCall::kSocket, EMFILE},
+                                           LocalRow{SystemCall::kSocket, ENFILE},
+                                           LocalRow{SystemCall::kSocket, ENOBUFS},
+                                           LocalRow{SystemCall::kSocket, ENOMEM},
+                                           LocalRow{SystemCall::kEpollControl, ENOSPC}),
+                         LocalName);
 
 }  // namespace
 }  // namespace mothrack::testing
