--- a/src/upstream.h
+++ b/src/upstream.h
@@ -100,6 +100,7 @@
   // Connections of this sidecar that wait for a call, and since when the last one does.
   int idle = 0;
   TimePoint idle_since;
+  TimePoint connects_again;  // this machine could not open a further one: others go first until then
   // Rotation.
   double credit = 0;
   int outstanding = 0;
