--- a/lab/http_upstream.cpp
+++ b/lab/http_upstream.cpp
@@ -325,7 +325,7 @@
                               HttpUpstreamOptions options_)
     : scheduler(scheduler_),
       model(instance, spec, scheduler_),
-      options(options_),
+      options(std::move(options_)),
       io_(io),
       port_({boost::asio::ip::address_v4::loopback(), 0}),
       acceptor_(io),
@@ -470,7 +470,7 @@
 }
 
 HttpUpstreams::HttpUpstreams(boost::asio::io_context& io, Scheduler& scheduler, const Deployment& deployment,
-                             const UpstreamSpec& spec, HttpUpstreamOptions options)
+                             const UpstreamSpec& spec, const HttpUpstreamOptions& options)
     : spec_(spec), sweep_timer_(io) {
   servers_.reserve(deployment.upstreams.size());
   for (const UpstreamInstance& instance : deployment.upstreams) {
--- a/lab/http_upstream.h
+++ b/lab/http_upstream.h
@@ -65,7 +65,7 @@
   // io_context, have to outlive it, and it has to outlive the last run of the io_context. Throws
   // boost::system::system_error where it can't listen.
   HttpUpstreams(boost::asio::io_context& io, Scheduler& scheduler, const Deployment& deployment,
-                const UpstreamSpec& spec, HttpUpstreamOptions options);
+                const UpstreamSpec& spec, const HttpUpstreamOptions& options);
   ~HttpUpstreams();
 
   std::size_t size() const;
