--- a/node/listener.cpp
+++ b/node/listener.cpp
@@ -22,6 +22,7 @@
 #include <vector>
 
 #include "socket_io.h"
+#include "write_stream.h"
 
 namespace mothrack {
 namespace {
@@ -91,6 +92,7 @@
       : owner_(&owner),
         slot_(std::in_place, owner.descriptors_, Descriptors::Side::kClient),
         socket_(std::move(socket)),
+        writer_(socket_),
         look_(owner.io_) {
     buffer_.max_size(kMostRead);
     NewParser();
@@ -584,7 +586,7 @@
     response_.prepare_payload();
     head_.emplace(response_);
     AfterOwed([this] {
-      http::async_write(socket_, *head_, [self = shared_from_this()](error_code error, std::size_t) {
+      http::async_write(writer_, *head_, [self = shared_from_this()](error_code error, std::size_t) {
         if (self->closed_ || self->owner_ == nullptr) return;
         if (error) return self->Close();
         self->Answered();
@@ -601,7 +603,7 @@
     }
     if (owed_ahead_.empty()) return write();
     boost::asio::async_write(
-        socket_, boost::asio::buffer(owed_ahead_),
+        writer_, boost::asio::buffer(owed_ahead_),
         [self = shared_from_this(), write = std::move(write)](error_code error, std::size_t) {
           if (self->closed_ || self->owner_ == nullptr) return;
           if (error) return self->Close();
@@ -629,7 +631,7 @@
     head_->split(true);
     writing_ = true;
     AfterOwed([this] {
-      http::async_write_header(socket_, *head_, [self = shared_from_this()](error_code error, std::size_t) {
+      http::async_write_header(writer_, *head_, [self = shared_from_this()](error_code error, std::size_t) {
         self->Passed(error);
       });
     });
@@ -658,11 +660,11 @@
     };
     writing_ = true;
     since_ = Now();
-    if (ended && chunked_) return boost::asio::async_write(socket_, http::make_chunk_last(), passed);
+    if (ended && chunked_) return boost::asio::async_write(writer_, http::make_chunk_last(), passed);
     if (ended) return Answered();
     const auto bytes = boost::asio::buffer(passing_);
-    if (chunked_) return boost::asio::async_write(socket_, http::make_chunk(bytes), passed);
-    boost::asio::async_write(socket_, bytes, passed);
+    if (chunked_) return boost::asio::async_write(writer_, http::make_chunk(bytes), passed);
+    boost::asio::async_write(writer_, bytes, passed);
   }
 
   // An end in good order could be taken for the end of the answer.
@@ -699,6 +701,7 @@
   Listener* owner_;
   std::optional<Descriptors::Slot> slot_;
   tcp::socket socket_;
+  WriteStream writer_;
   boost::asio::steady_timer look_;
   std::optional<std::pair<HttpRequest, Body>> waiting_;  // until it is known whether its client is there
   bool ended_ = false;                                   // it has ended its sending
--- a/node/socket_io.cpp
+++ b/node/socket_io.cpp
@@ -42,17 +42,11 @@
   return Do([&] { return ::send(socket, bytes, size, MSG_NOSIGNAL); }, IoStatus::kWouldBlock);
 }
 
-IoResult WriteAll(int socket, const void* bytes, std::size_t size) {
-  std::size_t written = 0;
-  while (written < size) {
-    IoResult result = WriteSome(socket, static_cast<const char*>(bytes) + written, size - written);
-    written += result.size;
-    if (result.status != IoStatus::kDone) {
-      result.size = written;
-      return result;
-    }
-  }
-  return {IoStatus::kDone, written};
+IoResult WriteParts(int socket, iovec* parts, std::size_t count) {
+  msghdr message{};
+  message.msg_iov = parts;
+  message.msg_iovlen = count;
+  return Do([&] { return ::sendmsg(socket, &message, MSG_NOSIGNAL); }, IoStatus::kWouldBlock);
 }
 
 short PollNow(int socket, short events) {
--- a/node/socket_io.h
+++ b/node/socket_io.h
@@ -2,6 +2,8 @@
 // Asio's synchronous calls hand EINTR to the caller as an error like any other.
 #pragma once
 
+#include <sys/uio.h>
+
 #include <boost/system/error_code.hpp>
 #include <cstddef>
 
@@ -28,8 +30,8 @@
 // Whether there is something to read; takes nothing.
 IoResult Peek(int socket);
 IoResult WriteSome(int socket, const void* bytes, std::size_t size);
-// All of `bytes`, which are few, however short each write is. Where it ends otherwise, `size` are written.
-IoResult WriteAll(int socket, const void* bytes, std::size_t size);
+// Some of `count` parts, at least one of which is not empty.
+IoResult WriteParts(int socket, iovec* parts, std::size_t count);
 
 // Which of `events` (as for poll(2)) hold now, POLLERR and POLLHUP always among them.
 short PollNow(int socket, short events);
--- a/node/upstreams.cpp
+++ b/node/upstreams.cpp
@@ -20,6 +20,7 @@
 
 #include "connect.h"
 #include "socket_io.h"
+#include "write_stream.h"
 
 namespace mothrack {
 namespace {
@@ -121,6 +122,7 @@
         pool_(pool),
         slot_(std::in_place, owner.descriptors_, Descriptors::Side::kUpstream),
         socket_(owner.io_),
+        writer_(socket_),
         timer_(owner.io_) {
     buffer_.max_size(kMostRead);
   }
@@ -290,7 +292,7 @@
   }
 
   void Write() {
-    http::async_write(socket_, *serializer_, [self = shared_from_this()](error_code error, std::size_t) {
+    http::async_write(writer_, *serializer_, [self = shared_from_this()](error_code error, std::size_t) {
       self->write_pending_ = false;
       if (self->ending_) return self->Finish(*self->ending_);
       if (self->closed_) return;
@@ -315,7 +317,7 @@
         self->WritePiece();
     };
     http::async_write_header(
-        socket_, *serializer_,
+        writer_, *serializer_,
         [self = shared_from_this()](error_code error, std::size_t) { self->PieceWritten(error, false); });
   }
 
@@ -331,10 +333,10 @@
     };
     write_pending_ = true;
     ArmTimer(TakenBy());
-    if (outgoing_.empty()) return boost::asio::async_write(socket_, http::make_chunk_last(), written);
+    if (outgoing_.empty()) return boost::asio::async_write(writer_, http::make_chunk_last(), written);
     const auto bytes = boost::asio::buffer(outgoing_);
-    if (chunked) return boost::asio::async_write(socket_, http::make_chunk(bytes), written);
-    boost::asio::async_write(socket_, bytes, written);
+    if (chunked) return boost::asio::async_write(writer_, http::make_chunk(bytes), written);
+    boost::asio::async_write(writer_, bytes, written);
   }
 
   void PieceWritten(error_code error, bool last) {
@@ -549,6 +551,7 @@
   std::weak_ptr<Pool> pool_;
   std::optional<Descriptors::Slot> slot_;
   tcp::socket socket_;
+  WriteStream writer_;
   boost::asio::steady_timer timer_;
   boost::beast::flat_buffer buffer_;
   std::optional<http::response_parser<http::buffer_body>> parser_;
