--- a/tests/system_call_faults_test.cpp
+++ b/tests/system_call_faults_test.cpp
@@ -341,7 +341,7 @@
     const std::string id = "b" + std::to_string(i);
     ASSERT_TRUE(client_->Send(PostText("/submit/x", id, "body", kDeadlineMs, "Expect: 100-continue\r\n")));
     std::optional<Response> answer = AnswerAtOnce(*client_);
-    if (answer && answer->result_int() == 100) answer = AnswerAtOnce(*client_);
+    if (answer && answer->result_int() == 100) answer = client_->Read();  // may be read already
     ASSERT_TRUE(answer.has_value()) << i;
     EXPECT_EQ(answer->result_int(), 200u) << i;
   }
