--- a/node/wall_clock.cpp
+++ b/node/wall_clock.cpp
@@ -27,10 +27,12 @@
     if (trusted_ && FreshStart(upstream, now) == Evidence::kRestarted) found_ahead = true;
   }
   if (found_ahead) trusted_ = false;
+  may_be_ahead_ = MayBeAhead(update, now);
   for (Listed& upstream : update.upstreams) JudgeOne(upstream, now);
   if (update.kind != MembershipUpdate::Kind::kChanges) ListOnly(update);
   if (known_.size() > forget_at_ + kMostLeft) ForgetLeft();
   if (told) heard_ = now;
+  told_ = told_ || told;
   return found_ahead;
 }
 
@@ -46,6 +48,21 @@
   return listed ? Evidence::kRestarted : Evidence::kAppeared;
 }
 
+// May it be cold, if the clock is ahead by as much as it can be?
+bool WallClock::IsAmongNewest(const Listed& upstream, TimePoint now) const {
+  return upstream.started && now - *upstream.started - most_ahead_ < cold_time_;
+}
+
+// The first list shows no more than that the clock may be ahead: as far as the newest start seems long ago.
+// The few that started last are taken for cold then, for one cold time. Where they are half of the list it is
+// more likely that all were started together, long ago, and there would be too few others.
+bool WallClock::MayBeAhead(const MembershipUpdate& update, TimePoint now) const {
+  if (!trusted_ || told_ || most_ahead_ <= kLongQuiet) return false;
+  const auto newest =
+      std::ranges::count_if(update.upstreams, [&](const Listed& u) { return IsAmongNewest(u, now); });
+  return 2 * static_cast<std::size_t>(newest) < update.upstreams.size();
+}
+
 // The latest start that agrees with all that was heard is the safe one: the upstream is at least as warm.
 void WallClock::JudgeOne(Listed& upstream, TimePoint now) {
   const std::string& id = upstream.id.value;
@@ -56,7 +73,8 @@
   }
   const Started told = upstream.started;
   const bool same = known != known_.end() && known->second.told == told;
-  if (told && (!trusted_ || FreshStart(upstream, now) != Evidence::kNone)) {
+  const bool may_be_cold = may_be_ahead_ && !same && IsAmongNewest(upstream, now);
+  if (told && (!trusted_ || may_be_cold || FreshStart(upstream, now) != Evidence::kNone)) {
     upstream.started = *told + most_ahead_;
   }
   if (same && told) {
--- a/node/wall_clock.h
+++ b/node/wall_clock.h
@@ -21,6 +21,9 @@
   // A start is listed so long after it at the latest, beside the time for which discovery was not heard.
   static constexpr Duration kMostUnlisted = std::chrono::seconds(30);
 
+  // A first list whose newest start is older is a quiet fleet's, or its clock is ahead.
+  static constexpr Duration kLongQuiet = std::chrono::minutes(5);
+
   // `cold_time`: an upstream that started longer ago is as good as any.
   explicit WallClock(Duration cold_time) : cold_time_(cold_time) {}
 
@@ -47,6 +50,8 @@
 
   enum class Evidence { kNone, kAppeared, kRestarted };
   Evidence FreshStart(const Listed& upstream, TimePoint now) const;
+  bool IsAmongNewest(const Listed& upstream, TimePoint now) const;
+  bool MayBeAhead(const kestrellb::MembershipUpdate& update, TimePoint now) const;
   void JudgeOne(Listed& upstream, TimePoint now);
   void ListOnly(const kestrellb::MembershipUpdate& update);
   void ForgetLeft();
@@ -57,6 +62,8 @@
   Duration most_ahead_ = Duration::max();
   std::size_t forget_at_ = 0;  // so many known ones
   bool trusted_ = true;
+  bool told_ = false;          // discovery has told a list
+  bool may_be_ahead_ = false;  // of the list that is judged
 };
 
 }  // namespace mothrack
--- a/tests/wall_clock_test.cpp
+++ b/tests/wall_clock_test.cpp
@@ -81,11 +81,13 @@
   for (const Duration step : {Duration(minutes(1)), Duration(hours(1)), Duration(hours(24 * 365))}) {
     clock_.~WallClock();
     new (&clock_) WallClock(kCold);
-    // `warm` started ten minutes ago, `cold` three seconds; that can't be seen yet.
+    // `warm` started ten minutes ago, `cold` three seconds; that can't be seen yet. But where the newest
+    // start seems long ago, it is judged as if it were now.
+    const bool long_quiet = step > WallClock::kLongQuiet;
     const std::vector<Told> first = {
         {"a", hours(1) + step}, {"warm", minutes(10) + step}, {"cold", seconds(3) + step}};
     EXPECT_EQ(Hear(Kind::kFull, seconds(0), first),
-              (Ages{hours(1) + step, minutes(10) + step, seconds(3) + step}));
+              (Ages{hours(1) + step, minutes(10) + step, long_quiet ? seconds(0) : seconds(3) + step}));
     const auto fresh = Hear(Kind::kChanges, seconds(2), {{"a", seconds(1) + step}});
     EXPECT_EQ(fresh, Ages{seconds(0)}) << "as if it started now";
     EXPECT_EQ(clock_.ahead(), seconds(1) + step);
@@ -94,14 +96,40 @@
     const auto all = Hear(
         Kind::kFull, seconds(3),
         {{"a", seconds(2) + step}, {"warm", minutes(10) + seconds(3) + step}, {"cold", seconds(6) + step}});
-    EXPECT_EQ(all, (Ages{seconds(1), minutes(10) + seconds(3) + step, seconds(5)}));
+    const Duration cold = long_quiet ? seconds(3) : seconds(5);  // by the first list, by what was seen since
+    EXPECT_EQ(all, (Ages{seconds(1), minutes(10) + seconds(3) + step, cold}));
     EXPECT_FALSE(ask_for_all_) << "once is enough";
     // Told again it is the same: a start that moves would be a new process.
-    EXPECT_EQ(Hear(Kind::kChanges, seconds(4), {{"cold", seconds(7) + step}}), Ages{seconds(6)});
+    EXPECT_EQ(Hear(Kind::kChanges, seconds(4), {{"cold", seconds(7) + step}}), Ages{cold + seconds(1)});
     EXPECT_EQ(Hear(Kind::kChanges, seconds(9), {{"new", step}}), Ages{seconds(0)});
   }
 }
 
+// A process that starts after its clock was put forward: whatever may be cold is taken for it, by the newest
+// start.
+TEST_F(WallClockTest, TheNewestOfAFirstListAreTakenForColdWhereAllSeemOld) {
+  const std::vector<Told> first = {{"a", {}},
+                                   {"b", hours(9)},
+                                   {"c", hours(1)},
+                                   {"d", hours(1) + seconds(20)},
+                                   {"e", hours(1) + minutes(1)}};
+  EXPECT_EQ(Hear(Kind::kFull, seconds(0), first),
+            (Ages{Duration::zero(), hours(9), seconds(0), seconds(20), hours(1) + minutes(1)}));
+  EXPECT_FALSE(clock_.ahead()) << "it need not be";
+  EXPECT_FALSE(ask_for_all_);
+  EXPECT_EQ(Hear(Kind::kFull, seconds(30), {{"c", hours(1) + seconds(30)}, {"f", hours(9)}}),
+            (Ages{seconds(30), hours(8)}))
+      << "the same process; and one that appears is as young as the newest start allows";
+}
+
+TEST_F(WallClockTest, WhereHalfOfAFirstListStartedLastTheyStartedTogetherLongAgo) {
+  EXPECT_EQ(Hear(Kind::kFull, seconds(0), {{"a", hours(1)}, {"b", hours(1)}, {"c", hours(2)}, {"d", {}}}),
+            (Ages{hours(1), hours(1), hours(2), Duration::zero()}));
+  EXPECT_EQ(Hear(Kind::kFull, seconds(1), {{"a", hours(1) + seconds(1)}, {"d", {}}}),
+            (Ages{hours(1) + seconds(1), Duration::zero()}))
+      << "judged once, as the first list had it";
+}
+
 // It may have been listed before this process came, and be old: it alone is taken for cold.
 TEST_F(WallClockTest, OneThatAppearsIsTakenForNewAndNothingElseIsChanged) {
   Hear(Kind::kFull, seconds(0), {{"a", hours(2)}, {"b", hours(3)}});
@@ -199,11 +227,14 @@
  private:
   json ListNow(Duration age) const {
     const auto started = std::chrono::duration_cast<milliseconds>(age).count();
-    return List({Target("u1", u1_.address(), "active", UnixMs() - started), Target("u2", u2_.address()),
-                 Target("u3", u3_.address())});
+    // The others started with the first one's first process: half of a list or more is not taken for cold.
+    return List({Target("u1", u1_.address(), "active", UnixMs() - started),
+                 Target("u2", u2_.address(), "active", first_start_ms_),
+                 Target("u3", u3_.address(), "active", first_start_ms_)});
   }
 
   FaultInjector faults_;
+  const std::int64_t first_start_ms_ = UnixMs() - milliseconds(hours(2)).count();
   Upstream u1_{Upstream::Echo("u1")}, u2_{Upstream::Echo("u2")}, u3_{Upstream::Echo("u3")};
   Discovery discovery_{ListNow(hours(2))};
   std::unique_ptr<Node> node_;
