--- a/tests/system_call_faults_test.cpp
+++ b/tests/system_call_faults_test.cpp
@@ -380,5 +380,51 @@
         TransferRow{"pollEINTR", {.call = SystemCall::kEpollWait, .error = EINTR, .times = 5}}),
     [](const auto& row) { return row.param.name; });
 
+// ---- A connection that the system gives up ----
+
+struct GivenUpRow {
+  SystemCall call;
+  int error;
+};
+
+std::string GivenUpName(const ::testing::TestParamInfo<GivenUpRow>& row) {
+  const std::string call = row.param.call == SystemCall::kRead ? "read" : "write";
+  return call + ::strerrorname_np(row.param.error);
+}
+
+class GivenUpConnection : public SystemCallFaults, public ::testing::WithParamInterface<GivenUpRow> {
+ protected:
+  FaultInjector::Id GiveUpOne(Descriptor on) {
+    return faults_.Force({.call = GetParam().call, .error = GetParam().error, .times = 1, .on = on});
+  }
+};
+
+// Its request may be repeated and is served on another connection.
+TEST_P(GivenUpConnection, ToAnUpstreamCostsNoAnswer) {
+  Start(2);
+  const auto fault = GiveUpOne(Descriptor::kOutgoing);
+  for (int i = 0; i < 10; ++i) ASSERT_EQ(Ask(*client_, "a" + std::to_string(i)), 200u) << i;
+  EXPECT_EQ(faults_.forced(fault), 1);
+  EXPECT_EQ(node_->log().find("ejected"), std::string::npos);
+}
+
+// That client's connection ends; the others are served.
+TEST_P(GivenUpConnection, OfAClientIsThatClientsAlone) {
+  Start();
+  const auto fault = GiveUpOne(Descriptor::kAccepted);
+  ASSERT_TRUE(client_->Send(GetText("/page/x", "x", kDeadlineMs)));
+  ASSERT_TRUE(faults_.WaitUntilForced(fault));
+  EXPECT_TRUE(client_->wire.ReadsEnd());
+  Client other(node_->port());
+  for (int i = 0; i < 10; ++i) ASSERT_EQ(Ask(other, "o" + std::to_string(i)), 200u) << i;
+}
+
+INSTANTIATE_TEST_SUITE_P(
+    Errors, GivenUpConnection,
+    ::testing::Values(GivenUpRow{SystemCall::kRead, ETIMEDOUT}, GivenUpRow{SystemCall::kRead, EHOSTUNREACH},
+                      GivenUpRow{SystemCall::kRead, ECONNRESET}, GivenUpRow{SystemCall::kWrite, ETIMEDOUT},
+                      GivenUpRow{SystemCall::kWrite, EHOSTUNREACH}, GivenUpRow{SystemCall::kWrite, EPIPE}),
+    GivenUpName);
+
 }  // namespace
 }  // namespace mothrack::testing
