--- a/tests/lab_faults_test.cpp
+++ b/tests/lab_faults_test.cpp
@@ -245,30 +245,25 @@
 
 TEST(DroppedRequests, AreNotThoseThatAreAnsweredWhileTheirClientListensOn) {
   // Behind the client's time of 600 ms, well within the 5 s that it listens on.
-  std::vector<std::shared_ptr<boost::asio::steady_timer>> timers;
-  const auto late = [&](Peer& peer, const Peer::Connection& connection) {
-    timers.push_back(std::make_shared<boost::asio::steady_timer>(peer.io, milliseconds(700)));
-    timers.back()->async_wait([&peer, connection](error_code) { peer.Answer(connection); });
+  const auto late = [](Peer& peer, const Peer::Connection& connection) {
+    const auto timer = std::make_shared<boost::asio::steady_timer>(peer.io, milliseconds(700));
+    timer->async_wait([&peer, connection, timer](error_code) { peer.Answer(connection); });
   };
   const LoadWindow window = Play(late, seconds(5));
   EXPECT_EQ(window.unanswered, window.traffic.requests);
   EXPECT_EQ(window.dropped, 0u);
-  timers.clear();
 }
 
 TEST(DroppedRequests, AreThoseReadOnARestingConnectionAndClosedMuchLater) {
   // Each connection is answered once; its second request is held, and closed 400 ms later.
-  std::set<Peer::Connection> answered;
-  std::vector<std::shared_ptr<boost::asio::steady_timer>> timers;
+  std::set<const tcp::socket*> answered;
   const auto hold = [&](Peer& peer, const Peer::Connection& connection) {
-    if (answered.insert(connection).second) return peer.Answer(connection);
-    timers.push_back(std::make_shared<boost::asio::steady_timer>(peer.io, milliseconds(400)));
-    timers.back()->async_wait([connection](error_code) { connection->close(); });
+    if (answered.insert(connection.get()).second) return peer.Answer(connection);
+    const auto timer = std::make_shared<boost::asio::steady_timer>(peer.io, milliseconds(400));
+    timer->async_wait([connection, timer](error_code) { connection->close(); });
   };
   const LoadWindow window = Play(hold, milliseconds(100), 20);
   EXPECT_GT(window.dropped, 0u);
-  timers.clear();
-  answered.clear();
 }
 
 // ---- A real sidecar ----
