--- a/tests/random_play.h
+++ b/tests/random_play.h
@@ -65,6 +65,8 @@
     return hash_;
   }
 
+  // As Run()'s result, but without the text of log lines: equal wherever the decisions are.
+  std::uint64_t decisions() const { return decisions_; }
   std::size_t actions() const { return actions_; }
   std::size_t ejections() const { return ejections_; }
   std::size_t sent() const { return sent_; }
@@ -287,7 +289,10 @@
     }
   }
 
-  void Mix(std::uint64_t value) { hash_ = (hash_ ^ value) * 0x100000001b3; }
+  void Mix(std::uint64_t value) {
+    hash_ = (hash_ ^ value) * 0x100000001b3;
+    decisions_ = (decisions_ ^ value) * 0x100000001b3;
+  }
   void Mix(const std::string& text) {
     for (const char c : text) Mix(static_cast<unsigned char>(c));
   }
@@ -338,7 +343,9 @@
   void Record(const Subscribe&) {}
   void Record(const Log& a) {
     ejections_ += a.text.starts_with("ejected");
+    const std::uint64_t decisions = decisions_;
     Mix(a.text);
+    decisions_ = decisions;
   }
 
   const PlayOptions options_;
@@ -354,6 +361,7 @@
   std::multimap<TimePoint, std::string> probes_;
   std::uint64_t next_upstream_ = 0, last_request_ = 0;
   std::uint64_t hash_ = 0xcbf29ce484222325;
+  std::uint64_t decisions_ = 0xcbf29ce484222325;
   std::size_t actions_ = 0, ejections_ = 0, sent_ = 0, broken_ = 0;
 };
 
