--- a/sim/wire.h
+++ b/adapter/wire.h
@@ -3,28 +3,19 @@
 
 #include <cstdint>
 #include <map>
-#include <stdexcept>
 #include <string>
 #include <vector>
 
-#include "kestrellb/balancer.h"
+#include "balancer/balancer.h"
 #include "nlohmann/json.hpp"
 
-namespace kestrellb::wire {
-
-// A line that is not a batch, or lacks a field that it needs. The text names the field or the event.
-class Error : public std::runtime_error {
- public:
-  using std::runtime_error::runtime_error;
-};
-
-// The settings of one instance, from `Launch`'s `Params`. Missing settings keep their defaults.
-Settings ParseSettings(const nlohmann::json& params);
+namespace lb::adapter {
 
 // Hosts the instances of one process. Instances share nothing but the numbered lists they are handed.
 class Host {
  public:
-  // One batch in, one reply out (without the line's end). Throws Error.
+  // One batch in, one reply out (without the line's end). Throws FieldError where the line is no batch or
+  // lacks a field that it needs; the text names the event and the field.
   std::string Reply(const std::string& line);
 
  private:
@@ -44,4 +35,4 @@
   std::vector<Action> actions_;
 };
 
-}  // namespace kestrellb::wire
+}  // namespace lb::adapter
--- a/src/balancer.cpp
+++ b/balancer/balancer.cpp
@@ -1,5 +1,5 @@
-// Every decision of kestrellb, and nothing else. The interface is include/kestrellb/balancer.h; what is kept
-// of a request is in src/state.h, of an upstream in src/upstream.h, of the list in src/membership.h.
+// Every decision, and nothing else. The interface is balancer/balancer.h; what is kept of a request is in
+// state.h, of an upstream in upstream.h, of the list in membership.h.
 //
 // The mechanism is the consecutive-failures circuit breaker of the Linkerd circuit-breaking RFC, per
 // upstream, with smooth weighted rotation over the upstreams that are not ejected. The parts, in this order:
@@ -10,7 +10,7 @@
 //   attempts     MaySend(): what a class allows; time-outs, trials, retries, second copies
 //   admission    the limit on calls held at once, refusal, and the final answer: Finish()
 //   slow start   the ramp and the budget of a cold upstream
-#include "kestrellb/balancer.h"
+#include "balancer/balancer.h"
 
 #include <algorithm>
 #include <cmath>
@@ -19,9 +19,9 @@
 #include <unordered_map>
 #include <utility>
 
-#include "state.h"
+#include "balancer/state.h"
 
-namespace kestrellb {
+namespace lb {
 namespace {
 
 using std::chrono::duration_cast;
@@ -100,13 +100,13 @@
  public:
   Impl(Settings settings, std::uint64_t seed) : settings_(std::move(settings)), random_(seed) {
     settings_.Validate();
-    members_.StartAt(static_cast<double>(settings_.self % settings_.balancers) /
-                     static_cast<double>(settings_.balancers));
+    members_.StartAt(static_cast<double>(settings_.sidecar_index % settings_.sidecar_count) /
+                     static_cast<double>(settings_.sidecar_count));
     ask_pause_ = LongestAskPause() / 2;
     trusted_idle_ = settings_.limits.idle_close;
     retry_budget_ = kRetryBurst;
-    if (settings_.load_by_probe && settings_.limits.probes) {
-      ask_price_ = std::max(settings_.prices.probe, 1e-9);
+    if (settings_.load_by_probe && settings_.limits.load_probes_allowed) {
+      ask_price_ = std::max(settings_.decision_costs.probe, 1e-9);
       asks_ = static_cast<std::size_t>(std::clamp(kAskSpend / ask_price_, 1.0, kMostAsked));
     }
     usual_time_.resize(settings_.classes.size());
@@ -129,14 +129,14 @@
   void Start() {
     running_ = true;
     started_ = now_;
-    if (settings_.membership_on_request) Emit(Subscribe{});
+    if (settings_.polled_membership) Emit(Subscribe{});
     Emit(SetTimer{now_ + kHousekeeping, kHousekeepingToken});
   }
 
   void On(const MembershipUpdate& update) {
     if (update.kind == MembershipUpdate::Kind::kFailed) {
       // Not at once, that would add to what made it fail; well inside `ask_within` the list still holds.
-      if (settings_.membership_on_request) ask_again_at_ = now_ + Scaled(ask_pause_, 1 + Uniform());
+      if (settings_.polled_membership) ask_again_at_ = now_ + Scaled(ask_pause_, 1 + Uniform());
       ask_pause_ = std::min(2 * ask_pause_, LongestAskPause());
       return;
     }
@@ -154,7 +154,7 @@
 
   // Up to twice that is waited, and the next housekeeping acts on it.
   Duration LongestAskPause() const {
-    return std::min(settings_.rules.ask_within / 4, (kLongestAskPause - kHousekeeping) / 2);
+    return std::min(settings_.fleet_limits.poll_interval_limit / 4, (kLongestPollPause - kHousekeeping) / 2);
   }
 
   // As many as it sends the calls that eject one while what the first tells still counts. Guards against a
@@ -163,7 +163,8 @@
   // connections of all would fill the upstreams' tables, it is as many as this one keeps busy.
   double SubsetSize() const {
     const auto all = static_cast<double>(members_.size());
-    const double each = all / static_cast<double>(settings_.balancers);  // of one connection at each upstream
+    const double each =
+        all / static_cast<double>(settings_.sidecar_count);  // of one connection at each upstream
     if (now_ - started_ < kRateKnown || usual_rate_ <= 0)
       return std::max(kLeastSubset, std::min(all, kFirstConnections * each));
     const double watched = usual_rate_ * Seconds(LateMemory()) / kFailuresToEject;
@@ -171,7 +172,9 @@
     return std::max(kLeastSubset, std::min(watched, std::max(kFairConnections * each, busy)));
   }
 
-  double SubsetShare() const { return std::min(1.0, SubsetSize() / std::max<double>(1, members_.size())); }
+  double SubsetShare() const {
+    return std::min(1.0, SubsetSize() / std::max(1.0, static_cast<double>(members_.size())));
+  }
 
   void Adopt(const UpstreamInfo& info, std::vector<UpstreamPtr>& entering) {
     const auto [u, new_process, enters] = members_.Adopt(info);
@@ -184,8 +187,8 @@
     if (enters) entering.push_back(u);
   }
 
-  void On(const OperatorsWord& e) {
-    const auto info = members_.Override(e.upstream.value, e.out, now_);
+  void On(const OperatorOverride& e) {
+    const auto info = members_.Override(e.upstream.value, e.disabled, now_);
     if (!info) return;
     std::vector<UpstreamPtr> entering;
     Adopt(*info, entering);
@@ -204,7 +207,7 @@
       u.waiting_since = now_;
     }
     // Said to be full: it needs about the time of an answer to have room again.
-    if (outcome == Outcome::kFull) u.full_until = now_ + Scaled(UsualTime(), 0.5 + Uniform());
+    if (outcome == Outcome::kRejected) u.full_until = now_ + Scaled(UsualTime(), 0.5 + Uniform());
     if (!served && !IsFailure(outcome)) return;
     members_.Count(u, served, outcome == Outcome::kTimeout, kOutcomeMemory);
     u.failure_run = served ? 0 : u.failure_run + 1;
@@ -287,9 +290,9 @@
 
   // The usual time of an answer: of a class, and over all.
   Duration UsualTime(std::size_t cls) const {
-    return TimeOr(usual_time_[cls], settings_.classes[cls].aim / 4);
+    return TimeOr(usual_time_[cls], settings_.classes[cls].latency_objective / 4);
   }
-  Duration UsualTime() const { return TimeOr(usual_any_, settings_.classes[0].aim / 4); }
+  Duration UsualTime() const { return TimeOr(usual_any_, settings_.classes[0].latency_objective / 4); }
 
   // How long an upstream's answers take against what is usual. A trickle meets one upstream too seldom to
   // know: until it has answered often, it is taken for what its kind of machine is like.
@@ -309,7 +312,8 @@
     if (a.held > 0) u.held.Add(a.held, kSlownessMemory), usual_load_.Add(a.held, kUsualMemory);
     u.kind_slowness->Add(ratio, kUsualMemory);
     if (outcome != Outcome::kServed) return;
-    u.aim_share.Add(time / static_cast<double>(settings_.classes[cls].aim.count()), kSlownessMemory);
+    u.aim_share.Add(time / static_cast<double>(settings_.classes[cls].latency_objective.count()),
+                    kSlownessMemory);
     usual_time_[cls].Add(time, kUsualMemory);
     usual_any_.Add(time, kUsualMemory);
   }
@@ -322,13 +326,14 @@
   }
 
   bool HasConnection(const Upstream& u) const {
-    if (settings_.limits.streams > 1 && u.outstanding > 0) return true;
+    if (settings_.limits.streams_per_connection > 1 && u.outstanding > 0) return true;
     return u.idle > 0 && now_ - u.idle_since < settings_.limits.idle_close;
   }
 
   // How calls fare that open a connection: 1 where none comes about or it takes as long as an answer.
   void LearnConnecting(Upstream& u, const Attempt& a, std::size_t cls, Outcome outcome, Duration elapsed) {
-    const bool kept = outcome == Outcome::kServed || outcome == Outcome::kError || outcome == Outcome::kFull;
+    const bool kept =
+        outcome == Outcome::kServed || outcome == Outcome::kError || outcome == Outcome::kRejected;
     if (kept) ++u.idle, u.idle_since = now_;
     if (outcome == Outcome::kConnectFailed || outcome == Outcome::kReset) u.idle = 0;
     if (outcome == Outcome::kLocalFailure) u.idle = 0, u.connects_again = now_ + kConnectPause;
@@ -412,11 +417,12 @@
     if (!AttemptLeft(r, settings_.limits.max_attempts, true)) return false;
     for (const Attempt& a : r.attempts) {
       if (a.outcome && ProvesNotRun(*a.outcome)) continue;
-      if (!a.outcome && !settings_.limits.second_copies) return false;
-      if (r.cls->effect == Effect::kUnsafe) return false;
+      if (!a.outcome && !settings_.limits.hedging_allowed) return false;
+      if (r.cls->idempotency == Idempotency::kNotIdempotent) return false;
       // Repeats are dropped only while the upstreams remember the key. Half the window is left to begin and
       // for the way there.
-      if (r.cls->effect == Effect::kKeyed && now_ - a.sent >= r.cls->key_window / 2) return false;
+      if (r.cls->idempotency == Idempotency::kIdempotencyKey && now_ - a.sent >= r.cls->key_window / 2)
+        return false;
     }
     return true;
   }
@@ -427,7 +433,7 @@
     if (!AttemptLeft(r, settings_.limits.max_attempts, HasConnection(upstream))) return false;
     for (const Attempt& a : r.attempts) {
       if (a.outcome && ProvesNotRun(*a.outcome)) continue;
-      if (r.cls->effect != Effect::kKeyed) continue;
+      if (r.cls->idempotency != Idempotency::kIdempotencyKey) continue;
       // Repeats are dropped only among the upstreams that know the key.
       const UpstreamInfo& first = a.upstream->info;
       const UpstreamInfo& next = upstream.info;
@@ -440,7 +446,7 @@
   // A copy whose connection comes up late must not begin when the first that may have run is about forgotten.
   Duration BeginWithin(const Request& r) const {
     Duration within = Duration::max();
-    if (r.cls->effect != Effect::kKeyed) return within;
+    if (r.cls->idempotency != Idempotency::kIdempotencyKey) return within;
     for (const Attempt& a : r.attempts) {
       if (a.outcome && ProvesNotRun(*a.outcome)) continue;
       within = std::min(within, Duration(a.sent + r.cls->key_window * 3 / 4 - now_));
@@ -449,8 +455,8 @@
   }
 
   bool MayRefuse(const Request& r) const {
-    if (r.cls->effect == Effect::kSafe) return true;
-    if (r.cls->effect == Effect::kKeyed && r.cls->key_scope == KeyScope::kAll) return true;
+    if (r.cls->idempotency == Idempotency::kIdempotent) return true;
+    if (r.cls->idempotency == Idempotency::kIdempotencyKey && r.cls->key_scope == KeyScope::kAll) return true;
     return std::ranges::all_of(r.attempts, [](auto& a) { return a.outcome && ProvesNotRun(*a.outcome); });
   }
 
@@ -458,15 +464,16 @@
     const Duration left = r.deadline - (r.open ? r.arrived : now_);
     // Where a late answer has a worth it is waited for: given up at its aim, all the work on it would be lost
     // and begun anew, and in an overload that is most of what the upstreams do.
-    if (r.cls->late_worth > 0) return left;
+    if (r.cls->late_priority_weight > 0) return left;
     // What else may be repeated is given up at its aim: another upstream may have time for it, or it is worth
     // nothing.
-    const TimePoint aim = r.arrived + r.cls->aim;
+    const TimePoint latency_objective = r.arrived + r.cls->latency_objective;
     // Under overload also what may not be repeated: kept past its aim it is worth nothing and holds up the
     // rest.
-    const bool give_up = r.cls->effect != Effect::kUnsafe || (r.cls->late_worth <= 0 && limit_ < kNoLimit);
-    if (give_up && r.open) return std::min(left, r.cls->aim);
-    if (give_up && now_ < aim) return std::min(left, Duration(aim - now_));
+    const bool give_up = r.cls->idempotency != Idempotency::kNotIdempotent ||
+                         (r.cls->late_priority_weight <= 0 && limit_ < kNoLimit);
+    if (give_up && r.open) return std::min(left, r.cls->latency_objective);
+    if (give_up && now_ < latency_objective) return std::min(left, Duration(latency_objective - now_));
     return left;
   }
 
@@ -475,14 +482,15 @@
     if (!pick) return false;
     // A crossing's price has to be earned by a call less likely late. A far one hardly met is taken to be
     // good.
-    const bool weigh = asks_ == 1 && settings_.prices.cross_zone > 0 && !Near(*pick);
+    const bool weigh = asks_ == 1 && settings_.decision_costs.cross_zone > 0 && !Near(*pick);
     const UpstreamPtr near = weigh ? Pick(r, true, true) : nullptr;
-    if (near && Risk(*near) < Risk(*pick, 0) + settings_.prices.cross_zone * kCrossingGain) pick = near;
+    if (near && Risk(*near) < Risk(*pick, 0) + settings_.decision_costs.cross_zone * kCrossingGain)
+      pick = near;
     r.asked = {{pick}};
     const std::size_t asks = asks_ == 1 && Risk(*pick) > ask_price_ ? kAsksAtRisk : asks_;
     while (r.asked.size() < asks) {
       // Where crossing zones has its price the next one is near; a third anywhere, as near ones jam together.
-      const bool second = settings_.prices.cross_zone > 0 && r.asked.size() == 1;
+      const bool second = settings_.decision_costs.cross_zone > 0 && r.asked.size() == 1;
       UpstreamPtr next = second ? Pick(r, true, true) : nullptr;
       if (!next || Tried(r, *next)) next = Pick(r);
       if (!next || Tried(r, *next)) break;  // there is no other
@@ -495,7 +503,7 @@
     }
     // One answer serves all that wait for it: a burst would open a connection for each probe.
     for (const Asked& a : r.asked)
-      if (!std::exchange(a.upstream->asked, true)) Emit(SendProbe{a.upstream->info.id, trusted_idle_});
+      if (!std::exchange(a.upstream->asked, true)) Emit(SendLoadProbe{a.upstream->info.id, trusted_idle_});
     asking_.push_back(r.id);
     Wake(r, now_ + Scaled(settings_.limits.connect_timeout, kAskPatience));
     return true;
@@ -509,7 +517,7 @@
     return (own.sum + others * Share(all)) / (own.samples + 1);
   }
 
-  Duration LateMemory() const { return settings_.rules.cold_time / 2; }
+  Duration LateMemory() const { return settings_.fleet_limits.slow_start_duration / 2; }
 
   // Of the upstreams asked, the one that holds the least for what it can do. Guards against queues that a
   // sidecar with a trickle does not see: they are other sidecars' calls.
@@ -526,11 +534,11 @@
       Upstream& u = *a.upstream;
       if (!a.held || !MayTake(u) || !MaySend(r, u)) continue;
       // Holds more than it serves within the aim: a call would be late and keep it jammed.
-      const double late = Expected(u, *a.held, r.cls_index) / Seconds(r.cls->aim);
-      const bool jam = a.served > 0 ? *a.held > a.served * kHoldFor * Seconds(r.cls->aim)
+      const double late = Expected(u, *a.held, r.cls_index) / Seconds(r.cls->latency_objective);
+      const bool jam = a.served > 0 ? *a.held > a.served * kHoldFor * Seconds(r.cls->latency_objective)
                                     : late > kHoldFor && usual_load_.samples >= kKindPrior;
       // About how likely it is late, against a crossing's price. One put back is to be seen in use again.
-      const double far = Near(u) ? 0 : settings_.prices.cross_zone;
+      const double far = Near(u) ? 0 : settings_.decision_costs.cross_zone;
       const bool unmet = u.put_back && u.calls + u.outstanding < 1;
       const double load = unmet ? 0 : std::pow(late * mean / u.info.weight, 2) + far;
       jammed |= jam;
@@ -549,7 +557,7 @@
     return Seconds(UsualTime(cls)) * Slowness(u) / Warmth(u) * (held + 1) / then;
   }
 
-  void On(const ProbeEnded& e) {
+  void On(const LoadProbeFinished& e) {
     const UpstreamPtr u = members_.Find(e.upstream.value);
     if (!u) return;
     u->asked = false;
@@ -575,7 +583,7 @@
         if (a.upstream == upstream && a.held) ++*a.held;
     const Duration idle_for = now_ - u.idle_since;
     if (u.idle > 0 && idle_for > trusted_idle_) {
-      Emit(CloseIdle{u.info.id});
+      Emit(CloseIdleConnections{u.info.id});
       u.idle = 0;
     }
     const bool connects = !HasConnection(u);
@@ -589,8 +597,8 @@
   // A copy of a call that may be repeated tries out an ejected or suspect upstream; the client does not
   // depend on it. Where nothing else stands the call itself is the trial: refusing all is the worst outcome.
   bool Try(Request& r) {
-    if (!settings_.limits.second_copies && !r.attempts.empty()) return false;
-    if (r.cls->effect == Effect::kUnsafe) return false;
+    if (!settings_.limits.hedging_allowed && !r.attempts.empty()) return false;
+    if (r.cls->idempotency == Idempotency::kNotIdempotent) return false;
     for (Upstream* u : members_.Watched()) {
       if (!u->ejected && u->failure_run == 0 && u->outstanding == 0) continue;  // no suspect
       if (Tried(r, *u) || !MayTake(*u, true) || !MaySend(r, *u)) continue;
@@ -612,7 +620,7 @@
     r.arrived = now_;
     r.deadline = e.deadline;
     r.client_retry = e.client_retry;
-    r.passing = r.open = e.open;
+    r.passing = r.open = e.body_pending;
     ++arrivals_;
     retry_budget_ = std::min(kRetryBurst, retry_budget_ + kRetryBudget);
     if (!r.open) Wake(r, r.deadline);
@@ -620,7 +628,7 @@
     if (!r.open) LookAgain(r);
   }
 
-  void On(const RequestWhole& e) {
+  void On(const RequestCompleted& e) {
     Request* r = Find(e.request);
     if (r == nullptr || r->ended || !std::exchange(r->open, false)) return;
     r->arrived = now_;
@@ -632,7 +640,7 @@
 
   void LookAgain(Request& r) {
     r.late_at = now_ + Scaled(UsualTime(r.cls_index), kLate);
-    const bool may = r.cls->effect != Effect::kUnsafe && settings_.limits.second_copies;
+    const bool may = r.cls->idempotency != Idempotency::kNotIdempotent && settings_.limits.hedging_allowed;
     if (!r.ended && may && r.late_at < r.deadline) Wake(r, r.late_at);
   }
 
@@ -646,7 +654,8 @@
   // after a proof that nothing ran. What can no longer be in time for any worth is not tried again either.
   bool WorthAnother(const Request& r) {
     if (r.attempts.empty()) return true;
-    if (!r.open && r.cls->late_worth <= 0 && now_ >= r.arrived + r.cls->aim) return false;
+    if (!r.open && r.cls->late_priority_weight <= 0 && now_ >= r.arrived + r.cls->latency_objective)
+      return false;
     const auto& last = r.attempts.back().outcome;
     if (last && ProvesNotRun(*last) && (NeverLeft(*last) || r.attempts.size() <= kFreeRepeats)) return true;
     if (retry_budget_ < 1) return false;
@@ -688,7 +697,7 @@
     SendTo(r, pick, false);
   }
 
-  void On(const AnswerStarted& e) {
+  void On(const ResponseStarted& e) {
     Request* r = Find(e.request);
     Attempt* attempt = r == nullptr ? nullptr : AttemptOf(*r, e.attempt);
     if (attempt == nullptr || r->ended || r->streaming || attempt->outcome) return;
@@ -699,19 +708,19 @@
     }
   }
 
-  void On(const AttemptEnded& e) {
+  void On(const AttemptFinished& e) {
     Request* r = Find(e.request);
     Attempt* attempt = r == nullptr ? nullptr : AttemptOf(*r, e.attempt);
     if (attempt == nullptr || attempt->outcome) return;
     attempt->outcome = e.outcome;
-    attempt->idle_for = e.idle_for.value_or(attempt->idle_for);
-    r->spent |= e.spent;
+    attempt->idle_for = e.connection_idle_for.value_or(attempt->idle_for);
+    r->spent |= e.body_consumed;
     if (!attempt->answering) {
       Account(*r, *attempt, e.outcome, e.elapsed);
     } else if (IsFailure(e.outcome)) {
       Judge(*attempt->upstream, *attempt, e.outcome);
     }
-    if (e.finished) {
+    if (e.response_delivered) {
       End(*r);
     } else if (attempt->answering) {
       Finish(*r);  // a broken stream that the sidecar still wants an answer for
@@ -732,7 +741,7 @@
     if (outcome == Outcome::kServed) ++served_;
   }
 
-  void On(const RequestGone& e) {
+  void On(const RequestCancelled& e) {
     if (Request* r = Find(e.request)) End(*r);
     Forget(e.request);
   }
@@ -754,18 +763,18 @@
   }
 
   double WorthForTime(std::size_t cls) const {
-    return settings_.classes[cls].worth / static_cast<double>(UsualTime(cls).count());
+    return settings_.classes[cls].priority_weight / static_cast<double>(UsualTime(cls).count());
   }
 
   // Lateness of a cold, suspect or ejected upstream is its own trouble, unless such ones are the most.
   bool Telling(const Upstream& u) const { return !u.ejected && Warmth(u) >= 1 && !Suspect(u); }
 
   void CountLate(const Request& r, Upstream& u, Outcome outcome, Duration elapsed) {
-    const bool late = outcome != Outcome::kServed || elapsed > Scaled(r.cls->aim, kLateFrom);
+    const bool late = outcome != Outcome::kServed || elapsed > Scaled(r.cls->latency_objective, kLateFrom);
     if (outcome != Outcome::kCancelled && !NeverLeft(outcome))
       for (Fading* share : {&u.late, &all_late_}) share->Add(late, now_, LateMemory());
     if (!Telling(u) && 2 * telling_weight_ > serving_weight_) return;
-    if (outcome != Outcome::kServed && outcome != Outcome::kTimeout && outcome != Outcome::kFull) return;
+    if (outcome != Outcome::kServed && outcome != Outcome::kTimeout && outcome != Outcome::kRejected) return;
     if (outcome == Outcome::kTimeout && !Loaded(u)) return;
     ++timely_or_not_;
     late_ += late;
@@ -814,9 +823,9 @@
       // A call given up at its aim or in an overload gains nothing by a repeat that comes sooner: it would be
       // late or refused too, and all sidecars' repeats together keep the overload up.
       const Duration wait = Scaled(settings_.limits.max_retry_after, 1 - kRetrySpread * Uniform());
-      Emit(Refuse{r.id, settings_.limits.retry_after ? wait : Duration::zero()});
+      Emit(RejectRequest{r.id, settings_.limits.send_retry_after ? wait : Duration::zero()});
     } else {
-      Emit(Fail{r.id});
+      Emit(FailRequest{r.id});
     }
     End(r);
   }
@@ -829,7 +838,7 @@
   }
 
   void Cancel(const Request& r, std::size_t attempt) {
-    if (r.attempts[attempt].outcome || !settings_.limits.cancel) return;
+    if (r.attempts[attempt].outcome || !settings_.limits.cancellation_allowed) return;
     if (r.attempts[attempt].trial) return;  // its outcome is what it was sent for
     Emit(CancelAttempt{r.id, AttemptId{attempt}});
   }
@@ -841,8 +850,8 @@
   double Warmth(const Upstream& u) const {
     const auto started = std::max(u.info.started, u.put_back);
     if (!started) return 1;
-    const double age = Seconds(now_ - *started) / Seconds(settings_.rules.cold_time);
-    const double from = settings_.rules.cold_from;
+    const double age = Seconds(now_ - *started) / Seconds(settings_.fleet_limits.slow_start_duration);
+    const double from = settings_.fleet_limits.slow_start_initial_share;
     return std::clamp(from + (1 - from) * age, from, 1.0);
   }
 
@@ -856,9 +865,9 @@
     const bool member = static_cast<double>(members_.PlaceOf(u)) < SubsetSize();
     const double usual = std::max(usual_served_, usual_rate_ / 2) * u.info.weight /
                          std::max(usual_weight_ * SubsetShare(), u.info.weight);
-    const double rate = settings_.rules.fall_multiple * kColdSafety * warmth * usual *
+    const double rate = settings_.fleet_limits.overload_multiple * kColdSafety * warmth * usual *
                         (member ? 1 : SubsetShare() * kColdBeyond);
-    const double window = Seconds(settings_.rules.fall_window);
+    const double window = Seconds(settings_.fleet_limits.overload_window);
     double since = Seconds(now_ - u.cold_refilled);
     const bool enters = member && !u.cold_member;
     if (enters || (!member && since > window / 2)) {
@@ -891,7 +900,7 @@
 
   void Housekeeping() {
     Emit(SetTimer{now_ + kHousekeeping, kHousekeepingToken});
-    UpdateUsual(kHousekeeping, settings_.rules.cold_time);
+    UpdateUsual(kHousekeeping, settings_.fleet_limits.slow_start_duration);
     members_.CountAnew();
     UpdateLimit();
     trusted_idle_ = std::min(Scaled(trusted_idle_, kTrustGrowth), settings_.limits.idle_close);
@@ -913,7 +922,7 @@
   void Emit(T action) {
     out_->emplace_back(std::move(action));
   }
-  void Say(std::string text) { Emit(Log{std::move(text)}); }
+  void Say(std::string text) { Emit(LogLine{std::move(text)}); }
 
   const Settings settings_;
   std::mt19937_64 random_;
@@ -925,10 +934,10 @@
 Balancer::Balancer(Balancer&&) noexcept = default;
 Balancer& Balancer::operator=(Balancer&&) noexcept = default;
 
-void Balancer::handle(TimePoint now, const Event& event, std::vector<Action>& actions) {
+void Balancer::Handle(TimePoint now, const Event& event, std::vector<Action>& actions) {
   impl_->Handle(now, event, actions);
 }
 
 std::size_t Balancer::upstreams_visited() const { return impl_->UpstreamsVisited(); }
 
-}  // namespace kestrellb
+}  // namespace lb
--- a/src/membership.cpp
+++ b/balancer/membership.cpp
@@ -1,4 +1,4 @@
-#include "membership.h"
+#include "balancer/membership.h"
 
 #include <algorithm>
 #include <bit>
@@ -7,7 +7,7 @@
 #include <tuple>
 #include <utility>
 
-namespace kestrellb {
+namespace lb {
 namespace {
 
 constexpr int kUnitBits = 64;
@@ -229,4 +229,4 @@
   }
 }
 
-}  // namespace kestrellb
+}  // namespace lb
--- a/src/membership.h
+++ b/balancer/membership.h
@@ -11,9 +11,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "upstream.h"
+#include "balancer/upstream.h"
 
-namespace kestrellb {
+namespace lb {
 
 // A sum of weights that does not depend on the order of the additions, and so may be kept from change to
 // change: it is exact, and rounded once where it is read. In units of 2^-64: a weight from 2^-11 up to 2^48
@@ -141,4 +141,4 @@
   mutable std::size_t visits_ = 0;
 };
 
-}  // namespace kestrellb
+}  // namespace lb
--- a/src/settings.cpp
+++ b/balancer/settings.cpp
@@ -1,4 +1,6 @@
 // Settings that make no sense are turned away before a balancer acts on them.
+#include "balancer/settings.h"
+
 #include <chrono>
 #include <set>
 #include <stdexcept>
@@ -6,13 +8,11 @@
 #include <utility>
 #include <vector>
 
-#include "kestrellb/balancer.h"
-
-namespace kestrellb {
+namespace lb {
 namespace {
 
 void Require(bool sound, const char* setting) {
-  if (!sound) throw std::invalid_argument(std::string("kestrellb: bad setting ") + setting);
+  if (!sound) throw std::invalid_argument(std::string("bad setting ") + setting);
 }
 
 // Longer is a slip of units, and too long to be added to a time.
@@ -37,32 +37,33 @@
   Require(NamesDiffer(classes), "classes.name");
   Require(NamesDiffer(tenants), "tenants.name");
   for (const RequestClass& c : classes) {
-    Require(Positive(c.aim), "classes.aim");
+    Require(Positive(c.latency_objective), "classes.aim");
     Require(Positive(c.deadline), "classes.deadline");
-    Require(c.effect != Effect::kKeyed || Positive(c.key_window), "classes.key_window");
-    Require(c.worth >= 0, "classes.worth");
-    Require(c.late_worth >= 0 && c.late_worth <= 1, "classes.late_worth");
-    Require(c.aim_stretch >= 0, "classes.aim_stretch");
+    Require(c.idempotency != Idempotency::kIdempotencyKey || Positive(c.key_window), "classes.key_window");
+    Require(c.priority_weight >= 0, "classes.worth");
+    Require(c.late_priority_weight >= 0 && c.late_priority_weight <= 1, "classes.late_worth");
+    Require(c.latency_objective_stretch >= 0, "classes.aim_stretch");
   }
   for (const Tenant& t : tenants) Require(t.share >= 0 && t.quota_per_s >= 0, "tenants");
-  Require(balancers > 0, "balancers");
+  Require(sidecar_count > 0, "balancers");
   Require(limits.max_attempts > 0, "limits.max_attempts");
   Require(Positive(limits.connect_timeout), "limits.connect_timeout");
   Require(Positive(limits.idle_close), "limits.idle_close");
   for (const auto& [time, name] : {std::pair(limits.max_retry_after, "limits.max_retry_after"),
-                                   std::pair(rules.answer_grace, "rules.answer_grace"),
-                                   std::pair(rules.drain_grace, "rules.drain_grace")}) {
+                                   std::pair(fleet_limits.answer_grace, "rules.answer_grace"),
+                                   std::pair(fleet_limits.drain_grace, "rules.drain_grace")}) {
     Require(time >= Duration::zero() && time <= kLongest, name);
   }
-  for (const double price :
-       {prices.cross_zone, prices.handshake, prices.probe, prices.waste, prices.late_fail}) {
+  for (const double price : {decision_costs.cross_zone, decision_costs.handshake, decision_costs.probe,
+                             decision_costs.waste, decision_costs.late_fail}) {
     Require(price >= 0, "prices");
   }
-  Require(Positive(rules.ask_within), "rules.ask_within");
-  Require(rules.cold_from > 0 && rules.cold_from <= 1, "rules.cold_from");
-  Require(Positive(rules.cold_time), "rules.cold_time");
-  Require(rules.fall_multiple > 0, "rules.fall_multiple");
-  Require(Positive(rules.fall_window), "rules.fall_window");
+  Require(Positive(fleet_limits.poll_interval_limit), "rules.ask_within");
+  Require(fleet_limits.slow_start_initial_share > 0 && fleet_limits.slow_start_initial_share <= 1,
+          "rules.cold_from");
+  Require(Positive(fleet_limits.slow_start_duration), "rules.cold_time");
+  Require(fleet_limits.overload_multiple > 0, "rules.fall_multiple");
+  Require(Positive(fleet_limits.overload_window), "rules.fall_window");
 }
 
-}  // namespace kestrellb
+}  // namespace lb
--- a/src/state.h
+++ b/balancer/state.h
@@ -11,16 +11,16 @@
 #include <utility>
 #include <vector>
 
-#include "kestrellb/balancer.h"
-#include "membership.h"
-#include "upstream.h"
+#include "balancer/balancer.h"
+#include "balancer/membership.h"
+#include "balancer/upstream.h"
 
-namespace kestrellb {
+namespace lb {
 
 // What an outcome says by the interface: nothing ran; the upstream failed.
 inline bool ProvesNotRun(Outcome outcome) {
-  return outcome == Outcome::kFull || outcome == Outcome::kConnectFailed || outcome == Outcome::kNotSent ||
-         outcome == Outcome::kLocalFailure;
+  return outcome == Outcome::kRejected || outcome == Outcome::kConnectFailed ||
+         outcome == Outcome::kNotSent || outcome == Outcome::kLocalFailure;
 }
 
 // Nothing of it left this machine.
@@ -112,14 +112,14 @@
 
   // The usual rate and weight change slowly: a burst or the loss of half the list must not raise the budgets
   // of those that are cold for `cold_time` at most. Called each `interval`.
-  void UpdateUsual(Duration interval, Duration cold_time) {
+  void UpdateUsual(Duration interval, Duration slow_start_duration) {
     const double dt = Seconds(interval);
-    const double memory = std::min(Seconds(now_ - started_), Seconds(cold_time) / 2);
+    const double memory = std::min(Seconds(now_ - started_), Seconds(slow_start_duration) / 2);
     usual_rate_ += (static_cast<double>(arrivals_) / dt - usual_rate_) * std::min(1.0, dt / memory);
     usual_served_ += (static_cast<double>(served_) / dt - usual_served_) * std::min(1.0, dt / memory);
     arrivals_ = served_ = 0;
-    usual_weight_ =
-        std::max(members_.listed_weight().value(), usual_weight_ * (1 - dt / (2 * Seconds(cold_time))));
+    usual_weight_ = std::max(members_.listed_weight().value(),
+                             usual_weight_ * (1 - dt / (2 * Seconds(slow_start_duration))));
   }
 
   void Forget(RequestId id) {
@@ -180,4 +180,4 @@
   double usual_weight_ = 0;  // the list's weight, slow to fall
 };
 
-}  // namespace kestrellb
+}  // namespace lb
--- a/src/upstream.h
+++ b/balancer/upstream.h
@@ -9,9 +9,9 @@
 #include <optional>
 #include <string>
 
-#include "kestrellb/balancer.h"
+#include "balancer/balancer.h"
 
-namespace kestrellb {
+namespace lb {
 
 inline double Seconds(Duration d) { return static_cast<double>(d.count()) / 1e6; }
 inline Duration Scaled(Duration d, double factor) {
@@ -112,4 +112,4 @@
 
 using UpstreamPtr = std::shared_ptr<Upstream>;  // those that are gone live on while calls refer to them
 
-}  // namespace kestrellb
+}  // namespace lb
--- a/lab/engine.h
+++ b/lab/engine.h
@@ -3,11 +3,11 @@
 
 #include <functional>
 
-#include "deployment.h"
-#include "experiment.h"
-#include "metrics.h"
+#include "lab/measure/metrics.h"
+#include "lab/spec/deployment.h"
+#include "lab/spec/experiment.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 
 using OnSample = std::function<void(const Sample&)>;
 
@@ -21,4 +21,4 @@
 Metrics RunReal(const Experiment& experiment, const Deployment& deployment, const std::string& program,
                 const OnSample& on_sample);
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -1,4 +1,4 @@
-// aspendyke-lab: plays experiments on the emulator. Command line, signals and exit code.
+// lb-lab: plays experiments on the emulator. Command line, signals and exit code.
 #include <CLI/CLI.hpp>
 #include <atomic>
 #include <csignal>
@@ -14,19 +14,19 @@
 #include <string>
 #include <vector>
 
-#include "chain.h"
-#include "deployment.h"
-#include "experiment.h"
-#include "growth.h"
-#include "run.h"
-#include "schedule.h"
+#include "lab/measure/growth.h"
+#include "lab/model/chain.h"
+#include "lab/run.h"
+#include "lab/spec/deployment.h"
+#include "lab/spec/experiment.h"
+#include "lab/spec/schedule.h"
 
 namespace {
 
-using aspendyke::lab::ExitCode;
-using aspendyke::lab::Experiment;
-using aspendyke::lab::FleetSize;
-using aspendyke::lab::GrowthPart;
+using lb::lab::ExitCode;
+using lb::lab::Experiment;
+using lb::lab::FleetSize;
+using lb::lab::GrowthPart;
 
 // The command line asks for what can't be done. One line.
 class UsageError : public std::runtime_error {
@@ -43,7 +43,7 @@
   std::string program;  // empty: see DefaultProgram()
   double hop_p50_ms = 0, hop_p99_ms = 0;
   std::int64_t deadline_ms = 2000;
-  aspendyke::lab::ChainQuestion chain;
+  lb::lab::ChainQuestion chain;
 };
 
 std::atomic<bool> stop_wanted{false};
@@ -59,12 +59,12 @@
   namespace fs = std::filesystem;
   std::error_code error;
   const fs::path folder = fs::read_symlink("/proc/self/exe", error).parent_path();
-  const fs::path beside = folder / "mothrack";
-  return (fs::exists(beside, error) ? beside : folder.parent_path() / "mothrack").string();
+  const fs::path beside = folder / "lb-sidecar";
+  return (fs::exists(beside, error) ? beside : folder.parent_path() / "lb-sidecar").string();
 }
 
 Experiment Load(const Arguments& arguments) {
-  Experiment experiment = aspendyke::lab::LoadExperiment(arguments.file);
+  Experiment experiment = lb::lab::LoadExperiment(arguments.file);
   if (arguments.seed) experiment.seed = static_cast<std::uint64_t>(*arguments.seed);
   return experiment;
 }
@@ -99,7 +99,7 @@
 
 ExitCode Run(const Arguments& arguments) {
   const Experiment experiment = LoadWithSizes(arguments, arguments.sizes);
-  aspendyke::lab::RunOptions options;
+  lb::lab::RunOptions options;
   options.program = arguments.program.empty() ? DefaultProgram() : arguments.program;
   RequireProgram(experiment, options.program);
   std::ofstream records;
@@ -134,11 +134,11 @@
 
 ExitCode Chain(const Arguments& arguments) {
   if (arguments.hop_p99_ms < arguments.hop_p50_ms) throw UsageError("--p99-ms is below --p50-ms");
-  aspendyke::lab::ChainQuestion question = arguments.chain;
+  lb::lab::ChainQuestion question = arguments.chain;
   question.deadline = std::chrono::milliseconds(arguments.deadline_ms);
   PrintChains(
       std::cout,
-      aspendyke::lab::LognormalHop(arguments.hop_p50_ms, arguments.hop_p99_ms, question.draws, question.seed),
+      lb::lab::LognormalHop(arguments.hop_p50_ms, arguments.hop_p99_ms, question.draws, question.seed),
       question);
   return ExitCode::kHeld;
 }
@@ -161,12 +161,12 @@
   AddFile(*command, arguments);
   AddSizes(*command, arguments);
   command->add_option("--out", arguments.out, "where records go, one JSON object a line")->type_name("PATH");
-  command->add_option("--program", arguments.program, "the real sidecar [mothrack of the same build]")
+  command->add_option("--program", arguments.program, "the real sidecar [lb-sidecar of the same build]")
       ->type_name("PATH");
   command->footer(
       "Progress goes to standard error, the closing table to standard output.\n"
       "Exit code: 0 all that must hold held, 1 something did not, 2 bad file or usage, 3 the run failed.\n"
-      "Example: aspendyke-lab run lab/experiments/jam.toml --sizes 100,200 --out jam.jsonl");
+      "Example: lb-lab run lab/experiments/jam.toml --sizes 100,200 --out jam.jsonl");
   return command;
 }
 
@@ -174,7 +174,7 @@
   CLI::App* command = app.add_subcommand("check", "check a file and say what it amounts to at each size");
   AddFile(*command, arguments);
   AddSizes(*command, arguments);
-  command->footer("Example: aspendyke-lab check lab/experiments/smoke.toml");
+  command->footer("Example: lb-lab check lab/experiments/smoke.toml");
   return command;
 }
 
@@ -183,7 +183,7 @@
       app.add_subcommand("schedule", "print the drawn deployment and whom each fault strikes");
   AddFile(*command, arguments);
   command->add_option("--size", arguments.size, "number of upstreams")->required()->type_name("N");
-  command->footer("Example: aspendyke-lab schedule lab/experiments/zones.toml --size 60 --seed 7");
+  command->footer("Example: lb-lab schedule lab/experiments/zones.toml --size 60 --seed 7");
   return command;
 }
 
@@ -206,7 +206,7 @@
       ->check(CLI::Range(std::int64_t{1}, std::int64_t{3'600'000}));
   command->footer(
       "The hop is taken for lognormal, and hops for independent of each other.\n"
-      "Example: aspendyke-lab chain --p50-ms 0.7 --p99-ms 1 --limit-ms 2 --budget 0.3");
+      "Example: lb-lab chain --p50-ms 0.7 --p99-ms 1 --limit-ms 2 --budget 0.3");
   return command;
 }
 
@@ -214,9 +214,9 @@
 
 int ParseAndRun(int argc, char** argv) {
   Arguments arguments;
-  CLI::App app("Plays experiments on an emulated fleet of upstreams and sidecars.", "aspendyke-lab");
+  CLI::App app("Plays experiments on an emulated fleet of upstreams and sidecars.", "lb-lab");
   app.require_subcommand(1);
-  app.footer("Example: aspendyke-lab run lab/experiments/smoke.toml");
+  app.footer("Example: lb-lab run lab/experiments/smoke.toml");
   const CLI::App* run = AddRun(app, arguments);
   const CLI::App* check = AddCheck(app, arguments);
   const CLI::App* chain = AddChain(app, arguments);
@@ -229,16 +229,16 @@
     return Code(Schedule(arguments));
   } catch (const CLI::ParseError& error) {
     if (error.get_exit_code() == static_cast<int>(CLI::ExitCodes::Success)) return app.exit(error);
-    std::cerr << "aspendyke-lab: " << error.what() << " (see --help)\n";
+    std::cerr << "lb-lab: " << error.what() << " (see --help)\n";
     return Code(ExitCode::kBadInput);
-  } catch (const aspendyke::lab::ExperimentError& error) {
+  } catch (const lb::lab::ExperimentError& error) {
     std::cerr << error.what() << "\n";
     return Code(ExitCode::kBadInput);
   } catch (const UsageError& error) {
-    std::cerr << "aspendyke-lab: " << error.what() << "\n";
+    std::cerr << "lb-lab: " << error.what() << "\n";
     return Code(ExitCode::kBadInput);
   } catch (const std::exception& error) {
-    std::cerr << "aspendyke-lab: " << error.what() << "\n";
+    std::cerr << "lb-lab: " << error.what() << "\n";
     return Code(ExitCode::kRunFailed);
   }
 }
@@ -249,7 +249,7 @@
   try {
     return ParseAndRun(argc, argv);
   } catch (...) {
-    std::fputs("aspendyke-lab: failed before its arguments were read\n", stderr);
+    std::fputs("lb-lab: failed before its arguments were read\n", stderr);
     return Code(ExitCode::kRunFailed);
   }
 }
--- a/lab/distribution.cpp
+++ b/lab/measure/distribution.cpp
@@ -1,11 +1,11 @@
-#include "distribution.h"
+#include "lab/measure/distribution.h"
 
 #include <algorithm>
 #include <cmath>
 #include <numeric>
 #include <stdexcept>
 
-namespace aspendyke::lab {
+namespace lb::lab {
 
 void Distribution::Add(double value) {
   if (!std::isfinite(value)) throw std::invalid_argument("a measured value is not finite");
@@ -47,4 +47,4 @@
   return values_;
 }
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/distribution.h
+++ b/lab/measure/distribution.h
@@ -4,7 +4,7 @@
 #include <cstddef>
 #include <vector>
 
-namespace aspendyke::lab {
+namespace lb::lab {
 
 // Values to take percentiles of. All are kept: a run holds a few million at the most. Not thread-safe, also
 // where it is const: the values are sorted when they are first read.
@@ -28,4 +28,4 @@
   mutable bool sorted_ = true;
 };
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/fleet_rules.cpp
+++ b/lab/measure/fleet_rules.cpp
@@ -1,12 +1,12 @@
-#include "fleet_rules.h"
+#include "lab/measure/fleet_rules.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace aspendyke::lab {
+namespace lb::lab {
 namespace {
 
-using kestrellb::UpstreamState;
+using lb::UpstreamState;
 
 constexpr double kFewRequests = 30;            // below, the budget's slack is wider
 constexpr double kShareOfTheTold = 2.0 / 3.0;  // of a fall's requests, beyond which it breaks the rule
@@ -30,9 +30,9 @@
 }
 
 FleetRules::FleetRules(const Experiment& experiment, const Deployment& deployment,
-                       const kestrellb::Settings& settings)
+                       const lb::Settings& settings)
     : deployment_(deployment),
-      rules_(settings.rules),
+      rules_(settings.fleet_limits),
       mean_work_s_(MeanWorkSeconds(experiment.classes)),
       cold_(deployment.upstreams.size()) {
   for (const UpstreamInstance& upstream : deployment.upstreams) upstreams_[upstream.id] = upstream.index;
@@ -76,12 +76,12 @@
 void FleetRules::JudgeSlowStart(std::size_t sidecar, std::size_t upstream, Duration work, TimePoint at) {
   auto& cold = cold_[upstream];
   if (!cold) return;
-  if (at - cold->since > rules_.cold_time) return cold.reset();
+  if (at - cold->since > rules_.slow_start_duration) return cold.reset();
   const auto count = [&cold](const Arrival& arrival, int sign) {
     cold->requests += sign * arrival.requests;
     if (arrival.told) cold->requests_told += sign * arrival.requests;
   };
-  while (!cold->window.empty() && cold->window.front().at <= at - rules_.fall_window) {
+  while (!cold->window.empty() && cold->window.front().at <= at - rules_.overload_window) {
     count(cold->window.front(), -1);
     cold->window.pop_front();
   }
@@ -96,8 +96,10 @@
 double FleetRules::Allowed(std::size_t upstream, Duration age) const {
   const UpstreamInstance& instance = deployment_.upstreams[upstream];
   const double warm_per_s = instance.kind->cores * instance.speed / mean_work_s_;
-  const double warmth = rules_.cold_from + (1 - rules_.cold_from) * Seconds(age) / Seconds(rules_.cold_time);
-  return rules_.fall_multiple * std::min(warmth, 1.0) * warm_per_s * Seconds(rules_.fall_window);
+  const double warmth = rules_.slow_start_initial_share + (1 - rules_.slow_start_initial_share) *
+                                                              Seconds(age) /
+                                                              Seconds(rules_.slow_start_duration);
+  return rules_.overload_multiple * std::min(warmth, 1.0) * warm_per_s * Seconds(rules_.overload_window);
 }
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/fleet_rules.h
+++ b/lab/measure/fleet_rules.h
@@ -14,13 +14,13 @@
 #include <utility>
 #include <vector>
 
-#include "deployment.h"
-#include "experiment.h"
-#include "membership.h"
+#include "lab/model/membership.h"
+#include "lab/spec/deployment.h"
+#include "lab/spec/experiment.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 
-using kestrellb::TimePoint;
+using lb::TimePoint;
 
 // On top of the grace of a drain: the protocol's slack on sockets, and what the lab's own threads may be late
 // in seeing a request that has arrived.
@@ -39,7 +39,7 @@
 class FleetRules {
  public:
   // Both have to outlive it; `settings` are those of any sidecar of the deployment.
-  FleetRules(const Experiment& experiment, const Deployment& deployment, const kestrellb::Settings& settings);
+  FleetRules(const Experiment& experiment, const Deployment& deployment, const lb::Settings& settings);
 
   // A process of the upstream starts, cold.
   void Started(std::size_t upstream, TimePoint at);
@@ -71,7 +71,7 @@
   double Allowed(std::size_t upstream, Duration age) const;
 
   const Deployment& deployment_;
-  const kestrellb::Rules rules_;
+  const lb::FleetLimits rules_;
   double mean_work_s_ = 0;
   std::map<std::string, std::size_t> upstreams_;  // by id
   mutable std::mutex mutex_;
@@ -81,4 +81,4 @@
   FleetRuleCounters counters_;
 };
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/growth.cpp
+++ b/lab/measure/growth.cpp
@@ -1,4 +1,4 @@
-#include "growth.h"
+#include "lab/measure/growth.h"
 
 #include <algorithm>
 #include <cmath>
@@ -6,11 +6,11 @@
 #include <ostream>
 #include <string>
 
-#include "deployment.h"
-#include "schedule.h"
-#include "text_table.h"
+#include "lab/measure/text_table.h"
+#include "lab/spec/deployment.h"
+#include "lab/spec/schedule.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 namespace {
 
 constexpr double kThousand = 1000;
@@ -153,4 +153,4 @@
   }
 }
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/growth.h
+++ b/lab/measure/growth.h
@@ -11,10 +11,10 @@
 #include <optional>
 #include <vector>
 
-#include "experiment.h"
-#include "metrics.h"
+#include "lab/measure/metrics.h"
+#include "lab/spec/experiment.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 
 enum class FleetSize { kUsual, kLarge };
 
@@ -56,4 +56,4 @@
 // What the experiment amounts to at both sizes, and its limits.
 void PrintGrowthPlan(std::ostream& out, const Experiment& experiment);
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/metrics.cpp
+++ b/lab/measure/metrics.cpp
@@ -1,8 +1,8 @@
-#include "metrics.h"
+#include "lab/measure/metrics.h"
 
 #include <limits>
 
-namespace aspendyke::lab {
+namespace lb::lab {
 namespace {
 
 double ValueOf(const Metrics& metrics, std::string_view name) {
@@ -101,4 +101,4 @@
   return verdicts;
 }
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/metrics.h
+++ b/lab/measure/metrics.h
@@ -7,10 +7,10 @@
 #include <string_view>
 #include <vector>
 
-#include "distribution.h"
-#include "experiment.h"
+#include "lab/measure/distribution.h"
+#include "lab/spec/experiment.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 
 // Requests and attempts of one sample or of a whole run.
 struct TrafficCounters {
@@ -130,4 +130,4 @@
 // A row a metric: its value at no upstreams, its growth for 1 and for 100 upstreams, and how sure that is.
 void PrintSlopes(std::ostream& out, const std::vector<Slope>& slopes);
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/propagation_log.cpp
+++ b/lab/measure/propagation_log.cpp
@@ -1,4 +1,4 @@
-#include "propagation_log.h"
+#include "lab/measure/propagation_log.h"
 
 #include <algorithm>
 #include <chrono>
@@ -6,7 +6,7 @@
 #include <string>
 #include <utility>
 
-namespace aspendyke::lab {
+namespace lb::lab {
 namespace {
 
 constexpr std::uint64_t kFirstChange = 2;  // revision 1 is the list at the start
@@ -61,4 +61,4 @@
 
 Distribution PropagationLog::TakeRecentDelays() { return std::exchange(recent_ms_, Distribution()); }
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/propagation_log.h
+++ b/lab/measure/propagation_log.h
@@ -7,12 +7,12 @@
 #include <unordered_map>
 #include <vector>
 
-#include "kestrellb/balancer.h"
-#include "metrics.h"
+#include "balancer/balancer.h"
+#include "lab/measure/metrics.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 
-using kestrellb::TimePoint;
+using lb::TimePoint;
 
 // Not thread-safe.
 class PropagationLog {
@@ -57,4 +57,4 @@
   Distribution recent_ms_;
 };
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/report.cpp
+++ b/lab/measure/report.cpp
@@ -3,11 +3,11 @@
 #include <cmath>
 #include <ostream>
 
-#include "metrics.h"
+#include "lab/measure/metrics.h"
+#include "lab/measure/text_table.h"
 #include "nlohmann/json.hpp"
-#include "text_table.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 namespace {
 
 using Json = nlohmann::ordered_json;
@@ -128,4 +128,4 @@
   }
 }
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/slopes.cpp
+++ b/lab/measure/slopes.cpp
@@ -4,10 +4,10 @@
 #include <ostream>
 #include <set>
 
-#include "metrics.h"
-#include "text_table.h"
+#include "lab/measure/metrics.h"
+#include "lab/measure/text_table.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 namespace {
 
 constexpr std::size_t kFewestSizes = 3;
@@ -85,4 +85,4 @@
   table.Print(out);
 }
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/text_table.cpp
+++ b/lab/measure/text_table.cpp
@@ -1,4 +1,4 @@
-#include "text_table.h"
+#include "lab/measure/text_table.h"
 
 #include <algorithm>
 #include <cmath>
@@ -7,7 +7,7 @@
 #include <ostream>
 #include <utility>
 
-namespace aspendyke::lab {
+namespace lb::lab {
 namespace {
 
 constexpr int kSignificantDigits = 4;
@@ -80,4 +80,4 @@
   return line + '\n';
 }
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/text_table.h
+++ b/lab/measure/text_table.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-namespace aspendyke::lab {
+namespace lb::lab {
 
 // A number with four significant digits: integers and all from 1000 on whole, below 0.0001 and from 1e9 on
 // with an exponent, `-` where it is not finite. A number below 1 is never rounded up to 1, so that a share of
@@ -33,4 +33,4 @@
   std::vector<std::vector<std::string>> rows_;
 };
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/chain.cpp
+++ b/lab/model/chain.cpp
@@ -1,4 +1,4 @@
-#include "chain.h"
+#include "lab/model/chain.h"
 
 #include <algorithm>
 #include <chrono>
@@ -9,12 +9,12 @@
 #include <stdexcept>
 #include <string>
 
-#include "text_table.h"
+#include "lab/measure/text_table.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 namespace {
 
-using kestrellb::Duration;
+using lb::Duration;
 using Milliseconds = std::chrono::duration<double, std::milli>;
 
 // 1 + ratio + ... + ratio^(terms - 1): the attempts that a call makes in the mean when each fails with
@@ -181,4 +181,4 @@
   table.Print(out);
 }
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/chain.h
+++ b/lab/model/chain.h
@@ -8,10 +8,10 @@
 #include <iosfwd>
 #include <vector>
 
-#include "distribution.h"
-#include "kestrellb/balancer.h"
+#include "balancer/balancer.h"
+#include "lab/measure/distribution.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 
 constexpr std::size_t kMostChainDraws = 100'000;
 
@@ -53,8 +53,8 @@
 
 // What remains of `deadline` after the first, second and so on of `depth` hops, each of which adds `added`
 // and keeps `margin` back. Not below zero.
-std::vector<kestrellb::Duration> RemainingDeadlines(kestrellb::Duration deadline, kestrellb::Duration added,
-                                                    kestrellb::Duration margin, std::size_t depth);
+std::vector<lb::Duration> RemainingDeadlines(lb::Duration deadline, lb::Duration added, lb::Duration margin,
+                                             std::size_t depth);
 
 // What the table of chains is made of.
 struct ChainQuestion {
@@ -65,12 +65,12 @@
   std::vector<double> leaf_failures = {0.01, 0.1, 0.5, 0.9};
   int max_attempts = 3;
   double budget_per_hop = 0.1;
-  kestrellb::Duration deadline = std::chrono::seconds(2);
-  kestrellb::Duration margin = std::chrono::milliseconds(5);
+  lb::Duration deadline = std::chrono::seconds(2);
+  lb::Duration margin = std::chrono::milliseconds(5);
 };
 
 // Prints a column a depth; `hop_ms` is the time that one hop adds, in milliseconds. Throws as
 // SimulateChain().
 void PrintChains(std::ostream& out, const Distribution& hop_ms, const ChainQuestion& question);
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/client_model.cpp
+++ b/lab/model/client_model.cpp
@@ -1,10 +1,10 @@
-#include "client_model.h"
+#include "lab/model/client_model.h"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
-namespace aspendyke::lab {
+namespace lb::lab {
 namespace {
 
 Duration Scaled(Duration duration, double factor) {
@@ -113,8 +113,7 @@
   const int tried = ++request->tries;
   request->waits = true;
   if (tried > 1) ++client_retries_;
-  const OfferedRequest offered{kestrellb::ClassId{request->request_class}, request->work, gives_up,
-                               tried > 1};
+  const OfferedRequest offered{lb::ClassId{request->request_class}, request->work, gives_up, tried > 1};
   scheduler_.At(gives_up, [this, request, tried] { Heard(request, tried, {AnswerKind::kFailed, {}}); });
   offer_(request->sidecar, offered,
          [this, request, tried](const Answer& answer) { Heard(request, tried, answer); });
@@ -124,7 +123,7 @@
 void ClientModel::Heard(const RequestPtr& request, int tried, const Answer& answer) {
   if (request->tries != tried || !std::exchange(request->waits, false)) return;
   const ClassSpec& spec = experiment_.classes[request->request_class];
-  const bool in_time = scheduler_.Now() - request->arrived <= spec.aim;
+  const bool in_time = scheduler_.Now() - request->arrived <= spec.latency_objective;
   switch (answer.kind) {
     case AnswerKind::kServed:
       return End(*request, in_time ? RequestOutcome::kInTime : RequestOutcome::kLate);
@@ -133,7 +132,7 @@
     case AnswerKind::kFailed:
     case AnswerKind::kLost:
       // It may have taken effect.
-      if (spec.effect == kestrellb::Effect::kUnsafe) return End(*request, RequestOutcome::kFailed);
+      if (spec.idempotency == lb::Idempotency::kNotIdempotent) return End(*request, RequestOutcome::kFailed);
       return TryAgain(request, RequestOutcome::kFailed, {});
   }
 }
@@ -150,8 +149,8 @@
 
 void ClientModel::End(const Request& request, RequestOutcome outcome) {
   --open_;
-  on_result_({request.sidecar, kestrellb::ClassId{request.request_class}, request.arrived, scheduler_.Now(),
-              outcome, request.tries});
+  on_result_({request.sidecar, lb::ClassId{request.request_class}, request.arrived, scheduler_.Now(), outcome,
+              request.tries});
 }
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/client_model.h
+++ b/lab/model/client_model.h
@@ -8,13 +8,13 @@
 #include <random>
 #include <vector>
 
-#include "deployment.h"
-#include "experiment.h"
-#include "hollow_sidecar.h"
-#include "metrics.h"
-#include "scheduler.h"
+#include "lab/measure/metrics.h"
+#include "lab/spec/deployment.h"
+#include "lab/spec/experiment.h"
+#include "lab/virtual/hollow_sidecar.h"
+#include "lab/virtual/scheduler.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 
 // How a request ended for its client, over all of its tries.
 enum class RequestOutcome {
@@ -26,7 +26,7 @@
 
 struct RequestResult {
   std::size_t sidecar = 0;  // index into Deployment::sidecars
-  kestrellb::ClassId request_class{};
+  lb::ClassId request_class{};
   TimePoint arrived;  // its first try
   TimePoint ended;
   RequestOutcome outcome = RequestOutcome::kInTime;
@@ -93,4 +93,4 @@
   std::size_t open_ = 0;
 };
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/membership.cpp
+++ b/lab/model/membership.cpp
@@ -1,14 +1,14 @@
-#include "membership.h"
+#include "lab/model/membership.h"
 
 #include <algorithm>
 #include <map>
 #include <stdexcept>
 #include <utility>
 
-namespace aspendyke::lab {
+namespace lb::lab {
 namespace {
 
-using kestrellb::UpstreamState;
+using lb::UpstreamState;
 using nlohmann::json;
 
 const char* StateWord(UpstreamState state) {
@@ -107,4 +107,4 @@
   return {{"rev", view.revision}, {"all", view.whole}, {"targets", std::move(targets)}};
 }
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/membership.h
+++ b/lab/model/membership.h
@@ -10,11 +10,11 @@
 #include <unordered_map>
 #include <vector>
 
-#include "deployment.h"
-#include "kestrellb/balancer.h"
+#include "balancer/balancer.h"
+#include "lab/spec/deployment.h"
 #include "nlohmann/json.hpp"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 
 struct MembershipEntry {
   std::string id;
@@ -22,7 +22,7 @@
   std::string zone;
   std::string kind;
   std::string endpoint;  // `127.0.0.1:port`; on the virtual clock one that nobody listens at
-  kestrellb::UpstreamState state = kestrellb::UpstreamState::kServing;
+  lb::UpstreamState state = lb::UpstreamState::kServing;
   double weight = 1;
   std::int64_t boot_ms = 0;  // Unix milliseconds; 0 for long ago
 };
@@ -77,4 +77,4 @@
 // A view in the form of PROTOCOL's list (`rev`, `all`, `targets`).
 nlohmann::json ToJson(const MembershipRegistry::View& view);
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/network_model.cpp
+++ b/lab/model/network_model.cpp
@@ -1,6 +1,6 @@
-#include "network_model.h"
+#include "lab/model/network_model.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 
 NetworkModel::NetworkModel(const NetworkSpec& spec, std::uint64_t seed)
     : spec_(spec), random_(seed), deviation_(-spec.jitter, spec.jitter) {}
@@ -17,4 +17,4 @@
   return !regions_cut_ || from.region == to.region;
 }
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/network_model.h
+++ b/lab/model/network_model.h
@@ -6,9 +6,9 @@
 #include <random>
 #include <string>
 
-#include "experiment.h"
+#include "lab/spec/experiment.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 
 // Where a machine stands.
 struct Location {
@@ -36,4 +36,4 @@
   std::uniform_real_distribution<double> deviation_;
 };
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/upstream_model.cpp
+++ b/lab/model/upstream_model.cpp
@@ -1,9 +1,9 @@
-#include "upstream_model.h"
+#include "lab/model/upstream_model.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace aspendyke::lab {
+namespace lb::lab {
 namespace {
 
 // The rise of a cold process is followed in so many steps.
@@ -85,7 +85,7 @@
   Settle();
 }
 
-void UpstreamModel::Probe(std::function<void(kestrellb::LoadReport)> done) {
+void UpstreamModel::Probe(std::function<void(lb::LoadReport)> done) {
   if (silent_ || hanging_ || !running_) return;
   Advance();
   Add(CallKind::kProbe, spec_.probe_work, [this, done = std::move(done)](ServeResult result) {
@@ -147,8 +147,8 @@
   return Duration(static_cast<Duration::rep>(busy_ + since * cores));
 }
 
-kestrellb::LoadReport UpstreamModel::Report() const {
-  kestrellb::LoadReport report;
+lb::LoadReport UpstreamModel::Report() const {
+  lb::LoadReport report;
   report.in_flight = static_cast<double>(held_);
   report.queued = static_cast<double>(waiting_requests_);
   report.utilization = std::min(1.0, static_cast<double>(in_work_.size()) / cores_);
@@ -264,8 +264,9 @@
     next = std::min(next, *crowding_since_ + (crowded_ ? spec_.rest_time : spec_.crowded_after));
   }
   if (cold_since_ && running_) {
-    if (now - *cold_since_ >= spec_.cold_time) cold_since_.reset();
-    if (cold_since_) next = std::min(next, now + std::max(spec_.cold_time / kWarmthSteps, Duration(1)));
+    if (now - *cold_since_ >= spec_.slow_start_duration) cold_since_.reset();
+    if (cold_since_)
+      next = std::min(next, now + std::max(spec_.slow_start_duration / kWarmthSteps, Duration(1)));
   }
   // An earlier wake-up arms this one again.
   if (next >= armed_for_) return;
@@ -274,9 +275,9 @@
 }
 
 double UpstreamModel::Warmth() const {
-  if (!cold_since_ || spec_.cold_time <= Duration::zero()) return 1;
-  const double age = Microseconds(scheduler_.Now() - *cold_since_) / Microseconds(spec_.cold_time);
-  return std::clamp(spec_.cold_from + (1 - spec_.cold_from) * age, 0.0, 1.0);
+  if (!cold_since_ || spec_.slow_start_duration <= Duration::zero()) return 1;
+  const double age = Microseconds(scheduler_.Now() - *cold_since_) / Microseconds(spec_.slow_start_duration);
+  return std::clamp(spec_.slow_start_initial_share + (1 - spec_.slow_start_initial_share) * age, 0.0, 1.0);
 }
 
 double UpstreamModel::CoreRate() const {
@@ -290,4 +291,4 @@
   return core_rate_ * std::min(1.0, cores_ / static_cast<double>(in_work_.size()));
 }
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/upstream_model.h
+++ b/lab/model/upstream_model.h
@@ -12,10 +12,10 @@
 #include <utility>
 #include <vector>
 
-#include "deployment.h"
-#include "scheduler.h"
+#include "lab/spec/deployment.h"
+#include "lab/virtual/scheduler.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 
 enum class ConnectResult {
   kAccepted,
@@ -53,7 +53,7 @@
   // Whoever waited has gone: `done` is not called any more. Work ends only where the spec says so.
   void Abandon(CallId id);
   // A probe: costs its work and tells what the machine holds. Nothing is said where it is silent or down.
-  void Probe(std::function<void(kestrellb::LoadReport)> done);
+  void Probe(std::function<void(lb::LoadReport)> done);
 
   // ---- Faults ----
   void Crash();                     // the process dies: connections and requests with it
@@ -79,7 +79,7 @@
   // Work of the served requests, in microseconds on a core of speed 1.
   double served_work() const { return served_work_; }
   Duration busy() const;  // processor time spent, over all cores
-  kestrellb::LoadReport Report() const;
+  lb::LoadReport Report() const;
   const UpstreamInstance& instance() const { return instance_; }
 
  private:
@@ -153,4 +153,4 @@
   double busy_ = 0;  // microseconds
 };
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/control_client.cpp
+++ b/lab/real/control_client.cpp
@@ -1,10 +1,10 @@
-#include "control_client.h"
+#include "lab/real/control_client.h"
 
 #include <algorithm>
 #include <thread>
 #include <utility>
 
-namespace aspendyke::lab {
+namespace lb::lab {
 namespace {
 
 constexpr std::size_t kMostThreads = 4;
@@ -17,19 +17,19 @@
 }  // namespace
 
 ControlClient::ControlClient(boost::asio::io_context& io, const ControlClientOptions& options,
-                             const mothrack::UnixClock& clock, OnNotice on_notice)
+                             const sidecar::UnixClock& clock, OnNotice on_notice)
     : on_notice_(std::move(on_notice)),
       log_("hollow", &silent_),
       discovery_(
           io, options.discovery, options.on_request, options.drain_grace, clock, log_, options.seed,
-          [this](mothrack::MembershipList list) {
-            on_notice_({list.revision, mothrack::Now(), std::move(list.update)});
+          [this](sidecar::MembershipList list) {
+            on_notice_({list.revision, sidecar::Now(), std::move(list.update)});
           },
           [this] {
-            on_notice_({0, mothrack::Now(), {kestrellb::MembershipUpdate::Kind::kFailed, {}}});
+            on_notice_({0, sidecar::Now(), {lb::MembershipUpdate::Kind::kFailed, {}}});
           }) {}
 
-ControlFleet::ControlFleet(std::size_t sidecars, const mothrack::UnixClock& clock)
+ControlFleet::ControlFleet(std::size_t sidecars, const sidecar::UnixClock& clock)
     : clock_(clock), clients_(sidecars) {
   for (std::size_t i = 0; i < ThreadCount(sidecars); ++i) {
     threads_.push_back(std::make_unique<WorkerThread>("a thread of the control clients"));
@@ -70,4 +70,4 @@
   for (const auto& thread : threads_) thread->RethrowFailure();
 }
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/control_client.h
+++ b/lab/real/control_client.h
@@ -10,21 +10,21 @@
 #include <ostream>
 #include <vector>
 
-#include "kestrellb/balancer.h"
-#include "node/clock.h"
-#include "node/config.h"
-#include "node/discovery.h"
-#include "node/log.h"
-#include "worker_thread.h"
+#include "balancer/balancer.h"
+#include "lab/real/worker_thread.h"
+#include "settings/config.h"
+#include "sidecar/clock.h"
+#include "sidecar/discovery.h"
+#include "sidecar/log.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 
-using kestrellb::TimePoint;
+using lb::TimePoint;
 
 struct ControlClientOptions {
-  mothrack::Endpoint discovery;
+  lb::Endpoint discovery;
   bool on_request = false;  // membership is told on request only: see Ask()
-  kestrellb::Duration drain_grace = kestrellb::Rules().drain_grace;
+  lb::Duration drain_grace = lb::FleetLimits().drain_grace;
   std::uint64_t seed = 1;
 };
 
@@ -32,7 +32,7 @@
 struct ControlNotice {
   std::uint64_t revision = 0;  // of the list; 0 where a call has failed
   TimePoint at;
-  kestrellb::MembershipUpdate update;
+  lb::MembershipUpdate update;
 };
 
 // Its io_context's thread calls all members.
@@ -43,7 +43,7 @@
   // `on_notice` is handed each list, and on request each failure as an update of kind kFailed. The references
   // have to outlive the client.
   ControlClient(boost::asio::io_context& io, const ControlClientOptions& options,
-                const mothrack::UnixClock& clock, OnNotice on_notice);
+                const sidecar::UnixClock& clock, OnNotice on_notice);
 
   // Asks for the list and watches it. On request: once at the start, and after each failure again.
   void Ask() { discovery_.Ask(); }
@@ -51,15 +51,15 @@
  private:
   const OnNotice on_notice_;
   std::ostream silent_{nullptr};
-  mothrack::Logger log_;
-  mothrack::Discovery discovery_;
+  sidecar::Logger log_;
+  sidecar::Discovery discovery_;
 };
 
 // The control clients of a fleet, spread over a few threads: on one alone, a list that all take at once would
 // hold up their calls beyond the patience that they have with discovery. Its members are for one thread.
 class ControlFleet {
  public:
-  ControlFleet(std::size_t sidecars, const mothrack::UnixClock& clock);  // `clock` has to outlive it
+  ControlFleet(std::size_t sidecars, const sidecar::UnixClock& clock);  // `clock` has to outlive it
   ~ControlFleet();
 
   // Replaces the client of that sidecar, if there is one. `on_notice` is called on another thread; notices of
@@ -74,9 +74,9 @@
  private:
   WorkerThread& ThreadOf(std::size_t sidecar) { return *threads_[sidecar % threads_.size()]; }
 
-  const mothrack::UnixClock& clock_;
+  const sidecar::UnixClock& clock_;
   std::vector<std::unique_ptr<WorkerThread>> threads_;
   std::vector<std::unique_ptr<ControlClient>> clients_;  // each belongs to its thread
 };
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/cpu_clock.cpp
+++ b/lab/real/cpu_clock.cpp
@@ -1,4 +1,4 @@
-#include "cpu_clock.h"
+#include "lab/real/cpu_clock.h"
 
 #include <unistd.h>
 
@@ -11,7 +11,7 @@
 #include <string>
 #include <system_error>
 
-namespace aspendyke::lab {
+namespace lb::lab {
 namespace {
 
 constexpr double kNanosecondsPerSecond = 1e9;
@@ -68,4 +68,4 @@
   return count;
 }
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/cpu_clock.h
+++ b/lab/real/cpu_clock.h
@@ -3,7 +3,7 @@
 
 #include <cstddef>
 
-namespace aspendyke::lab {
+namespace lb::lab {
 
 double ThreadCpuSeconds();     // of the calling thread
 double ProcessCpuSeconds();    // of this process, all threads
@@ -11,4 +11,4 @@
 double MachineMemoryMb();      // in all
 std::size_t ChildProcesses();  // of this process, ended ones that nobody has waited for included
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/discovery_server.cpp
+++ b/lab/real/discovery_server.cpp
@@ -1,4 +1,4 @@
-#include "discovery_server.h"
+#include "lab/real/discovery_server.h"
 
 #include <sys/resource.h>
 #include <time.h>
@@ -19,7 +19,7 @@
 #include <system_error>
 #include <utility>
 
-namespace aspendyke::lab {
+namespace lb::lab {
 namespace {
 
 namespace http = boost::beast::http;
@@ -355,14 +355,12 @@
   thread_.join();
 }
 
-mothrack::Endpoint DiscoveryServer::endpoint(std::size_t sidecar) const {
-  return agents_.at(sidecar)->endpoint;
-}
+lb::Endpoint DiscoveryServer::endpoint(std::size_t sidecar) const { return agents_.at(sidecar)->endpoint; }
 
 std::uint64_t DiscoveryServer::Change(const MembershipEntry& entry) {
   if (!known_ids_.contains(entry.id)) throw std::out_of_range("unknown upstream " + entry.id);
   const std::lock_guard lock(order_);
-  boost::asio::post(io_, [this, entry, at = mothrack::Now()] { ApplyChange(entry, at); });
+  boost::asio::post(io_, [this, entry, at = sidecar::Now()] { ApplyChange(entry, at); });
   return ++last_revision_;
 }
 
@@ -397,11 +395,11 @@
   boost::asio::post(io_, [this, slow] { slow_ = slow; });
 }
 
-mothrack::Endpoint DiscoveryServer::Move(std::size_t sidecar) {
+lb::Endpoint DiscoveryServer::Move(std::size_t sidecar) {
   return OnServerThread([this, sidecar] { return MoveNow(*agents_.at(sidecar)); });
 }
 
-mothrack::Endpoint DiscoveryServer::MoveNow(Agent& agent) {
+lb::Endpoint DiscoveryServer::MoveNow(Agent& agent) {
   const auto open = agent.watches;
   for (const auto& session : open) session->Silence();
   ++agent.address;
@@ -492,14 +490,14 @@
 
 void DiscoveryServer::ArmNotices() {
   if (notices_.empty()) return;
-  notice_timer_.expires_at(mothrack::ToSteady(notices_.top().when));
+  notice_timer_.expires_at(sidecar::ToSteady(notices_.top().when));
   notice_timer_.async_wait([this](error_code error) {
     if (!error) DeliverNotices();
   });
 }
 
 void DiscoveryServer::DeliverNotices() {
-  while (!notices_.empty() && notices_.top().when <= mothrack::Now()) {
+  while (!notices_.empty() && notices_.top().when <= sidecar::Now()) {
     const Notice notice = notices_.top();
     notices_.pop();
     Advance(*agents_[notice.agent], notice.revision);
@@ -521,7 +519,7 @@
 void DiscoveryServer::CountAsTold(Agent& agent, std::uint64_t revision) {
   if (!options_.on_told || revision <= agent.told) return;
   const auto view = registry_.SinceAsOf(agent.told, revision, agent.service);
-  for (const MembershipEntry& entry : view.entries) options_.on_told(agent.index, entry, mothrack::Now());
+  for (const MembershipEntry& entry : view.entries) options_.on_told(agent.index, entry, sidecar::Now());
   agent.told = revision;
 }
 
@@ -559,4 +557,4 @@
   return {ToJson(view).dump(), view.revision, view.whole, view.entries.size()};
 }
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/discovery_server.h
+++ b/lab/real/discovery_server.h
@@ -18,14 +18,14 @@
 #include <unordered_set>
 #include <vector>
 
-#include "experiment.h"
-#include "membership.h"
-#include "node/clock.h"
-#include "node/config.h"
+#include "lab/model/membership.h"
+#include "lab/spec/experiment.h"
+#include "settings/config.h"
+#include "sidecar/clock.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 
-using kestrellb::TimePoint;
+using lb::TimePoint;
 
 // What one sidecar's agent has carried since the start. Bytes are those of HTTP messages, heads included.
 struct AgentCounters {
@@ -75,7 +75,7 @@
   DiscoveryServer& operator=(const DiscoveryServer&) = delete;
 
   // Where sidecar `sidecar` (from 0) finds its agent at the start: an address of loopback.
-  mothrack::Endpoint endpoint(std::size_t sidecar) const;
+  lb::Endpoint endpoint(std::size_t sidecar) const;
 
   // A new state, weight or start of one entry. Returns the revision that it makes. Throws std::out_of_range
   // for an unknown id.
@@ -90,7 +90,7 @@
   // While slow, answers come late and in pieces; some connections are closed, some calls answered 503.
   void SetSlow(bool slow);
   // The sidecar's agent listens at another address, which it returns, and is heard of no more at the old one.
-  mothrack::Endpoint Move(std::size_t sidecar);
+  lb::Endpoint Move(std::size_t sidecar);
 
   // Watches that wait for something newer now, over all sidecars.
   std::size_t OpenWatches();
@@ -130,7 +130,7 @@
   void CountAsTold(Agent& agent, std::uint64_t revision);
   void CountAsToldLater(Agent& agent, Duration wait);
   void ExcuseFor(Agent& agent, Duration wait);
-  mothrack::Endpoint MoveNow(Agent& agent);
+  lb::Endpoint MoveNow(Agent& agent);
   std::shared_ptr<const Answer> AnswerFor(Agent& agent, std::optional<std::uint64_t> held);
   Answer MakeAnswer(const AnswerKey& key) const;
   // Runs `read` on the server's thread and waits for what it gives.
@@ -158,4 +158,4 @@
   std::thread thread_;
 };
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/fault_player.cpp
+++ b/lab/real/fault_player.cpp
@@ -1,8 +1,8 @@
-#include "fault_player.h"
+#include "lab/real/fault_player.h"
 
 #include <utility>
 
-namespace aspendyke::lab {
+namespace lb::lab {
 FaultPlayer::FaultPlayer(const Deployment& deployment, Scheduler& scheduler, DiscoveryServer& discovery,
                          HollowFleet& hollow, RealFleet* real, SidecarOperator* real_operator,
                          UpstreamOperator& upstreams)
@@ -192,4 +192,4 @@
   if (real_ != nullptr) real_->SetLoadFactor(factor);
 }
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/fault_player.h
+++ b/lab/real/fault_player.h
@@ -5,15 +5,15 @@
 #include <functional>
 #include <vector>
 
-#include "deployment.h"
-#include "discovery_server.h"
-#include "hollow_fleet.h"
-#include "real_fleet.h"
-#include "scheduler.h"
-#include "sidecar_operator.h"
-#include "upstream_operator.h"
+#include "lab/real/discovery_server.h"
+#include "lab/real/real_fleet.h"
+#include "lab/real/sidecar_operator.h"
+#include "lab/real/upstream_operator.h"
+#include "lab/spec/deployment.h"
+#include "lab/virtual/hollow_fleet.h"
+#include "lab/virtual/scheduler.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 
 // What a change of an upstream's weight makes of it, and its next change takes back. The same as on the
 // virtual clock.
@@ -55,4 +55,4 @@
   double load_factor_ = 1;
 };
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/http_load.cpp
+++ b/lab/real/http_load.cpp
@@ -1,4 +1,4 @@
-#include "http_load.h"
+#include "lab/real/http_load.h"
 
 #include <algorithm>
 #include <boost/asio/buffer.hpp>
@@ -18,12 +18,12 @@
 #include <string>
 #include <utility>
 
-#include "deployment.h"
-#include "http_upstream.h"
-#include "node/clock.h"
-#include "socket_state.h"
+#include "lab/real/http_upstream.h"
+#include "lab/real/socket_state.h"
+#include "lab/spec/deployment.h"
+#include "sidecar/clock.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 namespace {
 
 namespace http = boost::beast::http;
@@ -136,7 +136,7 @@
                              [self = shared_from_this()](error_code error, std::size_t) {
                                if (self->closed_) return;
                                if (error) return self->Break(false);
-                               self->written_ = mothrack::Now();
+                               self->written_ = sidecar::Now();
                                self->Read();
                              });
   }
@@ -153,7 +153,7 @@
   void Break(bool written) {
     const bool begun = parser_ && parser_->got_some();
     if (begun) return Finish(End::kBroken);
-    const bool crossed = exchanges_ > 0 && (!written || mothrack::Now() - written_ < kCrossing);
+    const bool crossed = exchanges_ > 0 && (!written || sidecar::Now() - written_ < kCrossing);
     if (crossed) return Finish(End::kUnread);
     Finish(written ? End::kDropped : End::kBroken);
   }
@@ -344,7 +344,7 @@
     request->application = index;
     request->spec = &classes_[drawn];
     request->target = "/" + request->spec->name + "/" + Hexadecimal(random());
-    if (request->spec->effect == kestrellb::Effect::kKeyed) {
+    if (request->spec->idempotency == lb::Idempotency::kIdempotencyKey) {
       request->idempotency_key = Hexadecimal(random()) + Hexadecimal(random());
     }
     request->work_us = std::llround(works_[drawn](random));
@@ -394,7 +394,7 @@
   }
 
   std::string Message(const Request& request, Duration wait) {
-    const bool safe = request.spec->effect == kestrellb::Effect::kSafe;
+    const bool safe = request.spec->idempotency == lb::Idempotency::kIdempotent;
     const auto timeout_ms = std::chrono::duration_cast<milliseconds>(wait).count();
     std::string text = (safe ? "GET " : "POST ") + request.target + " HTTP/1.1\r\nHost: api.internal\r\n";
     text += "X-Request-ID: " + Hexadecimal(ids_()) + "\r\n";
@@ -500,12 +500,12 @@
     const TimePoint next = scheduler_.Now() + wait;
     if (next + kLeastTimeout > request.deadline) return std::nullopt;
     if (result.outcome == TryOutcome::kRefused || result.outcome == TryOutcome::kNotSent) return wait;
-    switch (request.spec->effect) {
-      case kestrellb::Effect::kSafe:
+    switch (request.spec->idempotency) {
+      case lb::Idempotency::kIdempotent:
         return wait;
-      case kestrellb::Effect::kKeyed:
+      case lb::Idempotency::kIdempotencyKey:
         return next < request.started + request.spec->key_window ? std::optional(wait) : std::nullopt;
-      case kestrellb::Effect::kUnsafe:
+      case lb::Idempotency::kNotIdempotent:
         return std::nullopt;
     }
     return std::nullopt;
@@ -514,7 +514,7 @@
   void OnServed(const Request& request, const TryResult& result) {
     const Duration latency = scheduler_.Now() - request.started;
     EndRequest();
-    ++(latency <= request.spec->aim ? window_.traffic.in_time : window_.traffic.late);
+    ++(latency <= request.spec->latency_objective ? window_.traffic.in_time : window_.traffic.late);
     window_.latency_ms.Add(ToMilliseconds(latency));
     if (request.tries == 1 && result.service) {
       window_.added_ms.Add(ToMilliseconds(latency - *result.service));
@@ -568,4 +568,4 @@
 
 std::size_t HttpLoad::connections() const { return implementation_->connections(); }
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/http_load.h
+++ b/lab/real/http_load.h
@@ -9,11 +9,11 @@
 #include <memory>
 #include <vector>
 
-#include "experiment.h"
-#include "metrics.h"
-#include "scheduler.h"
+#include "lab/measure/metrics.h"
+#include "lab/spec/experiment.h"
+#include "lab/virtual/scheduler.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 
 // The application of one sidecar.
 struct LoadTarget {
@@ -62,4 +62,4 @@
   std::shared_ptr<Implementation> implementation_;
 };
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/http_upstream.cpp
+++ b/lab/real/http_upstream.cpp
@@ -1,4 +1,4 @@
-#include "http_upstream.h"
+#include "lab/real/http_upstream.h"
 
 #include <algorithm>
 #include <boost/asio/buffer.hpp>
@@ -14,10 +14,10 @@
 #include <sstream>
 #include <utility>
 
-#include "port_reservation.h"
-#include "socket_state.h"
+#include "lab/real/port_reservation.h"
+#include "lab/real/socket_state.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 namespace {
 
 namespace http = boost::beast::http;
@@ -53,7 +53,7 @@
 Answer NotFound() { return {404, "", "not found\n", false}; }
 
 // `inflight=7,queue=2,util=0.61`
-std::string ToText(const kestrellb::LoadReport& load) {
+std::string ToText(const lb::LoadReport& load) {
   std::ostringstream text;
   const auto add = [&text](const char* name, const std::optional<double>& value) {
     if (value) text << (text.tellp() > 0 ? "," : "") << name << '=' << *value;
@@ -258,12 +258,12 @@
     ++server_->counters.probes;
     server_->counters.probe_bytes += request_bytes_;
     const bool with_report = parser_->get().target() == "/metrics/load";
-    const auto answer = [weak = weak_from_this(), with_report](const kestrellb::LoadReport& load) {
+    const auto answer = [weak = weak_from_this(), with_report](const lb::LoadReport& load) {
       const auto self = weak.lock();
       if (!self || self->closed_) return;
-      Answer answer{200, "", with_report ? ToText(load) : "alive", false};
-      self->server_->counters.probe_bytes += ToText(answer).size();
-      self->Write(answer);
+      const Answer reply{200, "", with_report ? ToText(load) : "alive", false};
+      self->server_->counters.probe_bytes += ToText(reply).size();
+      self->Write(reply);
     };
     if (server_->options.answer_at_once) return answer({});
     server_->model.Probe(answer);
@@ -541,4 +541,4 @@
   servers_.at(upstream)->model.SetDraining(draining);
 }
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/http_upstream.h
+++ b/lab/real/http_upstream.h
@@ -16,12 +16,12 @@
 #include <string>
 #include <vector>
 
-#include "deployment.h"
-#include "experiment.h"
-#include "scheduler.h"
-#include "upstream_model.h"
+#include "lab/model/upstream_model.h"
+#include "lab/spec/deployment.h"
+#include "lab/spec/experiment.h"
+#include "lab/virtual/scheduler.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 
 inline constexpr char kWorkHeader[] = "X-Work-Us";
 inline constexpr char kServiceHeader[] = "X-Service-Us";
@@ -100,4 +100,4 @@
   std::vector<std::unique_ptr<Server>> servers_;
 };
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/port_reservation.cpp
+++ b/lab/real/port_reservation.cpp
@@ -1,4 +1,4 @@
-#include "port_reservation.h"
+#include "lab/real/port_reservation.h"
 
 #include <sys/socket.h>
 #include <unistd.h>
@@ -8,7 +8,7 @@
 #include <system_error>
 #include <utility>
 
-namespace aspendyke::lab {
+namespace lb::lab {
 namespace {
 
 std::system_error CannotReserve(const boost::asio::ip::tcp::endpoint& endpoint) {
@@ -45,4 +45,4 @@
   return *this;
 }
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/port_reservation.h
+++ b/lab/real/port_reservation.h
@@ -3,7 +3,7 @@
 
 #include <boost/asio/ip/tcp.hpp>
 
-namespace aspendyke::lab {
+namespace lb::lab {
 
 // Bound, but never listening: connections are refused while nobody else listens there, and the system gives
 // the port to nobody as a port of its choice. A server that sets SO_REUSEADDR can listen at it.
@@ -22,4 +22,4 @@
   boost::asio::ip::tcp::endpoint endpoint_;
 };
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/process.cpp
+++ b/lab/real/process.cpp
@@ -1,4 +1,4 @@
-#include "process.h"
+#include "lab/real/process.h"
 
 #include <fcntl.h>
 #include <sys/prctl.h>
@@ -22,7 +22,7 @@
 
 extern char** environ;
 
-namespace aspendyke::lab {
+namespace lb::lab {
 namespace {
 
 constexpr auto kPollEvery = std::chrono::milliseconds(2);
@@ -290,4 +290,4 @@
   return text.str();
 }
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/process.h
+++ b/lab/real/process.h
@@ -9,11 +9,11 @@
 #include <string>
 #include <vector>
 
-#include "kestrellb/balancer.h"
+#include "balancer/balancer.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 
-using kestrellb::Duration;
+using lb::Duration;
 
 struct ProcessOptions {
   std::string program;  // a path
@@ -75,4 +75,4 @@
   std::optional<ExitStatus> status_;
 };
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/real_engine.cpp
+++ b/lab/real/real_engine.cpp
@@ -15,19 +15,19 @@
 #include <utility>
 #include <vector>
 
-#include "cpu_clock.h"
-#include "discovery_server.h"
-#include "engine.h"
-#include "fault_player.h"
-#include "fleet_rules.h"
-#include "hollow_fleet.h"
-#include "real_fleet.h"
-#include "scheduler.h"
-#include "sidecar_operator.h"
-#include "upstream_operator.h"
-#include "worker_thread.h"
-
-namespace aspendyke::lab {
+#include "lab/engine.h"
+#include "lab/measure/fleet_rules.h"
+#include "lab/real/cpu_clock.h"
+#include "lab/real/discovery_server.h"
+#include "lab/real/fault_player.h"
+#include "lab/real/real_fleet.h"
+#include "lab/real/sidecar_operator.h"
+#include "lab/real/upstream_operator.h"
+#include "lab/real/worker_thread.h"
+#include "lab/virtual/hollow_fleet.h"
+#include "lab/virtual/scheduler.h"
+
+namespace lb::lab {
 namespace {
 
 using std::chrono::milliseconds;
@@ -50,7 +50,7 @@
 
 // ---- Phases ----
 constexpr Duration kStartTime = seconds(10);  // planned, until all hold lists
-constexpr Duration kRestTime = 2 * mothrack::kAgentWatch;
+constexpr Duration kRestTime = 2 * sidecar::kAgentWatch;
 constexpr Duration kSettleTime = milliseconds(500);
 constexpr int kTrialChanges = 6;  // one by one, before the load
 constexpr Duration kResultsMargin = seconds(1);
@@ -211,7 +211,7 @@
   const Experiment& experiment_;
   const Deployment& deployment_;
   const OnSample& on_sample_;
-  const TimePoint began_ = mothrack::Now();
+  const TimePoint began_ = sidecar::Now();
   const TimePoint time_limit_ = began_ + kTimeLimitFactor * PlannedTime();
   const double memory_limit_mb_ = MachineMemoryMb() * kMemoryShare;
 
@@ -284,7 +284,7 @@
   StartSidecars();
   MeasureRest();
   MeasureChanges();
-  start_ = mothrack::Now();
+  start_ = sidecar::Now();
   sample_start_ = start_;
   AskHollow([this] {
     hollow_.Take();
@@ -319,12 +319,12 @@
 
 void RealRun::MeasureRest() {
   if (hollow_.sidecars() == 0) return;
-  RunTasksUntil(mothrack::Now() + kSettleTime);
-  const TimePoint from = mothrack::Now();
+  RunTasksUntil(sidecar::Now() + kSettleTime);
+  const TimePoint from = sidecar::Now();
   const ControlCost before = ControlCostSoFar();
   RunTasksUntil(from + kRestTime);
   const ControlCost after = ControlCostSoFar();
-  rest_s_ = Seconds(mothrack::Now() - from);
+  rest_s_ = Seconds(sidecar::Now() - from);
   rest_ = {after.cpu_s - before.cpu_s, after.bytes_to_sidecars - before.bytes_to_sidecars, 0};
 }
 
@@ -335,14 +335,14 @@
       deployment_.faults.begin(), deployment_.faults.end(),
       [](const FaultEvent& event) { return event.kind == FaultKind::kChange && !event.upstreams.empty(); });
   if (fault == deployment_.faults.end() || hollow_.sidecars() == 0) return;
-  const TimePoint from = mothrack::Now();
+  const TimePoint from = sidecar::Now();
   const ControlCost before = ControlCostSoFar();
   for (std::size_t i = 0; i < kTrialChanges; ++i) {
     const std::size_t upstream = fault->upstreams[i / 2 % fault->upstreams.size()];
     ChangeAndWait(upstream, i % 2 == 0 ? kChangedWeight : 1);
   }
   const ControlCost after = ControlCostSoFar();
-  changes_s_ = Seconds(mothrack::Now() - from);
+  changes_s_ = Seconds(sidecar::Now() - from);
   changes_ = {after.cpu_s - before.cpu_s, after.bytes_to_sidecars - before.bytes_to_sidecars,
               after.told - before.told};
 }
@@ -350,9 +350,9 @@
 void RealRun::ChangeAndWait(std::size_t upstream, double factor) {
   AskHollow([=, this] { upstreams_.ChangeWeight(upstream, factor); });
   const double longest_delay_s = experiment_.discovery.notice_delay_s.high;
-  RunTasksUntil(mothrack::Now() + kSettleTime +
+  RunTasksUntil(sidecar::Now() + kSettleTime +
                 std::chrono::duration_cast<Duration>(std::chrono::duration<double>(longest_delay_s)));
-  Await([this] { return AskHollow([this] { return hollow_.propagation().Missing(mothrack::Now()); }) == 0; },
+  Await([this] { return AskHollow([this] { return hollow_.propagation().Missing(sidecar::Now()); }) == 0; },
         kNoticesMargin);
 }
 
@@ -370,14 +370,14 @@
 }
 
 void RealRun::PlayUntil(TimePoint end) {
-  while (mothrack::Now() < end) {
+  while (sidecar::Now() < end) {
     RunTasksUntil(std::min(end, sample_start_ + std::max(experiment_.sample_every, kLookEvery)));
     TakeSample();
   }
 }
 
 void RealRun::BeginMeasuring() {
-  const TimePoint now = mothrack::Now();
+  const TimePoint now = sidecar::Now();
   measured_until_ = now + experiment_.length;
   AskHollow([this, now] { hollow_.BeginMeasuring(now, measured_until_); });
   discovery_at_start_ = discovery_.Counters();
@@ -402,7 +402,7 @@
     Await([this] { return real_->StalledClientsOpen() == 0; }, kStalledClientLimit + kResultsMargin);
     Await([this] { return real_operator_->idle(); }, kStartTime);
   }
-  Await([this] { return AskHollow([this] { return hollow_.propagation().Missing(mothrack::Now()); }) == 0; },
+  Await([this] { return AskHollow([this] { return hollow_.propagation().Missing(sidecar::Now()); }) == 0; },
         kNoticesMargin);
 }
 
@@ -410,16 +410,16 @@
 
 void RealRun::RunTasksUntil(TimePoint end) {
   do {
-    tasks_.run_until(mothrack::ToSteady(std::min(end, mothrack::Now() + kLookEvery)));
+    tasks_.run_until(sidecar::ToSteady(std::min(end, sidecar::Now() + kLookEvery)));
     CheckLimits();
-  } while (mothrack::Now() < end);
+  } while (sidecar::Now() < end);
 }
 
 bool RealRun::Await(const std::function<bool()>& condition, Duration patience) {
-  const TimePoint end = mothrack::Now() + patience;
+  const TimePoint end = sidecar::Now() + patience;
   while (!condition()) {
-    if (mothrack::Now() >= end) return false;
-    RunTasksUntil(mothrack::Now() + kLookEvery);
+    if (sidecar::Now() >= end) return false;
+    RunTasksUntil(sidecar::Now() + kLookEvery);
   }
   return true;
 }
@@ -427,7 +427,7 @@
 void RealRun::CheckLimits() {
   hollow_thread_.RethrowFailure();
   hollow_.RethrowFailure();
-  if (mothrack::Now() > time_limit_) throw std::runtime_error("the run takes far longer than planned");
+  if (sidecar::Now() > time_limit_) throw std::runtime_error("the run takes far longer than planned");
   const double resident_mb = ResidentMemoryMb();
   if (resident_mb > memory_limit_mb_) {
     throw std::runtime_error("the run has grown to " + std::to_string(resident_mb) + " MB, more than " +
@@ -451,7 +451,7 @@
   if (real_) real = real_->Take();
   dropped_ += real.load.dropped;
   stalled_ += real.stalled;
-  const TimePoint now = mothrack::Now();
+  const TimePoint now = sidecar::Now();
   const Duration passed = now - sample_start_;
   Sample sample;
   sample.at_s = Seconds(now - start_);
@@ -528,7 +528,7 @@
   metrics.upstreams = static_cast<double>(deployment_.upstreams.size());
   metrics.sidecars = static_cast<double>(PlayedSidecars());
   metrics.notices_missing =
-      static_cast<double>(AskHollow([this] { return hollow_.propagation().Missing(mothrack::Now()); }));
+      static_cast<double>(AskHollow([this] { return hollow_.propagation().Missing(sidecar::Now()); }));
   hollow_thread_.Stop();
   AddRequestTotals(metrics);
   AddTrafficTotals(metrics);
@@ -550,7 +550,7 @@
   metrics.change_bytes =
       Share(std::max(0.0, changes_.bytes_to_sidecars - rest_.bytes_to_sidecars * rest_share), changes_.told);
   metrics.load_spread = hollow_.totals().load_spread;
-  metrics.seconds = Seconds(mothrack::Now() - began_);
+  metrics.seconds = Seconds(sidecar::Now() - began_);
   return metrics;
 }
 
@@ -630,4 +630,4 @@
   return RealRun(experiment, deployment, program, on_sample).Run();
 }
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/real_fleet.cpp
+++ b/lab/real/real_fleet.cpp
@@ -1,4 +1,4 @@
-#include "real_fleet.h"
+#include "lab/real/real_fleet.h"
 
 #include <stdlib.h>
 
@@ -9,23 +9,23 @@
 #include <system_error>
 #include <utility>
 
-#include "hollow_fleet.h"
+#include "lab/virtual/hollow_fleet.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 namespace {
 
 constexpr Duration kReadyPatience = std::chrono::seconds(30);
 // Of a busy thread, for an answer.
 constexpr Duration kAskPatience = std::chrono::seconds(10);
 
-std::string ToText(const mothrack::Endpoint& endpoint) {
+std::string ToText(const lb::Endpoint& endpoint) {
   return endpoint.address().to_string() + ":" + std::to_string(endpoint.port());
 }
 
 }  // namespace
 
 TemporaryFolder::TemporaryFolder()
-    : path_((std::filesystem::temp_directory_path() / "aspendyke-lab-XXXXXX").string()) {
+    : path_((std::filesystem::temp_directory_path() / "lb-lab-XXXXXX").string()) {
   if (::mkdtemp(path_.data()) == nullptr) {
     throw std::system_error(errno, std::generic_category(), "mkdtemp " + path_);
   }
@@ -133,7 +133,7 @@
   return member != nullptr && member->process.AwaitReady(patience);
 }
 
-void RealFleet::MoveDiscovery(std::size_t sidecar, const mothrack::Endpoint& discovery) {
+void RealFleet::MoveDiscovery(std::size_t sidecar, const lb::Endpoint& discovery) {
   if (Member* const member = Find(sidecar)) member->process.MoveDiscovery(ToText(discovery));
 }
 
@@ -217,4 +217,4 @@
   window.traffic.probes = now.probes - before.probes;
 }
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/real_fleet.h
+++ b/lab/real/real_fleet.h
@@ -9,19 +9,19 @@
 #include <string>
 #include <vector>
 
-#include "deployment.h"
-#include "discovery_server.h"
-#include "experiment.h"
-#include "http_load.h"
-#include "http_upstream.h"
-#include "membership.h"
-#include "metrics.h"
-#include "scheduler.h"
-#include "sidecar_config.h"
-#include "stalled_clients.h"
-#include "worker_thread.h"
+#include "lab/measure/metrics.h"
+#include "lab/model/membership.h"
+#include "lab/real/discovery_server.h"
+#include "lab/real/http_load.h"
+#include "lab/real/http_upstream.h"
+#include "lab/real/sidecar_config.h"
+#include "lab/real/stalled_clients.h"
+#include "lab/real/worker_thread.h"
+#include "lab/spec/deployment.h"
+#include "lab/spec/experiment.h"
+#include "lab/virtual/scheduler.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 
 // A folder of its own for files of one run, removed with it.
 class TemporaryFolder {
@@ -76,7 +76,7 @@
   bool AwaitReady(std::size_t sidecar, Duration patience);  // blocks
   // Replaces its configuration file: discovery is at another address, or the file is malformed. Throws
   // std::runtime_error where it can't be written.
-  void MoveDiscovery(std::size_t sidecar, const mothrack::Endpoint& discovery);
+  void MoveDiscovery(std::size_t sidecar, const lb::Endpoint& discovery);
   void SpoilConfiguration(std::size_t sidecar);
   // The wall clock of its machine goes on from a time that is so much later.
   void StepClock(std::size_t sidecar, Duration by);
@@ -122,4 +122,4 @@
   std::vector<Member> members_;
 };
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/sidecar_config.cpp
+++ b/lab/real/sidecar_config.cpp
@@ -1,4 +1,4 @@
-#include "sidecar_config.h"
+#include "lab/real/sidecar_config.h"
 
 #include <algorithm>
 #include <boost/asio/connect.hpp>
@@ -18,9 +18,9 @@
 #include <thread>
 #include <utility>
 
-#include "config.h"
+#include "settings/config.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 namespace {
 
 namespace http = boost::beast::http;
@@ -33,70 +33,67 @@
 constexpr std::size_t kLogShown = 500;  // bytes of the log's end in an error
 constexpr char kListeningMark[] = ": listening on ";
 
-const char* Name(kestrellb::Effect effect) {
-  switch (effect) {
-    case kestrellb::Effect::kSafe:
+const char* Name(lb::Idempotency idempotency) {
+  switch (idempotency) {
+    case lb::Idempotency::kIdempotent:
       return "read_like";
-    case kestrellb::Effect::kKeyed:
+    case lb::Idempotency::kIdempotencyKey:
       return "idempotency_key";
-    case kestrellb::Effect::kUnsafe:
+    case lb::Idempotency::kNotIdempotent:
       return "non_idempotent";
   }
   throw std::invalid_argument("unknown effect");
 }
 
-const char* Name(kestrellb::KeyScope scope) {
+const char* Name(lb::KeyScope scope) {
   switch (scope) {
-    case kestrellb::KeyScope::kAll:
+    case lb::KeyScope::kAll:
       return "all";
-    case kestrellb::KeyScope::kZone:
+    case lb::KeyScope::kZone:
       return "zone";
-    case kestrellb::KeyScope::kCell:
+    case lb::KeyScope::kCell:
       return "cell";
   }
   throw std::invalid_argument("unknown key scope");
 }
 
-json ToJson(const kestrellb::RequestClass& request_class) {
+json ToJson(const lb::RequestClass& request_class) {
   return {{"Name", request_class.name},
-          {"Aim", request_class.aim.count()},
-          {"AimStretch", request_class.aim_stretch},
+          {"Aim", request_class.latency_objective.count()},
+          {"AimStretch", request_class.latency_objective_stretch},
           {"HardLimit", request_class.deadline.count()},
-          {"Effect", Name(request_class.effect)},
+          {"Effect", Name(request_class.idempotency)},
           {"KeyScope", Name(request_class.key_scope)},
           {"Window", request_class.key_window.count()},
-          {"Worth", request_class.worth},
-          {"LateWorth", request_class.late_worth},
+          {"Worth", request_class.priority_weight},
+          {"LateWorth", request_class.late_priority_weight},
           {"Stream", request_class.stream}};
 }
 
-json ToJson(const kestrellb::Tenant& tenant) {
+json ToJson(const lb::Tenant& tenant) {
   return {{"Name", tenant.name}, {"Share", tenant.share}, {"QuotaPerS", tenant.quota_per_s}};
 }
 
-json ToJson(const kestrellb::Limits& limits) {
+json ToJson(const lb::Limits& limits) {
   return {{"MaxAttempts", limits.max_attempts},
-          {"SecondCopies", limits.second_copies},
-          {"Cancelling", limits.cancel},
-          {"MayProbe", limits.probes},
-          {"RetryAfter", limits.retry_after},
+          {"SecondCopies", limits.hedging_allowed},
+          {"Cancelling", limits.cancellation_allowed},
+          {"MayProbe", limits.load_probes_allowed},
+          {"RetryAfter", limits.send_retry_after},
           {"MaxRetryAfter", limits.max_retry_after.count()},
           {"ConnectTimeout", limits.connect_timeout.count()},
           {"IdleClose", limits.idle_close.count()},
-          {"Multiplex", limits.streams}};
+          {"Multiplex", limits.streams_per_connection}};
 }
 
-json ToJson(const kestrellb::Rules& rules) {
-  return {{"GraceToAnswer", rules.answer_grace.count()},
-          {"MustAskIn", rules.ask_within.count()},
-          {"StopSendingWithin", rules.drain_grace.count()},
-          {"ColdFrom", rules.cold_from},
-          {"Cold", rules.cold_time.count()},
-          {"FallMultiple", rules.fall_multiple},
-          {"Fall", rules.fall_window.count()}};
+json ToJson(const lb::FleetLimits& rules) {
+  return {{"GraceToAnswer", rules.answer_grace.count()},    {"MustAskIn", rules.poll_interval_limit.count()},
+          {"StopSendingWithin", rules.drain_grace.count()}, {"ColdFrom", rules.slow_start_initial_share},
+          {"Cold", rules.slow_start_duration.count()},      {"FallMultiple", rules.overload_multiple},
+          {"Fall", rules.overload_window.count()}};
 }
 
-json ToJson(const kestrellb::Prices& prices) {
+json ToJson(const lb::DecisionCosts& prices) {
   return {{"CrossZone", prices.cross_zone},
           {"Handshake", prices.handshake},
           {"Probe", prices.probe},
@@ -115,7 +112,7 @@
 }
 
 tcp::endpoint ToEndpoint(const std::string& text) {
-  const auto endpoint = mothrack::ParseEndpoint(text);
+  const auto endpoint = lb::ParseEndpoint(text);
   if (!endpoint) throw std::invalid_argument("no address and port: " + text);
   return *endpoint;
 }
@@ -146,21 +143,21 @@
 
 }  // namespace
 
-json ToJson(const kestrellb::Settings& settings) {
+json ToJson(const lb::Settings& settings) {
   json classes = json::array();
   for (const auto& request_class : settings.classes) classes.push_back(ToJson(request_class));
   json tenants = json::array();
   for (const auto& tenant : settings.tenants) tenants.push_back(ToJson(tenant));
   json params = {{"Classes", std::move(classes)},
                  {"Tenants", std::move(tenants)},
-                 {"OverShareWorth", settings.over_share_worth},
+                 {"OverShareWorth", settings.over_share_priority_weight},
                  {"Zone", settings.zone},
-                 {"PeersTotal", settings.balancers},
-                 {"Me", settings.self},
-                 {"MembershipMode", settings.membership_on_request ? "on_request" : "pushed"},
+                 {"PeersTotal", settings.sidecar_count},
+                 {"Me", settings.sidecar_index},
+                 {"MembershipMode", settings.polled_membership ? "on_request" : "pushed"},
                  {"Limits", ToJson(settings.limits)},
-                 {"Rules", ToJson(settings.rules)},
-                 {"Prices", ToJson(settings.prices)}};
+                 {"Rules", ToJson(settings.fleet_limits)},
+                 {"Prices", ToJson(settings.decision_costs)}};
   if (settings.load_by_probe) params["Report"] = {{"How", "probe"}};
   if (settings.live_weights) params["Weights"] = "live";
   return params;
@@ -269,4 +266,4 @@
   }
 }
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/sidecar_config.h
+++ b/lab/real/sidecar_config.h
@@ -8,16 +8,16 @@
 #include <optional>
 #include <string>
 
-#include "kestrellb/balancer.h"
+#include "balancer/balancer.h"
+#include "lab/real/port_reservation.h"
+#include "lab/real/process.h"
+#include "lab/real/wall_clock.h"
 #include "nlohmann/json.hpp"
-#include "port_reservation.h"
-#include "process.h"
-#include "wall_clock.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 
-// The settings under the wire's names: kestrellb::wire::ParseSettings() makes the same ones of it.
-nlohmann::json ToJson(const kestrellb::Settings& settings);
+// The settings under the wire's names: lb::adapter::ParseSettings() makes the same ones of it.
+nlohmann::json ToJson(const lb::Settings& settings);
 
 struct SidecarConfig {
   std::string name;
@@ -28,7 +28,7 @@
   int memory_mb = 64;
   std::size_t sockets = 1024;
   nlohmann::json known;  // in discovery's form (`rev`, `all`, `targets`); null: nothing is known
-  kestrellb::Settings settings;
+  lb::Settings settings;
 };
 
 // The configuration file.
@@ -86,4 +86,4 @@
   std::optional<Process> process_;
 };
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/sidecar_operator.cpp
+++ b/lab/real/sidecar_operator.cpp
@@ -1,4 +1,4 @@
-#include "sidecar_operator.h"
+#include "lab/real/sidecar_operator.h"
 
 #include <algorithm>
 #include <boost/asio/post.hpp>
@@ -8,9 +8,9 @@
 #include <stdexcept>
 #include <utility>
 
-#include "node/clock.h"
+#include "sidecar/clock.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 namespace {
 
 using std::chrono::milliseconds;
@@ -74,7 +74,7 @@
 void SidecarOperator::StopNow(std::size_t sidecar) {
   if (!away_.insert(sidecar).second) return;
   ++counters_.stopped;
-  stopping_[sidecar].told = mothrack::Now();
+  stopping_[sidecar].told = sidecar::Now();
   fleet_.SignalSidecar(sidecar, SIGTERM);
 }
 
@@ -107,7 +107,7 @@
 }
 
 bool SidecarOperator::HasEnded(std::size_t sidecar, Stopping& stopping) {
-  const TimePoint now = mothrack::Now();
+  const TimePoint now = sidecar::Now();
   if (!fleet_.SidecarRuns(sidecar)) return true;
   if (now >= stopping.told + kConnectsAfterTerm && std::exchange(stopping.connecting, false)) {
     fleet_.SetConnecting(sidecar, false);
@@ -132,4 +132,4 @@
   });
 }
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/sidecar_operator.h
+++ b/lab/real/sidecar_operator.h
@@ -11,11 +11,11 @@
 #include <set>
 #include <vector>
 
-#include "discovery_server.h"
+#include "lab/real/discovery_server.h"
+#include "lab/real/real_fleet.h"
 #include "nlohmann/json.hpp"
-#include "real_fleet.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 
 // A sidecar that has ended takes so long to start anew.
 inline constexpr Duration kSidecarRestart = std::chrono::milliseconds(500);
@@ -82,4 +82,4 @@
   SidecarOperatorCounters counters_;
 };
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/socket_state.h
+++ b/lab/real/socket_state.h
@@ -6,7 +6,7 @@
 #include <boost/asio/ip/tcp.hpp>
 #include <cerrno>
 
-namespace aspendyke::lab {
+namespace lb::lab {
 
 enum class SocketState {
   kQuiet,  // open, and nothing to read
@@ -29,4 +29,4 @@
   socket.close(ignored);
 }
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/stalled_clients.cpp
+++ b/lab/real/stalled_clients.cpp
@@ -1,4 +1,4 @@
-#include "stalled_clients.h"
+#include "lab/real/stalled_clients.h"
 
 #include <array>
 #include <boost/asio/buffer.hpp>
@@ -7,7 +7,7 @@
 #include <stdexcept>
 #include <utility>
 
-namespace aspendyke::lab {
+namespace lb::lab {
 namespace {
 
 using boost::asio::ip::tcp;
@@ -117,4 +117,4 @@
 
 std::size_t StalledClients::open() const { return state_->open.size(); }
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/stalled_clients.h
+++ b/lab/real/stalled_clients.h
@@ -9,9 +9,9 @@
 #include <memory>
 #include <string>
 
-#include "scheduler.h"
+#include "lab/virtual/scheduler.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 
 // An error or a close is owed to such a client so long after it has connected, with the slack that the
 // protocol gives on sockets.
@@ -54,4 +54,4 @@
   std::shared_ptr<State> state_;
 };
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/upstream_operator.cpp
+++ b/lab/real/upstream_operator.cpp
@@ -1,13 +1,13 @@
-#include "upstream_operator.h"
+#include "lab/real/upstream_operator.h"
 
 #include <chrono>
 #include <stdexcept>
 #include <utility>
 
-namespace aspendyke::lab {
+namespace lb::lab {
 namespace {
 
-using kestrellb::UpstreamState;
+using lb::UpstreamState;
 
 // Of a restart: from its draining being announced to its turning requests away, to its end, and to the start
 // of the next process. The same as on the virtual clock.
@@ -126,4 +126,4 @@
   hollow_.propagation().Changed(revision, entry.service, scheduler_.Now());
 }
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/upstream_operator.h
+++ b/lab/real/upstream_operator.h
@@ -5,14 +5,14 @@
 #include <cstddef>
 #include <optional>
 
-#include "deployment.h"
-#include "discovery_server.h"
-#include "hollow_fleet.h"
-#include "membership.h"
-#include "real_fleet.h"
-#include "scheduler.h"
+#include "lab/model/membership.h"
+#include "lab/real/discovery_server.h"
+#include "lab/real/real_fleet.h"
+#include "lab/spec/deployment.h"
+#include "lab/virtual/hollow_fleet.h"
+#include "lab/virtual/scheduler.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 
 // On the hollow fleet's thread.
 class UpstreamOperator {
@@ -37,7 +37,7 @@
 
  private:
   MembershipEntry Entry(std::size_t upstream) const;
-  void SetState(std::size_t upstream, kestrellb::UpstreamState state);
+  void SetState(std::size_t upstream, lb::UpstreamState state);
   void Tell(const MembershipEntry& entry);
   // Does the same with the model of the hollow sidecars and the one of the real ones.
   template <typename OnModel, typename OnHttp>
@@ -51,4 +51,4 @@
   RealFleet* const real_;
 };
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/wall_clock.cpp
+++ b/lab/real/wall_clock.cpp
@@ -1,4 +1,4 @@
-#include "wall_clock.h"
+#include "lab/real/wall_clock.h"
 
 #include <fcntl.h>
 #include <sys/mman.h>
@@ -9,7 +9,7 @@
 #include <system_error>
 #include <utility>
 
-namespace aspendyke::lab {
+namespace lb::lab {
 
 WallClock::WallClock(std::string file) : file_(std::move(file)) {
   const int descriptor = ::open(file_.c_str(), O_RDWR | O_CREAT | O_TRUNC | O_CLOEXEC, 0644);
@@ -35,7 +35,7 @@
 }
 
 std::map<std::string, std::string> WallClock::Environment() const {
-  return {{"LD_PRELOAD", ASPENDYKE_WALL_CLOCK_LIBRARY}, {"ASPENDYKE_WALL_CLOCK_FILE", file_}};
+  return {{"LD_PRELOAD", LB_WALL_CLOCK_LIBRARY}, {"LB_WALL_CLOCK_FILE", file_}};
 }
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/wall_clock.h
+++ b/lab/real/wall_clock.h
@@ -6,11 +6,11 @@
 #include <map>
 #include <string>
 
-#include "kestrellb/balancer.h"
+#include "balancer/balancer.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 
-using kestrellb::Duration;
+using lb::Duration;
 
 // Not thread-safe.
 class WallClock {
@@ -32,4 +32,4 @@
   volatile std::int64_t* shift_ns_ = nullptr;  // mapped; null: moved from
 };
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/wall_clock_shift.cpp
+++ b/lab/real/wall_clock_shift.cpp
@@ -1,5 +1,5 @@
 // A library that is preloaded into a sidecar under test: the process sees a wall clock that is off by what
-// stands in the file that ASPENDYKE_WALL_CLOCK_FILE names, a whole number of nanoseconds (8 bytes, as the
+// stands in the file that LB_WALL_CLOCK_FILE names, a whole number of nanoseconds (8 bytes, as the
 // machine stores them). The file may change while the process runs: the clock is stepped. Monotonic clocks
 // are the machine's. Without the file nothing is changed.
 #include <fcntl.h>
@@ -17,7 +17,7 @@
 constexpr std::int64_t kNanosecondsPerSecond = 1'000'000'000;
 
 const volatile std::int64_t* MapShift() {
-  const char* const path = std::getenv("ASPENDYKE_WALL_CLOCK_FILE");
+  const char* const path = std::getenv("LB_WALL_CLOCK_FILE");
   if (path == nullptr) return nullptr;
   const int file = ::open(path, O_RDONLY | O_CLOEXEC);
   if (file < 0) return nullptr;
--- a/lab/worker_thread.h
+++ b/lab/real/worker_thread.h
@@ -17,7 +17,7 @@
 #include <thread>
 #include <utility>
 
-namespace aspendyke::lab {
+namespace lb::lab {
 
 // What is on the io_context has to outlive the call of Stop(). Start(), Stop() and Ask() are for one thread,
 // Post() for any.
@@ -95,4 +95,4 @@
   std::exception_ptr failure_;  // guarded by mutex_
 };
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/run.cpp
+++ b/lab/run.cpp
@@ -1,4 +1,4 @@
-#include "run.h"
+#include "lab/run.h"
 
 #include <cstdio>
 #include <exception>
@@ -8,10 +8,10 @@
 #include <utility>
 #include <vector>
 
-#include "growth.h"
-#include "metrics.h"
+#include "lab/measure/growth.h"
+#include "lab/measure/metrics.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 namespace {
 
 // Thrown through an engine to end it early.
@@ -164,4 +164,4 @@
   return Player(experiment, options, outputs, engines).Play();
 }
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/run.h
+++ b/lab/run.h
@@ -5,10 +5,10 @@
 #include <iosfwd>
 #include <string>
 
-#include "engine.h"
-#include "experiment.h"
+#include "lab/engine.h"
+#include "lab/spec/experiment.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 
 enum class ExitCode {
   kHeld = 0,      // all that must hold did
@@ -42,4 +42,4 @@
 ExitCode PlayExperiment(const Experiment& experiment, const RunOptions& options, const RunOutputs& outputs,
                         const Engines& engines = {});
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/deployment.cpp
+++ b/lab/spec/deployment.cpp
@@ -1,4 +1,4 @@
-#include "deployment.h"
+#include "lab/spec/deployment.h"
 
 #include <xxhash.h>
 
@@ -12,7 +12,7 @@
 #include <random>
 #include <utility>
 
-namespace aspendyke::lab {
+namespace lb::lab {
 namespace {
 
 // Standard deviation over mean of the speeds of machines of one kind.
@@ -250,14 +250,14 @@
   return events;
 }
 
-kestrellb::RequestClass ToRequestClass(const ClassSpec& spec) {
-  kestrellb::RequestClass request_class;
+lb::RequestClass ToRequestClass(const ClassSpec& spec) {
+  lb::RequestClass request_class;
   request_class.name = spec.name;
-  request_class.aim = spec.aim;
+  request_class.latency_objective = spec.latency_objective;
   request_class.deadline = spec.deadline;
-  request_class.effect = spec.effect;
+  request_class.idempotency = spec.idempotency;
   request_class.key_window = spec.key_window;
-  request_class.worth = spec.worth;
+  request_class.priority_weight = spec.priority_weight;
   return request_class;
 }
 
@@ -279,28 +279,28 @@
   return XXH64(purpose.data(), purpose.size(), XXH64(bytes.data(), bytes.size(), seed));
 }
 
-kestrellb::Settings SidecarSettings(const Experiment& experiment, const Deployment& deployment,
-                                    const SidecarInstance& self) {
-  kestrellb::Settings settings;
+lb::Settings SidecarSettings(const Experiment& experiment, const Deployment& deployment,
+                             const SidecarInstance& self) {
+  lb::Settings settings;
   for (const ClassSpec& spec : experiment.classes) settings.classes.push_back(ToRequestClass(spec));
   settings.zone = self.zone;
-  settings.balancers = deployment.sidecars.size();
-  settings.self = self.index;
-  settings.membership_on_request = experiment.discovery.on_request;
+  settings.sidecar_count = deployment.sidecars.size();
+  settings.sidecar_index = self.index;
+  settings.polled_membership = experiment.discovery.on_request;
   settings.load_by_probe = experiment.sidecars.probes;
   settings.limits.max_attempts = static_cast<std::size_t>(experiment.sidecars.max_attempts);
-  settings.limits.second_copies = experiment.sidecars.second_copies;
-  settings.limits.probes = experiment.sidecars.probes;
-  settings.limits.retry_after = experiment.sidecars.retry_after;
+  settings.limits.hedging_allowed = experiment.sidecars.hedging_allowed;
+  settings.limits.load_probes_allowed = experiment.sidecars.probes;
+  settings.limits.send_retry_after = experiment.sidecars.retry_after;
   settings.limits.idle_close = experiment.upstreams.idle_close;
-  settings.rules.cold_from = experiment.upstreams.cold_from;
-  settings.rules.cold_time = experiment.upstreams.cold_time;
-  settings.rules.fall_multiple = kFallMultiple;
-  settings.rules.fall_window = kFallWindow;
-  settings.prices.cross_zone = experiment.sidecars.cross_zone_price;
-  settings.prices.probe = experiment.sidecars.probe_price;
+  settings.fleet_limits.slow_start_initial_share = experiment.upstreams.slow_start_initial_share;
+  settings.fleet_limits.slow_start_duration = experiment.upstreams.slow_start_duration;
+  settings.fleet_limits.overload_multiple = kFallMultiple;
+  settings.fleet_limits.overload_window = kFallWindow;
+  settings.decision_costs.cross_zone = experiment.sidecars.cross_zone_price;
+  settings.decision_costs.probe = experiment.sidecars.probe_price;
   settings.Validate();
   return settings;
 }
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/deployment.h
+++ b/lab/spec/deployment.h
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "experiment.h"
+#include "lab/spec/experiment.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 
 struct UpstreamInstance {
   std::size_t index = 0;  // into Deployment::upstreams
@@ -63,7 +63,7 @@
 std::uint64_t DeriveSeed(std::uint64_t seed, const std::string& purpose, std::uint64_t index = 0);
 
 // The settings that sidecar `self` of the deployment is given, as the module takes them.
-kestrellb::Settings SidecarSettings(const Experiment& experiment, const Deployment& deployment,
-                                    const SidecarInstance& self);
+lb::Settings SidecarSettings(const Experiment& experiment, const Deployment& deployment,
+                             const SidecarInstance& self);
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/experiment.cpp
+++ b/lab/spec/experiment.cpp
@@ -1,4 +1,4 @@
-#include "experiment.h"
+#include "lab/spec/experiment.h"
 
 #include <algorithm>
 #include <cctype>
@@ -8,11 +8,11 @@
 #include <limits>
 #include <set>
 
-#include "growth_spec.h"
-#include "metrics.h"
-#include "toml_reader.h"
+#include "lab/measure/metrics.h"
+#include "lab/spec/growth_spec.h"
+#include "lab/spec/toml_reader.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 namespace {
 
 using std::chrono::microseconds;
@@ -32,9 +32,9 @@
                                                     {"real", ClockKind::kReal}};
 const std::vector<NamedValue<ListScope>> kLists = {{"all", ListScope::kAll},
                                                    {"service", ListScope::kService}};
-const std::vector<NamedValue<kestrellb::Effect>> kEffects = {{"safe", kestrellb::Effect::kSafe},
-                                                             {"keyed", kestrellb::Effect::kKeyed},
-                                                             {"unsafe", kestrellb::Effect::kUnsafe}};
+const std::vector<NamedValue<lb::Idempotency>> kEffects = {{"safe", lb::Idempotency::kIdempotent},
+                                                           {"keyed", lb::Idempotency::kIdempotencyKey},
+                                                           {"unsafe", lb::Idempotency::kNotIdempotent}};
 
 enum class KeyUse { kRefused, kOptional, kRequired };
 
@@ -121,13 +121,13 @@
   table.ReadNumber("share", spec.share, kPart);
   table.ReadTime("mean_work_ms", spec.mean_work, milliseconds(1), {0.001, 60'000});
   table.ReadNumber("work_variation", spec.work_variation, {0, 20});
-  table.ReadTime("aim_ms", spec.aim, milliseconds(1), {1, 600'000});
+  table.ReadTime("aim_ms", spec.latency_objective, milliseconds(1), {1, 600'000});
   table.ReadTime("deadline_ms", spec.deadline, milliseconds(1), {1, 600'000});
-  table.ReadChoice("effect", spec.effect, kEffects);
+  table.ReadChoice("effect", spec.idempotency, kEffects);
   table.ReadTime("key_window_s", spec.key_window, seconds(1), {0.001, 86'400});
-  table.ReadNumber("worth", spec.worth, {0, 1e6});
+  table.ReadNumber("worth", spec.priority_weight, {0, 1e6});
   table.Finish();
-  if (spec.aim > spec.deadline) table.Fail("aim_ms", "aim_ms is over deadline_ms");
+  if (spec.latency_objective > spec.deadline) table.Fail("aim_ms", "aim_ms is over deadline_ms");
   return spec;
 }
 
@@ -166,8 +166,8 @@
   table.ReadTime("probe_us", spec.probe_work, microseconds(1), {0, 10'000'000});
   table.ReadNumber("full_table_cost", spec.full_table_cost, {0, 0.99});
   table.ReadTime("idle_close_s", spec.idle_close, seconds(1), {0.1, 3600});
-  table.ReadNumber("cold_from", spec.cold_from, {0.001, 1});
-  table.ReadTime("cold_s", spec.cold_time, seconds(1), {0.001, 3600});
+  table.ReadNumber("cold_from", spec.slow_start_initial_share, {0.001, 1});
+  table.ReadTime("cold_s", spec.slow_start_duration, seconds(1), {0.001, 3600});
   table.ReadFlag("cancel_stops_work", spec.cancel_stops_work);
   table.ReadNumber("crowded_at", spec.crowded_at, {0, 100'000});
   table.ReadTime("crowded_after_s", spec.crowded_after, seconds(1), {0, 3600});
@@ -216,7 +216,7 @@
 
 void ReadSidecars(TableReader& table, SidecarSpec& spec) {
   table.ReadFlag("probes", spec.probes);
-  table.ReadFlag("second_copies", spec.second_copies);
+  table.ReadFlag("second_copies", spec.hedging_allowed);
   table.ReadFlag("retry_after", spec.retry_after);
   table.ReadCount("max_attempts", spec.max_attempts, 1, 20);
   table.ReadNumber("cross_zone_price", spec.cross_zone_price, {0, 1000});
@@ -434,4 +434,4 @@
   return ParseExperiment(text, path);
 }
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/experiment.h
+++ b/lab/spec/experiment.h
@@ -10,11 +10,11 @@
 #include <string_view>
 #include <vector>
 
-#include "kestrellb/balancer.h"
+#include "balancer/balancer.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 
-using kestrellb::Duration;
+using lb::Duration;
 
 // The file can't be used. The text is one line, `FILE:LINE: what is wrong`.
 class ExperimentError : public std::runtime_error {
@@ -46,14 +46,14 @@
 // A class of requests. Times are this deployment's own.
 struct ClassSpec {
   std::string name;
-  double share = 1;           // of the requests, against the other classes' shares
-  Duration mean_work{};       // on a core of speed 1
-  double work_variation = 1;  // standard deviation over mean, of a lognormal distribution
-  Duration aim{};             // an answer within it is in time
-  Duration deadline{};        // the client gives up
-  kestrellb::Effect effect = kestrellb::Effect::kSafe;
+  double share = 1;              // of the requests, against the other classes' shares
+  Duration mean_work{};          // on a core of speed 1
+  double work_variation = 1;     // standard deviation over mean, of a lognormal distribution
+  Duration latency_objective{};  // an answer within it is in time
+  Duration deadline{};           // the client gives up
+  lb::Idempotency idempotency = lb::Idempotency::kIdempotent;
   Duration key_window = std::chrono::seconds(5);  // of a keyed class
-  double worth = 1;
+  double priority_weight = 1;
 };
 
 // A kind of upstream machine.
@@ -74,9 +74,9 @@
   Duration probe_work{};       // of a probe, likewise
   double full_table_cost = 0;  // share of the capacity that a full connection table takes, linear below
   Duration idle_close = std::chrono::seconds(15);
-  double cold_from = 1;                          // share of the capacity right after a start
-  Duration cold_time = std::chrono::seconds(5);  // until it is warm, rising evenly
-  bool cancel_stops_work = false;                // whether a closed connection ends work that is under way
+  double slow_start_initial_share = 1;                     // share of the capacity right after a start
+  Duration slow_start_duration = std::chrono::seconds(5);  // until it is warm, rising evenly
+  bool cancel_stops_work = false;  // whether a closed connection ends work that is under way
   // Slowdown when crowded: holding more than `crowded_at` requests a core for `crowded_after` makes it
   // `crowded_slowdown` times slower until it has held fewer than `rested_below` a core for `rest_time`.
   double crowded_at = 0;  // 0: never
@@ -119,7 +119,7 @@
 // What the sidecars are allowed and told, as in their settings.
 struct SidecarSpec {
   bool probes = false;  // probes are allowed, and reports come with them
-  bool second_copies = true;
+  bool hedging_allowed = true;
   bool retry_after = true;
   int max_attempts = 3;
   double cross_zone_price = 0;
@@ -252,4 +252,4 @@
 // The same from text; `file` is what errors call it.
 Experiment ParseExperiment(const std::string& text, const std::string& file);
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/growth_spec.cpp
+++ b/lab/spec/growth_spec.cpp
@@ -1,14 +1,14 @@
-#include "growth_spec.h"
+#include "lab/spec/growth_spec.h"
 
 #include <set>
 #include <string>
 #include <utility>
 #include <vector>
 
-#include "growth.h"
-#include "metrics.h"
+#include "lab/measure/growth.h"
+#include "lab/measure/metrics.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 namespace {
 
 constexpr std::int64_t kMostUpstreams = 5000;
@@ -89,4 +89,4 @@
   }
 }
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/growth_spec.h
+++ b/lab/spec/growth_spec.h
@@ -1,10 +1,10 @@
 // [growth] and [[growth_limit]] of an experiment file.
 #pragma once
 
-#include "experiment.h"
-#include "toml_reader.h"
+#include "lab/spec/experiment.h"
+#include "lab/spec/toml_reader.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 
 // Reads both into `experiment.growth`; it stays absent where the file has neither. Throws ExperimentError for
 // what they can't hold by themselves.
@@ -14,4 +14,4 @@
 // ExperimentError.
 void CheckGrowth(TableReader& file, const Experiment& experiment);
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/schedule.cpp
+++ b/lab/spec/schedule.cpp
@@ -1,11 +1,11 @@
-#include "schedule.h"
+#include "lab/spec/schedule.h"
 
 #include <algorithm>
 #include <chrono>
 #include <iomanip>
 #include <ostream>
 
-namespace aspendyke::lab {
+namespace lb::lab {
 namespace {
 
 // Digits that tell any two drawn values apart as far as people care; restored at the end.
@@ -93,4 +93,4 @@
   }
 }
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/schedule.h
+++ b/lab/spec/schedule.h
@@ -3,10 +3,10 @@
 
 #include <iosfwd>
 
-#include "deployment.h"
-#include "experiment.h"
+#include "lab/spec/deployment.h"
+#include "lab/spec/experiment.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 
 // A few lines for one size: how many of what, the load, and how many each fault strikes.
 void PrintSummary(std::ostream& out, const Experiment& experiment, const Deployment& deployment);
@@ -14,4 +14,4 @@
 // Everything, a line for each upstream, sidecar and fault. The same file, size and seed give the same text.
 void PrintSchedule(std::ostream& out, const Experiment& experiment, const Deployment& deployment);
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/toml_reader.cpp
+++ b/lab/spec/toml_reader.cpp
@@ -1,11 +1,11 @@
-#include "toml_reader.h"
+#include "lab/spec/toml_reader.h"
 
 #include <cmath>
 #include <iomanip>
 #include <sstream>
 #include <utility>
 
-namespace aspendyke::lab {
+namespace lb::lab {
 namespace {
 
 // As people write numbers: no exponent for the usual ones, no trailing zeros.
@@ -146,4 +146,4 @@
   return value;
 }
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/toml_reader.h
+++ b/lab/spec/toml_reader.h
@@ -11,10 +11,10 @@
 #include <string_view>
 #include <vector>
 
-#include "experiment.h"
+#include "lab/spec/experiment.h"
 #include "toml++/toml.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 
 // Inclusive. NaN lies in none.
 struct Bounds {
@@ -93,4 +93,4 @@
   std::set<std::string, std::less<>> taken_;
 };
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/hollow_fleet.cpp
+++ b/lab/virtual/hollow_fleet.cpp
@@ -1,13 +1,13 @@
-#include "hollow_fleet.h"
+#include "lab/virtual/hollow_fleet.h"
 
 #include <algorithm>
 #include <boost/asio/post.hpp>
 #include <chrono>
 #include <utility>
 
-#include "cpu_clock.h"
+#include "lab/real/cpu_clock.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 namespace {
 
 constexpr double kSpreadPercentile = 0.95;
@@ -102,7 +102,7 @@
       Hear(std::move(heard));
     });
   });
-  const auto known = mothrack::ParseList(ToJson(registry.Since(std::nullopt, service)), unix_clock_);
+  const auto known = sidecar::ParseList(ToJson(registry.Since(std::nullopt, service)), unix_clock_);
   member.sidecar->Start(seed, known.update.upstreams);
 }
 
@@ -198,4 +198,4 @@
   return loads.mean() > 0 ? loads.Percentile(kSpreadPercentile) / loads.mean() : 0;
 }
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/hollow_fleet.h
+++ b/lab/virtual/hollow_fleet.h
@@ -10,20 +10,20 @@
 #include <optional>
 #include <vector>
 
-#include "client_model.h"
-#include "control_client.h"
-#include "deployment.h"
-#include "discovery_server.h"
-#include "experiment.h"
-#include "hollow_sidecar.h"
-#include "membership.h"
-#include "metrics.h"
-#include "network_model.h"
-#include "propagation_log.h"
-#include "scheduler.h"
-#include "upstream_model.h"
-
-namespace aspendyke::lab {
+#include "lab/measure/metrics.h"
+#include "lab/measure/propagation_log.h"
+#include "lab/model/client_model.h"
+#include "lab/model/membership.h"
+#include "lab/model/network_model.h"
+#include "lab/model/upstream_model.h"
+#include "lab/real/control_client.h"
+#include "lab/real/discovery_server.h"
+#include "lab/spec/deployment.h"
+#include "lab/spec/experiment.h"
+#include "lab/virtual/hollow_sidecar.h"
+#include "lab/virtual/scheduler.h"
+
+namespace lb::lab {
 
 // How requests ended, with the latencies of the served ones.
 struct RequestResults {
@@ -119,7 +119,7 @@
   const Deployment& deployment_;
   const Deployment offered_;  // the same with no requests for those that are not played here
   DiscoveryServer& discovery_;
-  const mothrack::UnixClock unix_clock_;
+  const sidecar::UnixClock unix_clock_;
   NetworkModel network_;
   std::vector<std::unique_ptr<UpstreamModel>> models_;
   UpstreamDirectory directory_;
@@ -142,4 +142,4 @@
   ControlFleet control_;  // its threads end first
 };
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/hollow_sidecar.cpp
+++ b/lab/virtual/hollow_sidecar.cpp
@@ -1,23 +1,23 @@
-#include "hollow_sidecar.h"
+#include "lab/virtual/hollow_sidecar.h"
 
 #include <algorithm>
 #include <chrono>
 #include <variant>
 
-namespace aspendyke::lab {
+namespace lb::lab {
 namespace {
 
-using kestrellb::AttemptEnded;
-using kestrellb::AttemptId;
-using kestrellb::LoadReport;
-using kestrellb::MembershipUpdate;
-using kestrellb::Outcome;
-using kestrellb::RequestId;
-using kestrellb::UpstreamInfo;
-using kestrellb::UpstreamState;
+using lb::AttemptFinished;
+using lb::AttemptId;
+using lb::LoadReport;
+using lb::MembershipUpdate;
+using lb::Outcome;
+using lb::RequestId;
+using lb::UpstreamInfo;
+using lb::UpstreamState;
 using std::chrono::milliseconds;
 
-// As the real sidecar has them (node/sidecar.cpp, node/upstreams.cpp).
+// As the real sidecar has them (sidecar/sidecar.cpp, sidecar/upstreams.cpp).
 constexpr Duration kTrip = milliseconds(2);           // from a client to its sidecar, taken off its deadline
 constexpr Duration kSecondAnswer = milliseconds(20);  // after an answer a connection carries nothing so long
 constexpr int kIdleShare = 10;
@@ -61,7 +61,7 @@
 
 // ---- The process, its clients and its list ----
 
-HollowSidecar::HollowSidecar(const SidecarInstance& instance, kestrellb::Settings settings,
+HollowSidecar::HollowSidecar(const SidecarInstance& instance, lb::Settings settings,
                              const UpstreamDirectory& upstreams, NetworkModel& network, Scheduler& scheduler,
                              TrafficCounters& counters, OnSubscribe on_subscribe)
     : instance_(instance),
@@ -79,7 +79,7 @@
 void HollowSidecar::Start(std::uint64_t seed, std::vector<UpstreamInfo> known) {
   if (running()) Kill();
   ++process_;
-  balancer_ = std::make_unique<kestrellb::Balancer>(settings_, seed);
+  balancer_ = std::make_unique<lb::Balancer>(settings_, seed);
   listed_.assign(upstreams_.size(), {});
   Apply({MembershipUpdate::Kind::kRestored, std::move(known)});
 }
@@ -114,14 +114,14 @@
     return;
   }
   const TimePoint now = scheduler_.Now();
-  kestrellb::RequestArrived event;
+  lb::RequestArrived event;
   event.request = RequestId{++last_request_};
   event.request_class = request.request_class;
   event.deadline = std::max(request.deadline - kTrip, now + milliseconds(1));
   event.client_retry = request.client_retry;
   requests_.emplace(event.request, Pending{request.work, std::move(on_answer), {}, 0});
   CountUnanswered(now);
-  answer_by_.emplace_back(event.deadline + settings_.rules.answer_grace, event.request);
+  answer_by_.emplace_back(event.deadline + settings_.fleet_limits.answer_grace, event.request);
   Deliver(event);
 }
 
@@ -200,7 +200,7 @@
 // ---- Events and timers ----
 
 // handle() is never re-entered: an action that ends something at once queues its event here.
-void HollowSidecar::Deliver(kestrellb::Event event) {
+void HollowSidecar::Deliver(lb::Event event) {
   events_.push_back(std::move(event));
   if (!delivering_) Pump();
 }
@@ -208,11 +208,11 @@
 void HollowSidecar::Pump() {
   const Busy busy(delivering_);
   while (!events_.empty()) {
-    const kestrellb::Event next = std::move(events_.front());
+    const lb::Event next = std::move(events_.front());
     events_.pop_front();
     actions_.clear();
     const auto begun = std::chrono::steady_clock::now();
-    balancer_->handle(scheduler_.Now(), next, actions_);
+    balancer_->Handle(scheduler_.Now(), next, actions_);
     module_time_ += std::chrono::steady_clock::now() - begun;
     for (const auto& action : actions_) {
       std::visit([this](const auto& a) { CarryOut(a); }, action);
@@ -236,7 +236,7 @@
   while (!timers_.empty() && timers_.top().first <= now) {
     const std::uint64_t token = timers_.top().second;
     timers_.pop();
-    Deliver(kestrellb::TimerFired{token});
+    Deliver(lb::TimerFired{token});
   }
   ArmTimer();
 }
@@ -344,7 +344,7 @@
     case ServeResult::kServed:
       return EndExchange(id, Outcome::kServed, true, settings_.load_by_probe ? load : LoadReport{});
     case ServeResult::kTurnedAway:
-      return EndExchange(id, Outcome::kFull, true);
+      return EndExchange(id, Outcome::kRejected, true);
     case ServeResult::kReset:
       return EndExchange(id, Outcome::kReset, false);
   }
@@ -373,7 +373,7 @@
 void HollowSidecar::Count(const Exchange& exchange, Outcome outcome) {
   if (outcome == Outcome::kConnectFailed) ++counters_.connects_failed;
   if (!exchange.request) return;
-  if (outcome == Outcome::kFull) ++counters_.attempts_full;
+  if (outcome == Outcome::kRejected) ++counters_.attempts_full;
   if (outcome == Outcome::kTimeout) ++counters_.attempts_timed_out;
 }
 
@@ -381,7 +381,7 @@
   const Duration elapsed = scheduler_.Now() - exchange.sent;
   if (!exchange.request) {
     const std::string& id = upstreams_.model(exchange.upstream).instance().id;
-    return Deliver(kestrellb::ProbeEnded{{id}, outcome, elapsed, load});
+    return Deliver(lb::LoadProbeFinished{{id}, outcome, elapsed, load});
   }
   const RequestId request = *exchange.request;
   const auto it = requests_.find(request);
@@ -390,8 +390,8 @@
   --pending.out;
   if (outcome == Outcome::kServed && pending.on_answer) AnswerClient(pending, {AnswerKind::kServed, {}});
   const bool finished = !pending.on_answer;
-  Deliver(AttemptEnded{request, exchange.attempt, outcome, elapsed, finished, load,
-                       exchange.connection.idle_for, false});
+  Deliver(AttemptFinished{request, exchange.attempt, outcome, elapsed, finished, load,
+                          exchange.connection.idle_for, false});
   ForgetIfDone(request);
 }
 
@@ -492,7 +492,7 @@
 
 // ---- Actions ----
 
-void HollowSidecar::CarryOut(const kestrellb::SendAttempt& action) {
+void HollowSidecar::CarryOut(const lb::SendAttempt& action) {
   const auto it = requests_.find(action.request);
   if (it == requests_.end()) return;
   Pending& pending = it->second;
@@ -509,17 +509,17 @@
   const auto place = upstreams_.Find(action.upstream.value);
   if (!place || !pending.on_answer) return TellModule(exchange, Outcome::kNotSent, {});
   exchange.upstream = *place;
-  Begin(id, exchange, action.max_idle);
+  Begin(id, exchange, action.max_connection_idle);
 }
 
-void HollowSidecar::CarryOut(const kestrellb::CancelAttempt& action) {
+void HollowSidecar::CarryOut(const lb::CancelAttempt& action) {
   const auto it = requests_.find(action.request);
   const auto attempt = static_cast<std::size_t>(action.attempt);
   if (it == requests_.end() || attempt >= it->second.attempts.size()) return;
   EndExchange(it->second.attempts[attempt], Outcome::kCancelled, false);
 }
 
-void HollowSidecar::CarryOut(const kestrellb::Refuse& action) {
+void HollowSidecar::CarryOut(const lb::RejectRequest& action) {
   const auto it = requests_.find(action.request);
   if (it == requests_.end()) {
     ++lost_;
@@ -529,7 +529,7 @@
   ForgetIfDone(action.request);
 }
 
-void HollowSidecar::CarryOut(const kestrellb::Fail& action) {
+void HollowSidecar::CarryOut(const lb::FailRequest& action) {
   const auto it = requests_.find(action.request);
   if (it == requests_.end()) {
     ++lost_;
@@ -539,25 +539,25 @@
   ForgetIfDone(action.request);
 }
 
-void HollowSidecar::CarryOut(const kestrellb::SetTimer& action) { timers_.emplace(action.at, action.token); }
+void HollowSidecar::CarryOut(const lb::SetTimer& action) { timers_.emplace(action.at, action.token); }
 
-void HollowSidecar::CarryOut(const kestrellb::SendProbe& action) {
+void HollowSidecar::CarryOut(const lb::SendLoadProbe& action) {
   const auto place = upstreams_.Find(action.upstream.value);
-  if (!place) return Deliver(kestrellb::ProbeEnded{action.upstream, Outcome::kNotSent, {}, {}});
+  if (!place) return Deliver(lb::LoadProbeFinished{action.upstream, Outcome::kNotSent, {}, {}});
   Exchange exchange;
   exchange.upstream = *place;
   exchange.sent = scheduler_.Now();
   exchange.gives_up = exchange.sent + settings_.limits.connect_timeout;
   exchange.begin_by = TimePoint::max();
-  Begin(++last_exchange_, exchange, action.max_idle);
+  Begin(++last_exchange_, exchange, action.max_connection_idle);
 }
 
-void HollowSidecar::CarryOut(const kestrellb::CloseIdle& action) {
+void HollowSidecar::CarryOut(const lb::CloseIdleConnections& action) {
   if (const auto place = upstreams_.Find(action.upstream.value)) CloseIdleOf(*place);
 }
 
-void HollowSidecar::CarryOut(const kestrellb::Subscribe&) {
+void HollowSidecar::CarryOut(const lb::Subscribe&) {
   if (on_subscribe_) on_subscribe_();
 }
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/hollow_sidecar.h
+++ b/lab/virtual/hollow_sidecar.h
@@ -1,5 +1,5 @@
 // A sidecar without sockets: the module itself, with its actions carried out on models of the network and the
-// upstreams as the real sidecar carries them out on sockets (node/sidecar.cpp, node/upstreams.cpp).
+// upstreams as the real sidecar carries them out on sockets (sidecar/sidecar.cpp, sidecar/upstreams.cpp).
 #pragma once
 
 #include <cstddef>
@@ -14,14 +14,14 @@
 #include <utility>
 #include <vector>
 
-#include "deployment.h"
-#include "kestrellb/balancer.h"
-#include "metrics.h"
-#include "network_model.h"
-#include "scheduler.h"
-#include "upstream_model.h"
+#include "balancer/balancer.h"
+#include "lab/measure/metrics.h"
+#include "lab/model/network_model.h"
+#include "lab/model/upstream_model.h"
+#include "lab/spec/deployment.h"
+#include "lab/virtual/scheduler.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 
 // The upstream machines by id, shared by all hollow sidecars. It outlives them.
 class UpstreamDirectory {
@@ -45,7 +45,7 @@
 
 // One try of a client.
 struct OfferedRequest {
-  kestrellb::ClassId request_class{};
+  lb::ClassId request_class{};
   Duration work{};       // on a core of speed 1
   TimePoint deadline{};  // the client stops waiting
   bool client_retry = false;
@@ -71,15 +71,15 @@
 
   // Is down until Start(). All references have to outlive it, and `scheduler` must not run once it is gone.
   // `counters` are added to.
-  HollowSidecar(const SidecarInstance& instance, kestrellb::Settings settings,
-                const UpstreamDirectory& upstreams, NetworkModel& network, Scheduler& scheduler,
-                TrafficCounters& counters, OnSubscribe on_subscribe);
+  HollowSidecar(const SidecarInstance& instance, lb::Settings settings, const UpstreamDirectory& upstreams,
+                NetworkModel& network, Scheduler& scheduler, TrafficCounters& counters,
+                OnSubscribe on_subscribe);
   ~HollowSidecar();
   HollowSidecar(const HollowSidecar&) = delete;
   HollowSidecar& operator=(const HollowSidecar&) = delete;
 
   // A new process with that seed, and the list that it holds from before.
-  void Start(std::uint64_t seed, std::vector<kestrellb::UpstreamInfo> known);
+  void Start(std::uint64_t seed, std::vector<lb::UpstreamInfo> known);
   // The process dies: the requests that it holds end as kLost, its connections are closed.
   void Kill();
   bool running() const { return balancer_ != nullptr; }
@@ -87,7 +87,7 @@
   // `on_answer` is called once, by the deadline; kLost at once where the sidecar is down.
   void Offer(const OfferedRequest& request, OnAnswer on_answer);
   // What discovery tells. Ignored while the sidecar is down.
-  void Apply(kestrellb::MembershipUpdate update);
+  void Apply(lb::MembershipUpdate update);
 
   // Requests that the module has left without an answer by their deadline and its grace, and answers beyond
   // the one: both are faults of the module, or of this class.
@@ -104,7 +104,7 @@
 
   // What is known of one upstream by the list.
   struct Listed {
-    kestrellb::UpstreamState state = kestrellb::UpstreamState::kGone;
+    lb::UpstreamState state = lb::UpstreamState::kGone;
     std::uint32_t generation = 0;  // grows as its connections are given up
     std::optional<TimePoint> started{};
   };
@@ -119,8 +119,8 @@
   // An attempt or a probe that is out.
   struct Exchange {
     std::size_t upstream = 0;
-    std::optional<kestrellb::RequestId> request;  // absent: a probe
-    kestrellb::AttemptId attempt{};
+    std::optional<lb::RequestId> request;  // absent: a probe
+    lb::AttemptId attempt{};
     Duration work{};
     Phase phase = Phase::kConnecting;
     TimePoint sent;
@@ -137,12 +137,12 @@
     std::size_t out = 0;  // attempts that have not ended
   };
 
-  void Deliver(kestrellb::Event event);
+  void Deliver(lb::Event event);
   void Pump();
   void ArmTimer();
   void FireTimers();
-  void FollowList(const kestrellb::MembershipUpdate& update);
-  void FollowListed(std::size_t upstream, const kestrellb::UpstreamInfo& info);
+  void FollowList(const lb::MembershipUpdate& update);
+  void FollowListed(std::size_t upstream, const lb::UpstreamInfo& info);
   void GiveUpConnections(std::size_t upstream);
   void AbortUnsent(std::size_t upstream);
 
@@ -152,11 +152,10 @@
   void Connected(ExchangeId id, ConnectResult result);
   void Write(ExchangeId id, Exchange& exchange);
   void ArriveToServe(ExchangeId id);
-  void Answered(ExchangeId id, ServeResult result, const kestrellb::LoadReport& load);
-  void EndExchange(ExchangeId id, kestrellb::Outcome outcome, bool keep_connection,
-                   const kestrellb::LoadReport& load = {});
-  void TellModule(const Exchange& exchange, kestrellb::Outcome outcome, const kestrellb::LoadReport& load);
-  void Count(const Exchange& exchange, kestrellb::Outcome outcome);
+  void Answered(ExchangeId id, ServeResult result, const lb::LoadReport& load);
+  void EndExchange(ExchangeId id, lb::Outcome outcome, bool keep_connection, const lb::LoadReport& load = {});
+  void TellModule(const Exchange& exchange, lb::Outcome outcome, const lb::LoadReport& load);
+  void Count(const Exchange& exchange, lb::Outcome outcome);
   void SendBack(std::size_t upstream, std::function<void()> task);
 
   std::optional<Connection> TakeIdle(std::size_t upstream, Duration max_idle);
@@ -168,21 +167,21 @@
   void Sweep();
 
   void AnswerClient(Pending& pending, const Answer& answer);
-  void ForgetIfDone(kestrellb::RequestId id);
+  void ForgetIfDone(lb::RequestId id);
   void CountUnanswered(TimePoint now);
 
-  void CarryOut(const kestrellb::SendAttempt& action);
-  void CarryOut(const kestrellb::CancelAttempt& action);
-  void CarryOut(const kestrellb::Refuse& action);
-  void CarryOut(const kestrellb::Fail& action);
-  void CarryOut(const kestrellb::SetTimer& action);
-  void CarryOut(const kestrellb::SendProbe& action);
-  void CarryOut(const kestrellb::CloseIdle& action);
-  void CarryOut(const kestrellb::Subscribe& action);
-  void CarryOut(const kestrellb::Log&) {}
+  void CarryOut(const lb::SendAttempt& action);
+  void CarryOut(const lb::CancelAttempt& action);
+  void CarryOut(const lb::RejectRequest& action);
+  void CarryOut(const lb::FailRequest& action);
+  void CarryOut(const lb::SetTimer& action);
+  void CarryOut(const lb::SendLoadProbe& action);
+  void CarryOut(const lb::CloseIdleConnections& action);
+  void CarryOut(const lb::Subscribe& action);
+  void CarryOut(const lb::LogLine&) {}
 
   const SidecarInstance& instance_;
-  const kestrellb::Settings settings_;
+  const lb::Settings settings_;
   const Location location_;
   const Duration trusted_idle_;
   const UpstreamDirectory& upstreams_;
@@ -191,13 +190,13 @@
   TrafficCounters& counters_;
   const OnSubscribe on_subscribe_;
 
-  std::unique_ptr<kestrellb::Balancer> balancer_;  // null while it is down
-  std::uint64_t process_ = 0;                      // what was scheduled by an earlier one is void
-  std::deque<kestrellb::Event> events_;
-  std::vector<kestrellb::Action> actions_;
+  std::unique_ptr<lb::Balancer> balancer_;  // null while it is down
+  std::uint64_t process_ = 0;               // what was scheduled by an earlier one is void
+  std::deque<lb::Event> events_;
+  std::vector<lb::Action> actions_;
   bool delivering_ = false;
-  std::unordered_map<kestrellb::RequestId, Pending> requests_;
-  std::deque<std::pair<TimePoint, kestrellb::RequestId>> answer_by_;  // about in order of time
+  std::unordered_map<lb::RequestId, Pending> requests_;
+  std::deque<std::pair<TimePoint, lb::RequestId>> answer_by_;  // about in order of time
   std::unordered_map<ExchangeId, Exchange> exchanges_;
   std::uint64_t last_request_ = 0;
   ExchangeId last_exchange_ = 0;
@@ -211,4 +210,4 @@
   std::chrono::nanoseconds module_time_{};
 };
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/membership_notices.cpp
+++ b/lab/virtual/membership_notices.cpp
@@ -1,15 +1,15 @@
-#include "membership_notices.h"
+#include "lab/virtual/membership_notices.h"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
-namespace aspendyke::lab {
+namespace lb::lab {
 namespace {
 
-using kestrellb::MembershipUpdate;
-using kestrellb::UpstreamInfo;
-using kestrellb::UpstreamState;
+using lb::MembershipUpdate;
+using lb::UpstreamInfo;
+using lb::UpstreamState;
 
 // A notice that was lost, or a watch that fell silent, is made up for within this time.
 constexpr Duration kLongestSilence = std::chrono::seconds(6);
@@ -97,11 +97,11 @@
   const std::uint64_t subscription = ++watcher.subscription;
   if (down_) return TellFailure(sidecar, kCallTimeout);
   scheduler_.After(kCallTime, [this, sidecar, subscription] {
-    Watcher& watcher = watchers_[sidecar];
-    if (!watcher.up || watcher.subscription != subscription) return;
+    Watcher& caller = watchers_[sidecar];
+    if (!caller.up || caller.subscription != subscription) return;
     if (down_) return TellFailure(sidecar, kCallTimeout);
-    watcher.subscribed = true;
-    TellUpTo(sidecar, std::max(watcher.told, TakeDue(watcher)));
+    caller.subscribed = true;
+    TellUpTo(sidecar, std::max(caller.told, TakeDue(caller)));
     Arm(sidecar);
   });
 }
@@ -202,8 +202,8 @@
   watcher.subscribed = false;
   const std::uint64_t subscription = ++watcher.subscription;
   scheduler_.After(wait, [this, sidecar, subscription] {
-    const Watcher& watcher = watchers_[sidecar];
-    if (!watcher.up || watcher.subscription != subscription) return;
+    const Watcher& caller = watchers_[sidecar];
+    if (!caller.up || caller.subscription != subscription) return;
     tell_(sidecar, {MembershipUpdate::Kind::kFailed, {}});
   });
 }
@@ -215,4 +215,4 @@
   return Duration(std::llround(seconds * delay_factor_ * 1e6));
 }
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/membership_notices.h
+++ b/lab/virtual/membership_notices.h
@@ -9,18 +9,18 @@
 #include <random>
 #include <vector>
 
-#include "deployment.h"
-#include "experiment.h"
-#include "scheduler.h"
+#include "lab/spec/deployment.h"
+#include "lab/spec/experiment.h"
+#include "lab/virtual/scheduler.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 
 // Each change is told to each sidecar after a delay drawn from DiscoverySpec::notice_delay_s, in order for
 // each sidecar; one that is told late holds up those behind it, which then come together. Sidecars whose
 // membership is on request are told nothing before they subscribe.
 class MembershipNotices {
  public:
-  using Tell = std::function<void(std::size_t sidecar, kestrellb::MembershipUpdate update)>;
+  using Tell = std::function<void(std::size_t sidecar, lb::MembershipUpdate update)>;
   // One sidecar has been told of one change, so long after it.
   using OnTold = std::function<void(TimePoint changed, Duration delay)>;
 
@@ -29,13 +29,13 @@
                     Tell tell, OnTold on_told);
 
   // The entry as the list has it now. `upstream` is an index into Deployment::upstreams.
-  const kestrellb::UpstreamInfo& entry(std::size_t upstream) const { return entries_[upstream]; }
+  const lb::UpstreamInfo& entry(std::size_t upstream) const { return entries_[upstream]; }
   // The list changes: `entry` replaces the one of that upstream.
-  void Change(std::size_t upstream, kestrellb::UpstreamInfo entry);
+  void Change(std::size_t upstream, lb::UpstreamInfo entry);
 
   // ---- Sidecars, by their index in the deployment ----
   // The list as that sidecar has been told it, without those that are gone.
-  std::vector<kestrellb::UpstreamInfo> Known(std::size_t sidecar) const;
+  std::vector<lb::UpstreamInfo> Known(std::size_t sidecar) const;
   void SidecarDown(std::size_t sidecar);  // is told nothing until it is up
   void SidecarUp(std::size_t sidecar);    // is told what it missed
   void Subscribe(std::size_t sidecar);    // its module has asked
@@ -53,7 +53,7 @@
   struct Logged {
     TimePoint at;
     std::size_t upstream = 0;
-    kestrellb::UpstreamInfo entry;
+    lb::UpstreamInfo entry;
   };
   // At `due` the first `count` entries of the log are told.
   struct Notice {
@@ -87,8 +87,8 @@
   Scheduler& scheduler_;
   const Tell tell_;
   const OnTold on_told_;
-  std::vector<kestrellb::UpstreamInfo> first_entries_;
-  std::vector<kestrellb::UpstreamInfo> entries_;
+  std::vector<lb::UpstreamInfo> first_entries_;
+  std::vector<lb::UpstreamInfo> entries_;
   std::vector<std::vector<Logged>> logs_;  // one for all, or one for each service, by ListScope
   std::vector<Watcher> watchers_;
   std::mt19937_64 random_;
@@ -98,4 +98,4 @@
   TimePoint silent_until_ = TimePoint::min();
 };
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/scheduler.cpp
+++ b/lab/virtual/scheduler.cpp
@@ -1,8 +1,8 @@
-#include "scheduler.h"
+#include "lab/virtual/scheduler.h"
 
 #include <algorithm>
 
-namespace aspendyke::lab {
+namespace lb::lab {
 
 void TaskQueue::Add(TimePoint when, Scheduler::Task task) {
   if (free_slots_.empty()) {
@@ -68,4 +68,4 @@
   Arm();
 }
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/scheduler.h
+++ b/lab/virtual/scheduler.h
@@ -10,12 +10,12 @@
 #include <utility>
 #include <vector>
 
-#include "kestrellb/balancer.h"
+#include "balancer/balancer.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 
-using kestrellb::Duration;
-using kestrellb::TimePoint;
+using lb::Duration;
+using lb::TimePoint;
 
 // Not thread-safe: one thread owns a scheduler and all that is scheduled on it. What a task refers to has to
 // outlive the task, or the scheduler must not be run any more.
@@ -88,4 +88,4 @@
   std::optional<TimePoint> armed_for_;
 };
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/lab/virtual_engine.cpp
+++ b/lab/virtual/virtual_engine.cpp
@@ -4,20 +4,20 @@
 #include <memory>
 #include <vector>
 
-#include "client_model.h"
-#include "cpu_clock.h"
-#include "engine.h"
-#include "hollow_sidecar.h"
-#include "membership_notices.h"
-#include "network_model.h"
-#include "scheduler.h"
-#include "upstream_model.h"
-
-namespace aspendyke::lab {
+#include "lab/engine.h"
+#include "lab/model/client_model.h"
+#include "lab/model/network_model.h"
+#include "lab/model/upstream_model.h"
+#include "lab/real/cpu_clock.h"
+#include "lab/virtual/hollow_sidecar.h"
+#include "lab/virtual/membership_notices.h"
+#include "lab/virtual/scheduler.h"
+
+namespace lb::lab {
 namespace {
 
-using kestrellb::UpstreamInfo;
-using kestrellb::UpstreamState;
+using lb::UpstreamInfo;
+using lb::UpstreamState;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -84,7 +84,7 @@
   void StartUpstream(std::size_t upstream);
   void KillSidecar(std::size_t sidecar);
   void StartSidecar(std::size_t sidecar);
-  void TellSidecar(std::size_t sidecar, kestrellb::MembershipUpdate update);
+  void TellSidecar(std::size_t sidecar, lb::MembershipUpdate update);
 
   void CountRequest(const RequestResult& result);
   void CountNotice(TimePoint changed, Duration delay);
@@ -146,7 +146,7 @@
       network_(experiment.network, DeriveSeed(experiment.seed, "network")),
       notices_(
           experiment, deployment, scheduler_,
-          [this](std::size_t sidecar, kestrellb::MembershipUpdate update) {
+          [this](std::size_t sidecar, lb::MembershipUpdate update) {
             TellSidecar(sidecar, std::move(update));
           },
           [this](TimePoint changed, Duration delay) { CountNotice(changed, delay); }),
@@ -389,7 +389,7 @@
   sidecars_[sidecar]->Start(seed, notices_.Known(sidecar));
 }
 
-void VirtualRun::TellSidecar(std::size_t sidecar, kestrellb::MembershipUpdate update) {
+void VirtualRun::TellSidecar(std::size_t sidecar, lb::MembershipUpdate update) {
   HollowSidecar& told = *sidecars_[sidecar];
   const auto before = told.module_time();
   changes_told_ += update.upstreams.size();
@@ -508,4 +508,4 @@
   return VirtualRun(experiment, deployment, on_sample).Run();
 }
 
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/node/config.cpp
+++ b/settings/config.cpp
@@ -1,4 +1,4 @@
-#include "config.h"
+#include "settings/config.h"
 
 #include <sys/resource.h>
 
@@ -8,9 +8,9 @@
 #include <fstream>
 #include <utility>
 
-#include "wire.h"
+#include "settings/settings_reader.h"
 
-namespace mothrack {
+namespace lb {
 namespace {
 
 using nlohmann::json;
@@ -90,9 +90,9 @@
   return Address("LB_CONFIG: admin", field->get<std::string>());
 }
 
-kestrellb::Settings ReadSettings(const json& file) {
+lb::Settings ReadSettings(const json& file) {
   try {
-    auto settings = kestrellb::wire::ParseSettings(Field(file, "", "settings"));
+    auto settings = ParseSettings(Field(file, "", "settings"));
     settings.Validate();
     return settings;
   } catch (const ConfigError&) {
@@ -130,7 +130,7 @@
   config.seed = Seed(file);
   config.admin = Admin(variable, file);
   if (const char* folder = variable("TMPDIR"); config.admin && folder != nullptr && *folder != '\0') {
-    config.keep = std::string(folder) + "/mothrack";
+    config.keep = std::string(folder) + "/" + kStateFolder;
   }
   config.sockets = Sockets(file);
   config.pipe = Pipe(file, config.sockets);
@@ -144,4 +144,4 @@
   return config;
 }
 
-}  // namespace mothrack
+}  // namespace lb
--- a/node/config.h
+++ b/settings/config.h
@@ -9,10 +9,10 @@
 #include <stdexcept>
 #include <string>
 
-#include "kestrellb/balancer.h"
+#include "balancer/balancer.h"
 #include "nlohmann/json.hpp"
 
-namespace mothrack {
+namespace lb {
 
 using Endpoint = boost::asio::ip::tcp::endpoint;
 
@@ -22,6 +22,10 @@
   using std::runtime_error::runtime_error;
 };
 
+// The folder under $TMPDIR that all processes of a sidecar share. The spelling of the first release: what any
+// release stored there is read, and its process met, by a later one.
+inline constexpr char kStateFolder[] = "mothrack";
+
 struct Config {
   std::string name;
   Endpoint listen;
@@ -32,7 +36,7 @@
   std::size_t sockets = 0;
   std::size_t pipe = 0;  // bytes held of a body that passes through
   nlohmann::json known;  // the list of upstreams as last held, in discovery's form; null where there is none
-  kestrellb::Settings settings;
+  lb::Settings settings;
 };
 
 // `10.0.0.4:9000`; nothing where the text is no such address.
@@ -41,4 +45,4 @@
 // Reads what `variable` (std::getenv's form) and the file it names tell. Throws ConfigError.
 Config LoadConfig(const std::function<const char*(const char*)>& variable);
 
-}  // namespace mothrack
+}  // namespace lb
--- a/node/acceptor.cpp
+++ b/sidecar/acceptor.cpp
@@ -1,10 +1,10 @@
-#include "acceptor.h"
+#include "sidecar/acceptor.h"
 
 #include <sys/socket.h>
 
 #include <cerrno>
 
-namespace mothrack {
+namespace lb::sidecar {
 namespace {
 
 // Lost ones in a row that are passed over before the event loop gets its turn.
@@ -55,4 +55,4 @@
   return result;
 }
 
-}  // namespace mothrack
+}  // namespace lb::sidecar
--- a/node/acceptor.h
+++ b/sidecar/acceptor.h
@@ -15,10 +15,10 @@
 #include <string>
 #include <utility>
 
-#include "clock.h"
-#include "log.h"
+#include "sidecar/clock.h"
+#include "sidecar/log.h"
 
-namespace mothrack {
+namespace lb::sidecar {
 
 // What one accept() came to.
 enum class AcceptStatus {
@@ -176,4 +176,4 @@
   std::optional<int> unwatched_;
 };
 
-}  // namespace mothrack
+}  // namespace lb::sidecar
--- a/node/admin.cpp
+++ b/sidecar/admin.cpp
@@ -1,4 +1,4 @@
-#include "admin.h"
+#include "sidecar/admin.h"
 
 #include <algorithm>
 #include <boost/asio/socket_base.hpp>
@@ -12,7 +12,7 @@
 #include <optional>
 #include <utility>
 
-namespace mothrack {
+namespace lb::sidecar {
 namespace {
 
 using boost::asio::ip::tcp;
@@ -151,4 +151,4 @@
   caller->Start();
 }
 
-}  // namespace mothrack
+}  // namespace lb::sidecar
--- a/node/admin.h
+++ b/sidecar/admin.h
@@ -10,12 +10,12 @@
 #include <memory>
 #include <string>
 
-#include "acceptor.h"
-#include "config.h"
-#include "http.h"
-#include "log.h"
+#include "settings/config.h"
+#include "sidecar/acceptor.h"
+#include "sidecar/http.h"
+#include "sidecar/log.h"
 
-namespace mothrack {
+namespace lb::sidecar {
 
 class Admin {
  public:
@@ -44,4 +44,4 @@
   std::list<std::shared_ptr<Caller>> callers_;  // the oldest first
 };
 
-}  // namespace mothrack
+}  // namespace lb::sidecar
--- a/node/body.h
+++ b/sidecar/body.h
@@ -12,9 +12,9 @@
 #include <string>
 #include <utility>
 
-#include "clock.h"
+#include "sidecar/clock.h"
 
-namespace mothrack {
+namespace lb::sidecar {
 
 // One side puts pieces in while there is room, the other takes them out. Each hears of the other by its hook,
 // from the event loop and never from within a call, and takes its hook away before it goes.
@@ -105,4 +105,4 @@
 
 using Body = std::shared_ptr<BodyPipe>;
 
-}  // namespace mothrack
+}  // namespace lb::sidecar
--- a/node/clock.h
+++ b/sidecar/clock.h
@@ -4,12 +4,12 @@
 #include <chrono>
 #include <cstdint>
 
-#include "kestrellb/balancer.h"
+#include "balancer/balancer.h"
 
-namespace mothrack {
+namespace lb::sidecar {
 
-using kestrellb::Duration;
-using kestrellb::TimePoint;
+using lb::Duration;
+using lb::TimePoint;
 
 inline TimePoint ToTimePoint(std::chrono::steady_clock::time_point t) {
   return TimePoint(std::chrono::duration_cast<Duration>(t.time_since_epoch()));
@@ -36,4 +36,4 @@
   Duration offset_;
 };
 
-}  // namespace mothrack
+}  // namespace lb::sidecar
--- a/node/connect.cpp
+++ b/sidecar/connect.cpp
@@ -1,4 +1,4 @@
-#include "connect.h"
+#include "sidecar/connect.h"
 
 #include <poll.h>
 #include <sys/socket.h>
@@ -6,9 +6,9 @@
 #include <cerrno>
 #include <utility>
 
-#include "socket_io.h"
+#include "sidecar/socket_io.h"
 
-namespace mothrack {
+namespace lb::sidecar {
 namespace {
 
 using boost::asio::ip::tcp;
@@ -63,4 +63,4 @@
   });
 }
 
-}  // namespace mothrack
+}  // namespace lb::sidecar
--- a/node/connect.h
+++ b/sidecar/connect.h
@@ -7,7 +7,7 @@
 #include <functional>
 #include <optional>
 
-namespace mothrack {
+namespace lb::sidecar {
 
 struct ConnectResult {
   boost::system::error_code error{};
@@ -24,4 +24,4 @@
 // operation_aborted.
 void AwaitConnected(boost::asio::ip::tcp::socket& socket, std::function<void(ConnectResult)> done);
 
-}  // namespace mothrack
+}  // namespace lb::sidecar
--- a/node/descriptors.h
+++ b/sidecar/descriptors.h
@@ -3,7 +3,7 @@
 
 #include <cstddef>
 
-namespace mothrack {
+namespace lb::sidecar {
 
 class Descriptors {
  public:
@@ -54,4 +54,4 @@
   std::size_t upstreams_ = 0;
 };
 
-}  // namespace mothrack
+}  // namespace lb::sidecar
--- a/node/discovery.cpp
+++ b/sidecar/discovery.cpp
@@ -1,4 +1,4 @@
-#include "discovery.h"
+#include "sidecar/discovery.h"
 
 #include <algorithm>
 #include <boost/beast/core/flat_buffer.hpp>
@@ -12,15 +12,15 @@
 #include <stdexcept>
 #include <utility>
 
-#include "http.h"
+#include "sidecar/http.h"
 
-namespace mothrack {
+namespace lb::sidecar {
 namespace {
 
 using boost::system::error_code;
-using kestrellb::MembershipUpdate;
-using kestrellb::UpstreamInfo;
-using kestrellb::UpstreamState;
+using lb::MembershipUpdate;
+using lb::UpstreamInfo;
+using lb::UpstreamState;
 using nlohmann::json;
 using std::chrono::milliseconds;
 
@@ -311,4 +311,4 @@
   on_failed_();
 }
 
-}  // namespace mothrack
+}  // namespace lb::sidecar
--- a/node/discovery.h
+++ b/sidecar/discovery.h
@@ -11,19 +11,19 @@
 #include <random>
 #include <string>
 
-#include "clock.h"
-#include "config.h"
-#include "kestrellb/balancer.h"
-#include "log.h"
+#include "balancer/balancer.h"
 #include "nlohmann/json.hpp"
-#include "upstreams.h"
+#include "settings/config.h"
+#include "sidecar/clock.h"
+#include "sidecar/log.h"
+#include "sidecar/upstreams.h"
 
-namespace mothrack {
+namespace lb::sidecar {
 
 // One answer of discovery.
 struct MembershipList {
   std::uint64_t revision = 0;
-  kestrellb::MembershipUpdate update;
+  lb::MembershipUpdate update;
   std::map<std::string, Location> locations;
 };
 
@@ -48,7 +48,7 @@
 constexpr Duration kServicePause = std::chrono::milliseconds(250);
 constexpr Duration kServiceCall = std::chrono::milliseconds(2000);
 static_assert(kServiceWatch + kServiceWatchPatience + kServicePause + kServiceCall <= kTold);
-static_assert(kServiceCall + kestrellb::kLongestAskPause + kServiceCall <= kTold);
+static_assert(kServiceCall + lb::kLongestPollPause + kServiceCall <= kTold);
 
 // The wait after so many failures in a row: it grows up to `most`, and is not in step with what other
 // sidecars wait that lost discovery at the same time. `chance`: from 0 to 1.
@@ -108,4 +108,4 @@
   std::minstd_rand random_;
 };
 
-}  // namespace mothrack
+}  // namespace lb::sidecar
--- a/node/durable_folder.cpp
+++ b/sidecar/durable_folder.cpp
@@ -1,4 +1,4 @@
-#include "durable_folder.h"
+#include "sidecar/durable_folder.h"
 
 #include <dirent.h>
 #include <fcntl.h>
@@ -12,7 +12,7 @@
 #include <string_view>
 #include <utility>
 
-namespace mothrack {
+namespace lb::sidecar {
 namespace {
 
 constexpr std::string_view kTemporary = "tmp-";
@@ -180,4 +180,4 @@
   }
 }
 
-}  // namespace mothrack
+}  // namespace lb::sidecar
--- a/node/durable_folder.h
+++ b/sidecar/durable_folder.h
@@ -9,7 +9,7 @@
 #include <system_error>
 #include <vector>
 
-namespace mothrack {
+namespace lb::sidecar {
 
 class DurableFolder {
  public:
@@ -43,4 +43,4 @@
       temporaries_;  // half-written files, with when each was first seen
 };
 
-}  // namespace mothrack
+}  // namespace lb::sidecar
--- a/node/hot_restart.cpp
+++ b/sidecar/hot_restart.cpp
@@ -1,4 +1,4 @@
-#include "hot_restart.h"
+#include "sidecar/hot_restart.h"
 
 #include <poll.h>
 #include <sys/socket.h>
@@ -15,7 +15,7 @@
 #include <thread>
 #include <utility>
 
-namespace mothrack {
+namespace lb::sidecar {
 namespace {
 
 namespace fs = std::filesystem;
@@ -37,20 +37,16 @@
   DescriptorMessage() {
     message.msg_iov = &part;
     message.msg_iovlen = 1;
-    message.msg_control = ancillary.room;
-    message.msg_controllen = sizeof ancillary.room;
+    message.msg_control = ancillary;
+    message.msg_controllen = sizeof ancillary;
   }
   DescriptorMessage(const DescriptorMessage&) = delete;
   DescriptorMessage& operator=(const DescriptorMessage&) = delete;
 
-  union Ancillary {
-    cmsghdr header;
-    char room[CMSG_SPACE(sizeof(int))];
-  };
   char byte = 'l';
   iovec part{&byte, 1};
   msghdr message{};
-  Ancillary ancillary{};  // last: its header ends in an array of no size
+  alignas(cmsghdr) char ancillary[CMSG_SPACE(sizeof(int))] = {};
 };
 
 bool SendDescriptor(int to, int descriptor) {
@@ -350,4 +346,4 @@
   });
 }
 
-}  // namespace mothrack
+}  // namespace lb::sidecar
--- a/node/hot_restart.h
+++ b/sidecar/hot_restart.h
@@ -13,11 +13,11 @@
 #include <optional>
 #include <string>
 
-#include "acceptor.h"
-#include "clock.h"
-#include "log.h"
+#include "sidecar/acceptor.h"
+#include "sidecar/clock.h"
+#include "sidecar/log.h"
 
-namespace mothrack {
+namespace lb::sidecar {
 
 class HotRestart {
  public:
@@ -77,4 +77,4 @@
   std::string untold_;  // lines for the process before, until this one serves
 };
 
-}  // namespace mothrack
+}  // namespace lb::sidecar
--- a/node/http.cpp
+++ b/sidecar/http.cpp
@@ -1,11 +1,11 @@
-#include "http.h"
+#include "sidecar/http.h"
 
 #include <algorithm>
 #include <boost/beast/http/rfc7230.hpp>
 #include <string>
 #include <vector>
 
-namespace mothrack {
+namespace lb::sidecar {
 
 namespace {
 
@@ -83,4 +83,4 @@
   }
 }
 
-}  // namespace mothrack
+}  // namespace lb::sidecar
--- a/node/http.h
+++ b/sidecar/http.h
@@ -9,7 +9,7 @@
 #include <cstdint>
 #include <string>
 
-namespace mothrack {
+namespace lb::sidecar {
 
 namespace http = boost::beast::http;
 
@@ -47,4 +47,4 @@
 // Takes away what speaks of one connection only and must not be passed on.
 void RemoveHopByHop(http::fields& fields);
 
-}  // namespace mothrack
+}  // namespace lb::sidecar
--- a/node/listener.cpp
+++ b/sidecar/listener.cpp
@@ -1,4 +1,4 @@
-#include "listener.h"
+#include "sidecar/listener.h"
 
 #include <linux/sockios.h>
 #include <poll.h>
@@ -21,10 +21,10 @@
 #include <utility>
 #include <vector>
 
-#include "socket_io.h"
-#include "write_stream.h"
+#include "sidecar/socket_io.h"
+#include "sidecar/write_stream.h"
 
-namespace mothrack {
+namespace lb::sidecar {
 namespace {
 
 using boost::asio::ip::tcp;
@@ -876,4 +876,4 @@
   acceptor_.close(ignored);
 }
 
-}  // namespace mothrack
+}  // namespace lb::sidecar
--- a/node/listener.h
+++ b/sidecar/listener.h
@@ -9,15 +9,15 @@
 #include <optional>
 #include <set>
 
-#include "acceptor.h"
-#include "body.h"
-#include "clock.h"
-#include "config.h"
-#include "descriptors.h"
-#include "http.h"
-#include "log.h"
+#include "settings/config.h"
+#include "sidecar/acceptor.h"
+#include "sidecar/body.h"
+#include "sidecar/clock.h"
+#include "sidecar/descriptors.h"
+#include "sidecar/http.h"
+#include "sidecar/log.h"
 
-namespace mothrack {
+namespace lb::sidecar {
 
 class Listener {
  public:
@@ -84,4 +84,4 @@
   TimePoint leaving_since_;  // clients are sent away, for whatever reason
 };
 
-}  // namespace mothrack
+}  // namespace lb::sidecar
--- a/node/log.h
+++ b/sidecar/log.h
@@ -6,9 +6,9 @@
 #include <string>
 #include <utility>
 
-#include "clock.h"
+#include "sidecar/clock.h"
 
-namespace mothrack {
+namespace lb::sidecar {
 
 class Logger {
  public:
@@ -42,4 +42,4 @@
   std::uint64_t dropped_ = 0;
 };
 
-}  // namespace mothrack
+}  // namespace lb::sidecar
--- a/node/main.cpp
+++ b/sidecar/main.cpp
@@ -1,4 +1,4 @@
-// mothrack: the sidecar's process. Start, signals and exit code.
+// lb-sidecar: the sidecar's process. Start, signals and exit code.
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
 #include <boost/system/system_error.hpp>
@@ -8,23 +8,23 @@
 #include <iostream>
 #include <string>
 
-#include "config.h"
-#include "sidecar.h"
+#include "settings/config.h"
+#include "sidecar/sidecar.h"
 
 namespace {
 
-mothrack::Config LoadConfig() {
-  return mothrack::LoadConfig([](const char* name) { return std::getenv(name); });
+lb::Config LoadConfig() {
+  return lb::LoadConfig([](const char* name) { return std::getenv(name); });
 }
 
 // SIGHUP: a configuration with a fault is logged, and the old one stays.
-void ReloadOnSignal(boost::asio::signal_set& signals, mothrack::Sidecar& sidecar) {
+void ReloadOnSignal(boost::asio::signal_set& signals, lb::sidecar::Sidecar& sidecar) {
   signals.async_wait([&](const boost::system::error_code& error, int) {
     if (error) return;
     ReloadOnSignal(signals, sidecar);
     try {
       sidecar.Reconfigure(LoadConfig());
-    } catch (const mothrack::ConfigError& e) {
+    } catch (const lb::ConfigError& e) {
       sidecar.log().Line(std::string("configuration not taken: ") + e.what());
     }
   });
@@ -39,8 +39,8 @@
     // Before anything that a signal could cut short: one that comes during the start waits until it is over.
     boost::asio::signal_set reload(io, SIGHUP);
     boost::asio::signal_set signals(io, SIGTERM, SIGINT);
-    const mothrack::Config config = LoadConfig();
-    mothrack::Sidecar sidecar(io, config);
+    const lb::Config config = LoadConfig();
+    lb::sidecar::Sidecar sidecar(io, config);
     ReloadOnSignal(reload, sidecar);
     std::cerr << config.name << ": listening on " << sidecar.local() << std::endl;
     if (const auto admin = sidecar.admin()) {
@@ -59,10 +59,10 @@
     }
     return 0;
   } catch (const boost::system::system_error& e) {
-    std::cerr << "mothrack: LB_LISTEN " << std::getenv("LB_LISTEN") << ": " << e.what() << std::endl;
+    std::cerr << "lb-sidecar: LB_LISTEN " << std::getenv("LB_LISTEN") << ": " << e.what() << std::endl;
     return 1;
   } catch (const std::exception& e) {
-    std::cerr << "mothrack: " << e.what() << std::endl;
+    std::cerr << "lb-sidecar: " << e.what() << std::endl;
     return 1;
   }
 }
--- a/node/operator_state.cpp
+++ b/sidecar/operator_state.cpp
@@ -1,4 +1,4 @@
-#include "operator_state.h"
+#include "sidecar/operator_state.h"
 
 #include <algorithm>
 #include <cstdint>
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-namespace mothrack {
+namespace lb::sidecar {
 namespace {
 
 using std::chrono::milliseconds;
@@ -305,4 +305,4 @@
   });
 }
 
-}  // namespace mothrack
+}  // namespace lb::sidecar
--- a/node/operator_state.h
+++ b/sidecar/operator_state.h
@@ -16,10 +16,10 @@
 #include <string>
 #include <system_error>
 
-#include "durable_folder.h"
-#include "log.h"
+#include "sidecar/durable_folder.h"
+#include "sidecar/log.h"
 
-namespace mothrack {
+namespace lb::sidecar {
 
 struct OperatorState {
   std::set<std::string> disabled;  // ids of upstreams
@@ -94,4 +94,4 @@
   std::function<void()> finished_;
 };
 
-}  // namespace mothrack
+}  // namespace lb::sidecar
--- /dev/null
+++ b/sidecar/precompiled.h
@@ -0,0 +1,13 @@
+// Precompiled for all that uses Boost: these headers are most of what such a file takes to compile. Each file
+// still includes what it uses.
+#pragma once
+
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/ip/tcp.hpp>
+#include <boost/asio/read.hpp>
+#include <boost/asio/steady_timer.hpp>
+#include <boost/asio/write.hpp>
+#include <boost/beast/core/flat_buffer.hpp>
+#include <boost/beast/core/tcp_stream.hpp>
+#include <boost/beast/http.hpp>
+#include <nlohmann/json.hpp>
--- a/node/sidecar.cpp
+++ b/sidecar/sidecar.cpp
@@ -1,4 +1,4 @@
-#include "sidecar.h"
+#include "sidecar/sidecar.h"
 
 #include <sys/socket.h>
 #include <unistd.h>
@@ -12,16 +12,16 @@
 #include <stdexcept>
 #include <variant>
 
-namespace mothrack {
+namespace lb::sidecar {
 namespace {
 
 using boost::beast::string_view;
 using boost::system::error_code;
-using kestrellb::AttemptEnded;
-using kestrellb::AttemptId;
-using kestrellb::MembershipUpdate;
-using kestrellb::Outcome;
-using kestrellb::RequestId;
+using lb::AttemptFinished;
+using lb::AttemptId;
+using lb::MembershipUpdate;
+using lb::Outcome;
+using lb::RequestId;
 using std::chrono::milliseconds;
 
 // The client's clock started when it sent the request: so much earlier, at least, than it was read here.
@@ -69,14 +69,14 @@
 bool GoodId(string_view id) { return !id.empty() && id.size() <= kLongestId && Visible(id); }
 
 // Does the method tell the same as the class? What contradicts itself could be repeated against its class.
-bool Fits(const HttpRequest& request, bool more, kestrellb::Effect effect) {
-  if (effect == kestrellb::Effect::kSafe) {
+bool Fits(const HttpRequest& request, bool more, lb::Idempotency idempotency) {
+  if (idempotency == lb::Idempotency::kIdempotent) {
     return request.method() == http::verb::get && request.body().empty() && !more;
   }
   const auto key = Single(request, "Idempotency-Key");
   const bool keyed = key && GoodId(*key);
   return request.method() == http::verb::post &&
-         (effect == kestrellb::Effect::kKeyed ? keyed : request.count("Idempotency-Key") == 0);
+         (idempotency == lb::Idempotency::kIdempotencyKey ? keyed : request.count("Idempotency-Key") == 0);
 }
 
 template <typename T>
@@ -117,7 +117,7 @@
 };
 
 // How long after SIGTERM the last answer has to be out.
-Duration TimeToStop(const kestrellb::Settings& settings) {
+Duration TimeToStop(const lb::Settings& settings) {
   Duration longest{};
   for (const auto& request_class : settings.classes) longest = std::max(longest, request_class.deadline);
   return std::min(longest, kLongestCounted) + kKillGrace - kStopMargin;
@@ -151,7 +151,7 @@
 
 Sidecar::Sidecar(boost::asio::io_context& io, const Config& config)
     : settings_(config.settings),
-      wall_clock_(config.settings.rules.cold_time),
+      wall_clock_(config.settings.fleet_limits.slow_start_duration),
       log_(config.name),
       descriptors_(config.sockets, Descriptors::kFixed + (config.admin ? Admin::kDescriptors : 0)),
       hot_restart_(io, config.keep, log_,
@@ -164,7 +164,7 @@
       balancer_(config.settings, config.seed),
       upstreams_(io, config.settings.limits, config.settings.load_by_probe, config.pipe, descriptors_),
       discovery_(
-          io, config.discovery, config.settings.membership_on_request, config.settings.rules.drain_grace,
+          io, config.discovery, config.settings.polled_membership, config.settings.fleet_limits.drain_grace,
           unix_clock_, log_, config.seed,
           [this](MembershipList list) {
             list_told_ = true;
@@ -184,17 +184,17 @@
           },
           [this] { return upstream_told_; }) {
   for (std::size_t i = 0; i < settings_.classes.size(); ++i) {
-    classes_.emplace(settings_.classes[i].name, kestrellb::ClassId{i});
+    classes_.emplace(settings_.classes[i].name, lb::ClassId{i});
   }
   for (std::size_t i = 0; i < settings_.tenants.size(); ++i) {
-    tenants_.emplace(settings_.tenants[i].name, kestrellb::TenantId{i});
+    tenants_.emplace(settings_.tenants[i].name, lb::TenantId{i});
   }
   MembershipList known = Known(config.known, unix_clock_);
   // Where nothing was known there is nothing to change: the whole list is needed.
   if (!known.locations.empty()) known_ = known.revision;
   Apply(std::move(known));
   // Where membership is told on request, the module asks.
-  if (!settings_.membership_on_request) discovery_.Ask();
+  if (!settings_.polled_membership) discovery_.Ask();
   if (!hot_restart_.after_another()) listener_.Start();
   if (!config.admin) return;
   operator_state_.emplace(
@@ -306,7 +306,7 @@
   const auto say = [this](const std::string& upstream, bool disabled) {
     log_.Line(upstream + (disabled ? " is taken out" : " is put back") + " by the operators");
     const Busy busy(delivering_);
-    events_.push_back(kestrellb::OperatorsWord{{upstream}, disabled});
+    events_.push_back(lb::OperatorOverride{{upstream}, disabled});
     upstreams_.TakeOut(upstream, disabled);
   };
   const std::set<std::string> before = std::exchange(disabled_, state.disabled);
@@ -319,20 +319,20 @@
 }
 
 // handle() is never re-entered: an action that ends something at once queues its event here.
-void Sidecar::Deliver(kestrellb::Event event) {
+void Sidecar::Deliver(lb::Event event) {
   events_.push_back(std::move(event));
   if (!delivering_) Pump();
 }
 
 void Sidecar::Pump() {
   const Busy busy(delivering_);
-  std::vector<kestrellb::Action> actions;
+  std::vector<lb::Action> actions;
   while (!events_.empty()) {
-    const kestrellb::Event next = std::move(events_.front());
+    const lb::Event next = std::move(events_.front());
     events_.pop_front();
     actions.clear();
     handled_at_ = Now();
-    balancer_.handle(handled_at_, next, actions);
+    balancer_.Handle(handled_at_, next, actions);
     for (const auto& action : actions) {
       std::visit([this](const auto& a) { CarryOut(a); }, action);
     }
@@ -379,7 +379,7 @@
   const auto cls = classes_.find(std::string(FirstPart(request.target())));
   if (cls == classes_.end()) return bad("unknown class");
   const auto& known = settings_.classes[static_cast<std::size_t>(cls->second)];
-  if (!Fits(request, body != nullptr, known.effect))
+  if (!Fits(request, body != nullptr, known.idempotency))
     return bad("method or Idempotency-Key does not fit the class");
   const auto wire_id = Single(request, "X-Request-ID");
   if (!wire_id || !GoodId(*wire_id)) return bad("missing or bad X-Request-ID");
@@ -393,7 +393,7 @@
   ForgetOldIds(now);
   if (!taken_ids_.insert(key).second) return bad("X-Request-ID is taken");
 
-  kestrellb::RequestArrived event;
+  lb::RequestArrived event;
   event.request = RequestId{++last_request_};
   event.request_class = cls->second;
   event.deadline = DeadlineOf(now, std::max<Duration>(milliseconds(*timeout) - kTrip, milliseconds(1)));
@@ -402,7 +402,7 @@
   }
   if (const auto cost = Whole<std::uint32_t>(request["X-Cost"])) event.work = Duration(*cost);
   event.client_retry = request["X-Retried"] == "1";
-  event.open = body != nullptr;
+  event.body_pending = body != nullptr;
 
   Pending pending;
   pending.wire_id = key;
@@ -431,7 +431,7 @@
   if (it == requests_.end() || !it->second.reply) return;
   Pending& pending = it->second;
   pending.deadline = DeadlineOf(*pending.body->sent_at(), pending.timeout);
-  Deliver(kestrellb::RequestWhole{id, pending.deadline});
+  Deliver(lb::RequestCompleted{id, pending.deadline});
 }
 
 Duration Sidecar::LeftToClient(RequestId id, TimePoint now) const {
@@ -449,7 +449,7 @@
   RemoveHopByHop(head);
   it->second.answering = attempt;
   Answer(it->second, std::move(head), std::move(body));
-  Deliver(kestrellb::AnswerStarted{id, attempt});
+  Deliver(lb::ResponseStarted{id, attempt});
 }
 
 void Sidecar::Gone(RequestId id) {
@@ -457,7 +457,7 @@
   if (it == requests_.end() || !it->second.reply) return;
   it->second.reply = nullptr;
   SendNoMore(it->second);
-  Deliver(kestrellb::RequestGone{id});
+  Deliver(lb::RequestCancelled{id});
   ForgetIfDone(id);
 }
 
@@ -477,9 +477,9 @@
   }
   // While an answer passes through, the end of another attempt is not the request's.
   const bool finished = !pending.reply && pending.answering.value_or(attempt) == attempt;
-  Deliver(AttemptEnded{id, attempt, result.outcome, result.elapsed, finished, result.load,
-                       result.use > 1 ? std::optional(result.idle) : std::nullopt,
-                       pending.body && pending.body->touched()});
+  Deliver(AttemptFinished{id, attempt, result.outcome, result.elapsed, finished, result.load,
+                          result.use > 1 ? std::optional(result.idle) : std::nullopt,
+                          pending.body && pending.body->touched()});
   ForgetIfDone(id);
 }
 
@@ -526,7 +526,7 @@
   }
 }
 
-void Sidecar::CarryOut(const kestrellb::SendAttempt& action) {
+void Sidecar::CarryOut(const lb::SendAttempt& action) {
   const auto it = requests_.find(action.request);
   if (it == requests_.end()) return;
   Pending& pending = it->second;
@@ -542,7 +542,7 @@
   return it != requests_.end() && it->second.reply ? it->second.look() : Listener::Client::kGone;
 }
 
-void Sidecar::Launch(const kestrellb::SendAttempt& action, AttemptId attempt, TimePoint decided) {
+void Sidecar::Launch(const lb::SendAttempt& action, AttemptId attempt, TimePoint decided) {
   const RequestId id = action.request;
   const auto it = requests_.find(id);
   if (it == requests_.end()) return;
@@ -565,7 +565,7 @@
   // Of a body that still comes the time runs from its last byte.
   if (pending.deadline != TimePoint::max())
     call.timeout = std::max<Duration>(call.timeout - spent, milliseconds(1));
-  call.max_idle = action.max_idle;
+  call.max_idle = action.max_connection_idle;
   if (action.begin_within != Duration::max()) call.begin_within = action.begin_within - spent;
   call.wanted = [this, id] { return LookAtClient(id) == Listener::Client::kConnected; };
   call.left = [this, id](TimePoint now) { return LeftToClient(id, now); };
@@ -578,21 +578,21 @@
                   std::move(call));
 }
 
-void Sidecar::LaunchLater(const kestrellb::SendAttempt& action, AttemptId attempt, TimePoint decided) {
+void Sidecar::LaunchLater(const lb::SendAttempt& action, AttemptId attempt, TimePoint decided) {
   const auto timer = std::make_shared<boost::asio::steady_timer>(timer_.get_executor(), kLookAgain);
   timer->async_wait([this, timer, action, attempt, decided](error_code error) {
     if (!error) Launch(action, attempt, decided);
   });
 }
 
-void Sidecar::CarryOut(const kestrellb::CancelAttempt& action) {
+void Sidecar::CarryOut(const lb::CancelAttempt& action) {
   const auto it = requests_.find(action.request);
   const auto attempt = static_cast<std::size_t>(action.attempt);
   if (it == requests_.end() || attempt >= it->second.attempts.size()) return;
   upstreams_.Cancel(it->second.attempts[attempt]);
 }
 
-void Sidecar::CarryOut(const kestrellb::Refuse& action) {
+void Sidecar::CarryOut(const lb::RejectRequest& action) {
   const auto it = requests_.find(action.request);
   if (it == requests_.end()) return;
   auto response = PlainResponse(http::status::service_unavailable, "refused: trying again is harmless");
@@ -605,7 +605,7 @@
   ForgetIfDone(action.request);
 }
 
-void Sidecar::CarryOut(const kestrellb::Fail& action) {
+void Sidecar::CarryOut(const lb::FailRequest& action) {
   const auto it = requests_.find(action.request);
   if (it == requests_.end()) return;
   const bool late = Now() >= it->second.deadline;
@@ -614,20 +614,22 @@
   ForgetIfDone(action.request);
 }
 
-void Sidecar::CarryOut(const kestrellb::SetTimer& action) { timers_.emplace(action.at, action.token); }
+void Sidecar::CarryOut(const lb::SetTimer& action) { timers_.emplace(action.at, action.token); }
 
-void Sidecar::CarryOut(const kestrellb::SendProbe& action) {
-  upstreams_.Probe(Upstreams::ExchangeId{++last_exchange_}, action.upstream.value, action.max_idle,
+void Sidecar::CarryOut(const lb::SendLoadProbe& action) {
+  upstreams_.Probe(Upstreams::ExchangeId{++last_exchange_}, action.upstream.value, action.max_connection_idle,
                    [this, upstream = action.upstream](ExchangeResult result) {
-                     Deliver(kestrellb::ProbeEnded{upstream, result.outcome, result.elapsed, result.load});
+                     Deliver(lb::LoadProbeFinished{upstream, result.outcome, result.elapsed, result.load});
                    });
 }
 
-void Sidecar::CarryOut(const kestrellb::CloseIdle& action) { upstreams_.CloseIdle(action.upstream.value); }
+void Sidecar::CarryOut(const lb::CloseIdleConnections& action) {
+  upstreams_.CloseIdleConnections(action.upstream.value);
+}
 
-void Sidecar::CarryOut(const kestrellb::Subscribe&) { discovery_.Ask(std::exchange(known_, std::nullopt)); }
+void Sidecar::CarryOut(const lb::Subscribe&) { discovery_.Ask(std::exchange(known_, std::nullopt)); }
 
-void Sidecar::CarryOut(const kestrellb::Log& action) { log_.Line(action.text); }
+void Sidecar::CarryOut(const lb::LogLine& action) { log_.Line(action.text); }
 
 void Sidecar::ArmTimer() {
   const TimePoint next = timers_.empty() ? TimePoint::max() : timers_.top().first;
@@ -642,10 +644,10 @@
     while (!timers_.empty() && timers_.top().first <= now) {
       const std::uint64_t token = timers_.top().second;
       timers_.pop();
-      Deliver(kestrellb::TimerFired{token});
+      Deliver(lb::TimerFired{token});
     }
     ArmTimer();
   });
 }
 
-}  // namespace mothrack
+}  // namespace lb::sidecar
--- a/node/sidecar.h
+++ b/sidecar/sidecar.h
@@ -17,20 +17,20 @@
 #include <utility>
 #include <vector>
 
-#include "admin.h"
-#include "clock.h"
-#include "config.h"
-#include "descriptors.h"
-#include "discovery.h"
-#include "hot_restart.h"
-#include "kestrellb/balancer.h"
-#include "listener.h"
-#include "log.h"
-#include "operator_state.h"
-#include "upstreams.h"
-#include "wall_clock.h"
+#include "balancer/balancer.h"
+#include "settings/config.h"
+#include "sidecar/admin.h"
+#include "sidecar/clock.h"
+#include "sidecar/descriptors.h"
+#include "sidecar/discovery.h"
+#include "sidecar/hot_restart.h"
+#include "sidecar/listener.h"
+#include "sidecar/log.h"
+#include "sidecar/operator_state.h"
+#include "sidecar/upstreams.h"
+#include "sidecar/wall_clock.h"
 
-namespace mothrack {
+namespace lb::sidecar {
 
 class Sidecar {
  public:
@@ -56,11 +56,11 @@
     Listener::Reply reply;  // empty once the request has its answer or its client is gone
     Listener::Look look;
     std::vector<Upstreams::ExchangeId> attempts;
-    std::size_t out = 0;                            // attempts that have not ended
-    std::optional<kestrellb::AttemptId> answering;  // the one whose answer passes through
+    std::size_t out = 0;                     // attempts that have not ended
+    std::optional<lb::AttemptId> answering;  // the one whose answer passes through
   };
 
-  void Deliver(kestrellb::Event event);
+  void Deliver(lb::Event event);
   void Pump();
   void Apply(MembershipList list);
   bool JudgeStarts(MembershipList& list);  // true: the whole list is needed
@@ -69,23 +69,22 @@
   // planned stop before the process may be killed. At `complete` itself where that has passed.
   TimePoint DeadlineOf(TimePoint complete, Duration timeout) const;
   // The last byte of a request that passes through has been sent.
-  void BodySent(kestrellb::RequestId id);
+  void BodySent(lb::RequestId id);
   // What its client will still wait, at least.
-  Duration LeftToClient(kestrellb::RequestId id, TimePoint now) const;
+  Duration LeftToClient(lb::RequestId id, TimePoint now) const;
   // Sends an attempt that was decided on at `decided`, unless its client has gone by now.
-  void Launch(const kestrellb::SendAttempt& action, kestrellb::AttemptId attempt, TimePoint decided);
-  void LaunchLater(const kestrellb::SendAttempt& action, kestrellb::AttemptId attempt, TimePoint decided);
-  Listener::Client LookAtClient(kestrellb::RequestId id) const;
-  void Started(kestrellb::RequestId id, kestrellb::AttemptId attempt, HttpResponse head, Body body);
-  void Gone(kestrellb::RequestId id);
-  void Ended(kestrellb::RequestId id, kestrellb::AttemptId attempt, const std::string& upstream,
-             ExchangeResult result);
+  void Launch(const lb::SendAttempt& action, lb::AttemptId attempt, TimePoint decided);
+  void LaunchLater(const lb::SendAttempt& action, lb::AttemptId attempt, TimePoint decided);
+  Listener::Client LookAtClient(lb::RequestId id) const;
+  void Started(lb::RequestId id, lb::AttemptId attempt, HttpResponse head, Body body);
+  void Gone(lb::RequestId id);
+  void Ended(lb::RequestId id, lb::AttemptId attempt, const std::string& upstream, ExchangeResult result);
   void LogBad(const Pending& pending, const std::string& upstream, std::size_t attempt,
               const ExchangeResult& result);
   void Answer(Pending& pending, HttpResponse response, Body body = nullptr);
   void SendNoMore(const Pending& pending);
   void ForgetOldIds(TimePoint now);
-  void ForgetIfDone(kestrellb::RequestId id);
+  void ForgetIfDone(lb::RequestId id);
   void ArmTimer();
   // What operators say, and what they are told.
   HttpResponse Operate(http::verb method, const std::string& target);
@@ -97,34 +96,34 @@
   void FollowOther();              // the other process of an upgrade came, serves or went
   void Follow(const OperatorState& state);
 
-  void CarryOut(const kestrellb::SendAttempt& action);
-  void CarryOut(const kestrellb::CancelAttempt& action);
-  void CarryOut(const kestrellb::Refuse& action);
-  void CarryOut(const kestrellb::Fail& action);
-  void CarryOut(const kestrellb::SetTimer& action);
-  void CarryOut(const kestrellb::SendProbe& action);
-  void CarryOut(const kestrellb::CloseIdle& action);
-  void CarryOut(const kestrellb::Subscribe& action);
-  void CarryOut(const kestrellb::Log& action);
+  void CarryOut(const lb::SendAttempt& action);
+  void CarryOut(const lb::CancelAttempt& action);
+  void CarryOut(const lb::RejectRequest& action);
+  void CarryOut(const lb::FailRequest& action);
+  void CarryOut(const lb::SetTimer& action);
+  void CarryOut(const lb::SendLoadProbe& action);
+  void CarryOut(const lb::CloseIdleConnections& action);
+  void CarryOut(const lb::Subscribe& action);
+  void CarryOut(const lb::LogLine& action);
 
   using Timer = std::pair<TimePoint, std::uint64_t>;
 
-  const kestrellb::Settings settings_;
-  std::map<std::string, kestrellb::ClassId, std::less<>> classes_;
-  std::map<std::string, kestrellb::TenantId, std::less<>> tenants_;
+  const lb::Settings settings_;
+  std::map<std::string, lb::ClassId, std::less<>> classes_;
+  std::map<std::string, lb::TenantId, std::less<>> tenants_;
   const UnixClock unix_clock_;
   WallClock wall_clock_;
   Logger log_;
   Descriptors descriptors_;
   HotRestart hot_restart_;
-  kestrellb::Balancer balancer_;
+  lb::Balancer balancer_;
   Upstreams upstreams_;
   Discovery discovery_;
   std::optional<std::uint64_t> known_;  // the version of the list it was started with, until that was used
-  std::deque<kestrellb::Event> events_;
+  std::deque<lb::Event> events_;
   bool delivering_ = false;
   TimePoint handled_at_;  // the time that the module was last told
-  std::unordered_map<kestrellb::RequestId, Pending> requests_;
+  std::unordered_map<lb::RequestId, Pending> requests_;
   // Ids as the clients gave them, of requests that are open or have ended a short while ago.
   std::set<std::string, std::less<>> taken_ids_;
   std::deque<std::pair<TimePoint, std::string>> ended_ids_;
@@ -146,4 +145,4 @@
   std::optional<Admin> admin_;  // last: it speaks of all the others, and goes first
 };
 
-}  // namespace mothrack
+}  // namespace lb::sidecar
--- a/node/socket_io.cpp
+++ b/sidecar/socket_io.cpp
@@ -1,11 +1,11 @@
-#include "socket_io.h"
+#include "sidecar/socket_io.h"
 
 #include <poll.h>
 #include <sys/socket.h>
 
 #include <cerrno>
 
-namespace mothrack {
+namespace lb::sidecar {
 namespace {
 
 // `call` until it is not interrupted; `end`: what no bytes mean.
@@ -59,4 +59,4 @@
   return ready > 0 ? look.revents : static_cast<short>(0);
 }
 
-}  // namespace mothrack
+}  // namespace lb::sidecar
--- a/node/socket_io.h
+++ b/sidecar/socket_io.h
@@ -7,7 +7,7 @@
 #include <boost/system/error_code.hpp>
 #include <cstddef>
 
-namespace mothrack {
+namespace lb::sidecar {
 
 enum class IoStatus {
   kDone,        // `size` bytes, one at least; perhaps fewer than asked for
@@ -36,4 +36,4 @@
 // Which of `events` (as for poll(2)) hold now, POLLERR and POLLHUP always among them.
 short PollNow(int socket, short events);
 
-}  // namespace mothrack
+}  // namespace lb::sidecar
--- a/node/upstreams.cpp
+++ b/sidecar/upstreams.cpp
@@ -1,4 +1,4 @@
-#include "upstreams.h"
+#include "sidecar/upstreams.h"
 
 #include <algorithm>
 #include <boost/asio/buffer.hpp>
@@ -18,18 +18,18 @@
 #include <iterator>
 #include <utility>
 
-#include "connect.h"
-#include "socket_io.h"
-#include "write_stream.h"
+#include "sidecar/connect.h"
+#include "sidecar/socket_io.h"
+#include "sidecar/write_stream.h"
 
-namespace mothrack {
+namespace lb::sidecar {
 namespace {
 
 using boost::asio::ip::tcp;
 using boost::system::error_code;
-using kestrellb::LoadReport;
-using kestrellb::Outcome;
-using kestrellb::UpstreamState;
+using lb::LoadReport;
+using lb::Outcome;
+using lb::UpstreamState;
 using std::chrono::milliseconds;
 
 // The upstream counts from when it wrote its answer, we from when we read it, and a request needs time to get
@@ -106,7 +106,7 @@
   const unsigned status = header.result_int();
   if (status == 200) return Outcome::kServed;
   // Only this header proves that nothing ran: a bare 503 may come from behind the work.
-  if ((status == 503 || status == 504) && header["X-Not-Processed"] == "1") return Outcome::kFull;
+  if ((status == 503 || status == 504) && header["X-Not-Processed"] == "1") return Outcome::kRejected;
   return Outcome::kError;
 }
 
@@ -586,7 +586,7 @@
   std::optional<std::list<Connection*>::iterator> among_idle_;  // while it is idle in its pool
 };
 
-Upstreams::Upstreams(boost::asio::io_context& io, const kestrellb::Limits& limits, bool load_by_probe,
+Upstreams::Upstreams(boost::asio::io_context& io, const lb::Limits& limits, bool load_by_probe,
                      std::size_t pipe, Descriptors& descriptors)
     : io_(io),
       connect_timeout_(limits.connect_timeout),
@@ -705,7 +705,7 @@
   connection->NoLongerWanted();
 }
 
-void Upstreams::CloseIdle(const std::string& uid) {
+void Upstreams::CloseIdleConnections(const std::string& uid) {
   const auto it = pools_.find(uid);
   if (it == pools_.end()) return;
   for (const auto& connection : std::exchange(it->second->idle, {})) connection->Close();
@@ -807,4 +807,4 @@
   while (!idle_.empty() && now - idle_.front()->idle_since() >= trusted_idle_) EvictIdle();
 }
 
-}  // namespace mothrack
+}  // namespace lb::sidecar
--- a/node/upstreams.h
+++ b/sidecar/upstreams.h
@@ -13,14 +13,14 @@
 #include <string>
 #include <vector>
 
-#include "body.h"
-#include "clock.h"
-#include "config.h"
-#include "descriptors.h"
-#include "http.h"
-#include "kestrellb/balancer.h"
+#include "balancer/balancer.h"
+#include "settings/config.h"
+#include "sidecar/body.h"
+#include "sidecar/clock.h"
+#include "sidecar/descriptors.h"
+#include "sidecar/http.h"
 
-namespace mothrack {
+namespace lb::sidecar {
 
 // An upstream may answer a second time, some milliseconds behind the first: so long nothing else is sent on
 // that connection, or the next request would be answered with those bytes.
@@ -28,15 +28,15 @@
 
 // Where an upstream listens, and whether it may be sent anything new.
 struct Location {
-  kestrellb::UpstreamState state = kestrellb::UpstreamState::kServing;
+  lb::UpstreamState state = lb::UpstreamState::kServing;
   Endpoint endpoint;
   std::int64_t boot_ms = 0;
 };
 
 struct ExchangeResult {
-  kestrellb::Outcome outcome = kestrellb::Outcome::kServed;
+  lb::Outcome outcome = lb::Outcome::kServed;
   Duration elapsed{};
-  kestrellb::LoadReport load;
+  lb::LoadReport load;
   HttpResponse response;  // of a served one
   // Of the connection: why it broke, how many exchanges it has carried, and for how long it had been open,
   // and idle, when this one began.
@@ -70,8 +70,8 @@
   enum class ExchangeId : std::uint64_t {};
 
   // `pipe`: how much of a body that passes through is held.
-  Upstreams(boost::asio::io_context& io, const kestrellb::Limits& limits, bool load_by_probe,
-            std::size_t pipe, Descriptors& descriptors);
+  Upstreams(boost::asio::io_context& io, const lb::Limits& limits, bool load_by_probe, std::size_t pipe,
+            Descriptors& descriptors);
   ~Upstreams();
 
   // What discovery tells of one upstream. Where it drains, is gone, moved or started anew, its idle
@@ -94,7 +94,7 @@
   // Its request has had its answer: what is not written by now is not written any more. A connection that
   // still comes up is kept for the next one.
   void NoLongerWanted(ExchangeId id);
-  void CloseIdle(const std::string& uid);
+  void CloseIdleConnections(const std::string& uid);
   // Closes idle connections for which there is no room any more.
   void MakeRoom();
 
@@ -142,4 +142,4 @@
   boost::asio::steady_timer sweep_;
 };
 
-}  // namespace mothrack
+}  // namespace lb::sidecar
--- a/node/wall_clock.cpp
+++ b/sidecar/wall_clock.cpp
@@ -1,12 +1,12 @@
-#include "wall_clock.h"
+#include "sidecar/wall_clock.h"
 
 #include <algorithm>
 
-namespace mothrack {
+namespace lb::sidecar {
 namespace {
 
-using kestrellb::MembershipUpdate;
-using kestrellb::UpstreamState;
+using lb::MembershipUpdate;
+using lb::UpstreamState;
 
 // Of upstreams that have left, what is remembered in case they are listed again.
 constexpr std::size_t kMostLeft = 4096;
@@ -100,4 +100,4 @@
   forget_at_ = 2 * known_.size();
 }
 
-}  // namespace mothrack
+}  // namespace lb::sidecar
--- a/node/wall_clock.h
+++ b/sidecar/wall_clock.h
@@ -9,10 +9,10 @@
 #include <string>
 #include <unordered_map>
 
-#include "clock.h"
-#include "kestrellb/balancer.h"
+#include "balancer/balancer.h"
+#include "sidecar/clock.h"
 
-namespace mothrack {
+namespace lb::sidecar {
 
 class WallClock {
  public:
@@ -25,12 +25,12 @@
   static constexpr Duration kLongQuiet = std::chrono::minutes(5);
 
   // `cold_time`: an upstream that started longer ago is as good as any.
-  explicit WallClock(Duration cold_time) : cold_time_(cold_time) {}
+  explicit WallClock(Duration slow_start_duration) : cold_time_(slow_start_duration) {}
 
   // Corrects the start times of a list that was heard at `now`. A start that was judged before stays as it
   // was, so that no upstream seems to have started anew; but one that turns out to be younger than was
   // thought, and cold, is told as such. True: there may be such ones, and the whole list is needed.
-  bool Judge(kestrellb::MembershipUpdate& update, TimePoint now);
+  bool Judge(lb::MembershipUpdate& update, TimePoint now);
 
   // The lists come from another service from now on: what it names for the first time is not new for that.
   void ForgetService() { heard_.reset(); }
@@ -39,7 +39,7 @@
   std::optional<Duration> ahead() const { return trusted_ ? std::nullopt : std::optional(most_ahead_); }
 
  private:
-  using Listed = kestrellb::UpstreamInfo;
+  using Listed = lb::UpstreamInfo;
   using Started = std::optional<TimePoint>;
 
   struct Known {
@@ -51,9 +51,9 @@
   enum class Evidence { kNone, kAppeared, kRestarted };
   Evidence FreshStart(const Listed& upstream, TimePoint now) const;
   bool IsAmongNewest(const Listed& upstream, TimePoint now) const;
-  bool MayBeAhead(const kestrellb::MembershipUpdate& update, TimePoint now) const;
+  bool MayBeAhead(const lb::MembershipUpdate& update, TimePoint now) const;
   void JudgeOne(Listed& upstream, TimePoint now);
-  void ListOnly(const kestrellb::MembershipUpdate& update);
+  void ListOnly(const lb::MembershipUpdate& update);
   void ForgetLeft();
 
   const Duration cold_time_;
@@ -66,4 +66,4 @@
   bool may_be_ahead_ = false;  // of the list that is judged
 };
 
-}  // namespace mothrack
+}  // namespace lb::sidecar
--- a/node/write_stream.h
+++ b/sidecar/write_stream.h
@@ -16,9 +16,9 @@
 #include <cstddef>
 #include <utility>
 
-#include "socket_io.h"
+#include "sidecar/socket_io.h"
 
-namespace mothrack {
+namespace lb::sidecar {
 
 // An AsyncWriteStream on a socket that is open and not blocking. One write at a time; both have to live until
 // it has ended.
@@ -83,4 +83,4 @@
   boost::asio::steady_timer pause_;
 };
 
-}  // namespace mothrack
+}  // namespace lb::sidecar
--- a/tests/client_connection_test.cpp
+++ b/tests/client_connection_test.cpp
@@ -16,11 +16,11 @@
 #include <utility>
 #include <vector>
 
-#include "fault_injection.h"
 #include "gtest/gtest.h"
-#include "peers.h"
+#include "tests/fault_injection.h"
+#include "tests/peers.h"
 
-namespace mothrack::testing {
+namespace lb::sidecar::testing {
 namespace {
 
 using std::chrono::milliseconds;
@@ -398,4 +398,4 @@
 }
 
 }  // namespace
-}  // namespace mothrack::testing
+}  // namespace lb::sidecar::testing
