--- a/tests/client_time_test.cpp
+++ b/tests/client_time_test.cpp
@@ -16,11 +16,11 @@
 #include <vector>
 
 #include "gtest/gtest.h"
-#include "listener.h"
-#include "peers.h"
-#include "upstreams.h"
+#include "sidecar/listener.h"
+#include "sidecar/upstreams.h"
+#include "tests/peers.h"
 
-namespace mothrack::testing {
+namespace lb::sidecar::testing {
 namespace {
 
 using std::chrono::milliseconds;
@@ -167,7 +167,7 @@
   Upstream upstream(Upstream::Echo("u"));
   boost::asio::io_context io;
   Descriptors descriptors(64);
-  kestrellb::Limits limits;
+  lb::Limits limits;
   Upstreams upstreams(io, limits, false, 32 * 1024, descriptors);
   const auto colon = upstream.address().find(':');
   Location location;
@@ -196,11 +196,11 @@
     timer.async_wait([&](boost::system::error_code) { over = true; });
     while (!over) io.run_one();
   };
-  EXPECT_EQ(send(false), kestrellb::Outcome::kNotSent) << "new";
-  EXPECT_EQ(send(true), kestrellb::Outcome::kServed);
+  EXPECT_EQ(send(false), lb::Outcome::kNotSent) << "new";
+  EXPECT_EQ(send(true), lb::Outcome::kServed);
   pause();
-  EXPECT_EQ(send(false), kestrellb::Outcome::kNotSent) << "idle";
-  EXPECT_EQ(send(true), kestrellb::Outcome::kServed);
+  EXPECT_EQ(send(false), lb::Outcome::kNotSent) << "idle";
+  EXPECT_EQ(send(true), lb::Outcome::kServed);
   EXPECT_EQ(steps, "clock look clock look clock look clock look ");
   EXPECT_EQ(upstream.requests().size(), 2U);
   EXPECT_EQ(upstream.connections(), 1);
@@ -370,4 +370,4 @@
                          [](const auto& way) { return way.param ? "Leaves" : "Stays"; });
 
 }  // namespace
-}  // namespace mothrack::testing
+}  // namespace lb::sidecar::testing
--- a/tests/embed_example.cpp
+++ b/tests/embed_example.cpp
@@ -3,41 +3,42 @@
 #include <variant>
 #include <vector>
 
-#include "kestrellb/balancer.h"
+#include "balancer/balancer.h"
 
 using namespace std::chrono_literals;
 
 // Where a real sidecar would use its sockets and timers. Anything not named here is left out for brevity.
 struct CarryOut {
-  void operator()(const kestrellb::SendAttempt& a) { std::printf("send to %s\n", a.upstream.value.c_str()); }
-  void operator()(const kestrellb::Refuse&) { std::printf("refuse\n"); }
-  void operator()(const kestrellb::Fail&) { std::printf("fail\n"); }
-  void operator()(const kestrellb::Log& a) { std::printf("log: %s\n", a.text.c_str()); }
+  void operator()(const lb::SendAttempt& a) { std::printf("send to %s\n", a.upstream.value.c_str()); }
+  void operator()(const lb::RejectRequest&) { std::printf("refuse\n"); }
+  void operator()(const lb::FailRequest&) { std::printf("fail\n"); }
+  void operator()(const lb::LogLine& a) { std::printf("log: %s\n", a.text.c_str()); }
   template <typename Other>
   void operator()(const Other&) {}
 };
 
 int main() {
-  kestrellb::Settings settings;
-  settings.classes.push_back(
-      {.name = "lookup", .aim = 200ms, .deadline = 1s, .effect = kestrellb::Effect::kSafe});
-  kestrellb::Balancer balancer(settings, /*seed=*/42);
+  lb::Settings settings;
+  settings.classes.push_back({.name = "lookup",
+                              .latency_objective = 200ms,
+                              .deadline = 1s,
+                              .idempotency = lb::Idempotency::kIdempotent});
+  lb::Balancer balancer(settings, /*seed=*/42);
 
-  std::vector<kestrellb::Action> actions;
-  kestrellb::TimePoint now{1s};  // from the sidecar's own monotonic clock
-  kestrellb::MembershipUpdate list;
-  list.kind = kestrellb::MembershipUpdate::Kind::kRestored;
+  std::vector<lb::Action> actions;
+  lb::TimePoint now{1s};  // from the sidecar's own monotonic clock
+  lb::MembershipUpdate list;
+  list.kind = lb::MembershipUpdate::Kind::kRestored;
   list.upstreams.push_back({.id = {"10.0.0.1:80"}});
   list.upstreams.push_back({.id = {"10.0.0.2:80"}});
-  balancer.handle(now, list, actions);
-  balancer.handle(now, kestrellb::RequestArrived{.request = kestrellb::RequestId{1}, .deadline = now + 1s},
-                  actions);
+  balancer.Handle(now, list, actions);
+  balancer.Handle(now, lb::RequestArrived{.request = lb::RequestId{1}, .deadline = now + 1s}, actions);
 
   CarryOut carry_out;
   bool sent = false;
-  for (const kestrellb::Action& action : actions) {
+  for (const lb::Action& action : actions) {
     std::visit(carry_out, action);
-    sent = sent || std::holds_alternative<kestrellb::SendAttempt>(action);
+    sent = sent || std::holds_alternative<lb::SendAttempt>(action);
   }
   return sent ? 0 : 1;
 }
--- a/tests/equivalence/random_plays.cpp
+++ b/tests/equivalence/random_plays.cpp
@@ -11,12 +11,12 @@
 #include <thread>
 #include <vector>
 
-#include "../random_play.h"
+#include "tests/random_play.h"
 
 namespace {
 
-using kestrellb::testing::OptionsOf;
-using kestrellb::testing::RandomPlay;
+using lb::testing::OptionsOf;
+using lb::testing::RandomPlay;
 
 constexpr std::size_t kPlays = 4000;
 
--- a/tests/fault_injection.cpp
+++ b/tests/fault_injection.cpp
@@ -4,7 +4,7 @@
 //
 // Calls that the C library makes for itself are not seen: fopen() and remove() have entries of their own here
 // for that reason, and std::ofstream is met at fopen() and at its write()s.
-#include "fault_injection.h"
+#include "tests/fault_injection.h"
 
 #include <dirent.h>
 #include <dlfcn.h>
@@ -30,10 +30,10 @@
 #include <optional>
 #include <string_view>
 
-using mothrack::testing::Descriptor;
-using mothrack::testing::kFaultsVariable;
-using mothrack::testing::SharedFaults;
-using mothrack::testing::SystemCall;
+using lb::sidecar::testing::Descriptor;
+using lb::sidecar::testing::kFaultsVariable;
+using lb::sidecar::testing::SharedFaults;
+using lb::sidecar::testing::SystemCall;
 
 namespace {
 
--- a/tests/fault_injection.h
+++ b/tests/fault_injection.h
@@ -19,7 +19,7 @@
 #include <map>
 #include <string>
 
-namespace mothrack::testing {
+namespace lb::sidecar::testing {
 
 // A group of calls that fail alike.
 enum class SystemCall : std::uint32_t {
@@ -96,7 +96,7 @@
 };
 
 // The name of the environment variable that tells the library the shared file.
-inline constexpr char kFaultsVariable[] = "MOTHRACK_FAULTS";
+inline constexpr char kFaultsVariable[] = "LB_SIDECAR_FAULTS";
 
 // The test's side. It may force faults before the program is started, and while it runs. One injector may
 // serve several processes: they share the faults and their counts.
@@ -127,4 +127,4 @@
   std::size_t used_ = 0;
 };
 
-}  // namespace mothrack::testing
+}  // namespace lb::sidecar::testing
--- a/tests/fault_injector.cpp
+++ b/tests/fault_injector.cpp
@@ -8,13 +8,13 @@
 #include <new>
 #include <stdexcept>
 
-#include "fault_injection.h"
-#include "peers.h"
+#include "tests/fault_injection.h"
+#include "tests/peers.h"
 
-namespace mothrack::testing {
+namespace lb::sidecar::testing {
 
 FaultInjector::FaultInjector() {
-  path_ = std::filesystem::temp_directory_path() / "mothrack-faults-XXXXXX";
+  path_ = std::filesystem::temp_directory_path() / "lb-sidecar-faults-XXXXXX";
   const int file = ::mkstemp(path_.data());
   if (file < 0 || ::ftruncate(file, sizeof(SharedFaults)) != 0) throw std::runtime_error(path_);
   void* const memory = ::mmap(nullptr, sizeof(SharedFaults), PROT_READ | PROT_WRITE, MAP_SHARED, file, 0);
@@ -73,4 +73,4 @@
   shared_->wall_offset_ns = std::chrono::nanoseconds(ahead).count();
 }
 
-}  // namespace mothrack::testing
+}  // namespace lb::sidecar::testing
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -7,9 +7,9 @@
 #include <set>
 #include <tuple>
 
-#include "helpers.h"
+#include "tests/helpers.h"
 
-namespace kestrellb::testing {
+namespace lb::testing {
 namespace {
 
 // `count` sidecars that share nothing but the list they are told.
@@ -44,8 +44,8 @@
   std::map<std::string, int> fleet;
   for (std::size_t self = 0; self < 100; ++self) {
     Settings settings = DefaultSettings();
-    settings.balancers = 100;
-    settings.self = self;
+    settings.sidecar_count = 100;
+    settings.sidecar_index = self;
     World w(settings, 100 + self);
     w.List(20);
     Trickle(w, 4);
@@ -61,8 +61,8 @@
 // One of a hundred that together load sixty upstreams: it meets each of its own often enough to know it.
 TEST(ColdConnections, OneOfAHundredSeesFiveFailuresWhileTheFirstStillCounts) {
   Settings settings = DefaultSettings();
-  settings.balancers = 100;
-  settings.rules.cold_time = 7400ms;
+  settings.sidecar_count = 100;
+  settings.fleet_limits.slow_start_duration = 7400ms;
   World w(settings);
   std::vector<UpstreamInfo> list;
   for (int i = 0; i < 60; ++i) list.push_back(Up("s" + std::to_string(i)));
@@ -109,8 +109,8 @@
   std::map<std::string, int> subsets;
   for (std::size_t self = 0; self < kSidecars; ++self) {
     Settings settings = DefaultSettings();
-    settings.balancers = kSidecars;
-    settings.self = self;
+    settings.sidecar_count = kSidecars;
+    settings.sidecar_index = self;
     World w(settings, 100 + self);
     w.Full(list);
     Trickle(w, 4);
@@ -126,8 +126,8 @@
 // Upstreams hold only so many connections, and a full table costs them capacity.
 TEST(Aperture, ALargeFleetOpensFewConnectionsHoweverManyCallsOneOfItHas) {
   Settings settings = DefaultSettings();
-  settings.balancers = 300;
-  settings.self = 17;
+  settings.sidecar_count = 300;
+  settings.sidecar_index = 17;
   World w(settings);
   std::vector<UpstreamInfo> list;
   for (int i = 0; i < 60; ++i) list.push_back(Up("s" + std::to_string(i)));
@@ -143,14 +143,14 @@
 
 TEST(Aperture, ABusySidecarOfALargeFleetSpreadsWhatItHoldsAtOnce) {
   Settings settings = DefaultSettings();
-  settings.balancers = 300;
+  settings.sidecar_count = 300;
   World w(settings);
   std::vector<UpstreamInfo> list;
   for (int i = 0; i < 60; ++i) list.push_back(Up("s" + std::to_string(i)));
   w.Full(list);
   std::map<std::string, int> spread;
   for (int i = 0; i < 1500; ++i) {  // 100 calls a second, of which each takes 240 ms
-    w.Arrive(kUnsafe);
+    w.Arrive(kNotIdempotent);
     w.Advance(10ms);
     if (i >= 24) w.Finish(w.sent[static_cast<std::size_t>(i - 24)], Outcome::kServed);
     if (i >= 1000) ++spread[w.sent.back().upstream];
@@ -169,7 +169,7 @@
   w.Full(list);
   const auto serve = [&w] {
     const std::size_t before = w.sent.size();
-    w.Arrive(kUnsafe);
+    w.Arrive(kNotIdempotent);
     const bool slow = w.sent[before].upstream < "d";
     w.now += slow ? 60ms : 20ms;
     w.Finish(w.sent[before], Outcome::kServed);
@@ -184,7 +184,7 @@
   int fast = 0, slow = 0;
   for (int i = 0; i < 200; ++i) {
     const std::size_t before = w.sent.size();
-    w.Arrive(kUnsafe);
+    w.Arrive(kNotIdempotent);
     const std::string& id = w.sent[before].upstream;
     fast += id >= "x";
     slow += id >= "u" && id < "x";
@@ -198,8 +198,8 @@
 
 Settings Reporting() {
   Settings settings = DefaultSettings();
-  settings.load_by_probe = settings.limits.probes = true;
-  settings.prices.probe = 0.002;
+  settings.load_by_probe = settings.limits.load_probes_allowed = true;
+  settings.decision_costs.probe = 0.002;
   return settings;
 }
 
@@ -207,7 +207,7 @@
   LoadReport load;
   load.in_flight = held;
   load.rate = rate;
-  w.Do(ProbeEnded{{id}, Outcome::kServed, 1ms, load});
+  w.Do(LoadProbeFinished{{id}, Outcome::kServed, 1ms, load});
 }
 
 TEST(OtherSidecarsQueues, TheLeastLoadedOfTheNextInTurnTakesTheCall) {
@@ -216,7 +216,7 @@
   for (int i = 0; i < 12; ++i) {
     w.probed.clear();
     const std::size_t before = w.sent.size();
-    w.Arrive(kUnsafe);
+    w.Arrive(kNotIdempotent);
     ASSERT_EQ(w.probed.size(), 3u);
     ASSERT_EQ(w.sent.size(), before) << "waits for the reports";
     const std::vector<std::string> asked = w.probed;
@@ -233,21 +233,21 @@
 // With a probe's price as in a large fleet, where a call is worth a dozen probes.
 TEST(OtherSidecarsQueues, WhereProbesAreDearOnlyACallAtRiskOfBeingLateAsks) {
   Settings settings = Reporting();
-  settings.prices.probe = 0.08;
+  settings.decision_costs.probe = 0.08;
   World w(settings);
   w.List(6);
-  for (int i = 0; i < 12; ++i) EXPECT_NE(w.Serve(kUnsafe), "");
+  for (int i = 0; i < 12; ++i) EXPECT_NE(w.Serve(kNotIdempotent), "");
   EXPECT_TRUE(w.probed.empty()) << "all in time: nothing to learn";
   for (int i = 0; i < 6; ++i) {
     const std::size_t before = w.sent.size();
-    w.Arrive(kUnsafe);
+    w.Arrive(kNotIdempotent);
     for (const std::string& id : std::vector<std::string>(w.probed)) Report(w, id, 0);
     w.probed.clear();
     ASSERT_EQ(w.sent.size(), before + 1);
     w.now += 600ms;
     w.Finish(w.sent.back(), Outcome::kServed);  // its aim was 400 ms
   }
-  w.Arrive(kUnsafe);
+  w.Arrive(kNotIdempotent);
   ASSERT_EQ(w.probed.size(), 2u) << "the pick and one to turn to";
   const std::vector<std::string> asked = w.probed;
   Report(w, asked[0], 1);
@@ -256,15 +256,15 @@
   w.Finish(w.sent.back(), Outcome::kServed);
   w.probed.clear();
   w.Advance(60s);  // what was seen then tells nothing any more
-  EXPECT_NE(w.Serve(kUnsafe), "");
+  EXPECT_NE(w.Serve(kNotIdempotent), "");
   EXPECT_TRUE(w.probed.empty());
 }
 
 // The operators look for it, though near ones that hold nothing would always be the better choice.
 TEST(CrossingZones, AFarOnePutBackByTheOperatorsIsInUseAgainSoon) {
   Settings settings = Reporting();
-  settings.prices.cross_zone = 0.1;
-  settings.rules.cold_from = 0.5;
+  settings.decision_costs.cross_zone = 0.1;
+  settings.fleet_limits.slow_start_initial_share = 0.5;
   World w(settings);
   UpstreamInfo far = Up("far");
   far.zone = "there";
@@ -274,7 +274,7 @@
     for (int i = 0; i < count; ++i) {
       w.probed.clear();
       const std::size_t before = w.sent.size();
-      w.Arrive(kUnsafe);
+      w.Arrive(kNotIdempotent);
       for (const std::string& id : std::vector<std::string>(w.probed)) Report(w, id, 0);
       w.Advance(20ms);
       for (std::size_t k = before; k < w.sent.size(); ++k) {
@@ -285,8 +285,8 @@
     return taken;
   };
   ASSERT_EQ(calls(100), 0) << "it is never the better choice";
-  w.Do(OperatorsWord{{"far"}, true});
-  w.Do(OperatorsWord{{"far"}, false});
+  w.Do(OperatorOverride{{"far"}, true});
+  w.Do(OperatorOverride{{"far"}, false});
   const int taken = calls(250);  // 5 s
   EXPECT_GE(taken, 1);
   EXPECT_LE(taken, 2) << "and then as before";
@@ -297,7 +297,7 @@
   std::set<Duration> waits;
   for (const auto& w : Fleet(100)) {
     w->List(0);
-    w->Arrive(kUnsafe);
+    w->Arrive(kNotIdempotent);
     ASSERT_EQ(w->refused.size(), 1u) << "at once";
     EXPECT_LE(w->last_retry_after, DefaultSettings().limits.max_retry_after);
     EXPECT_GE(w->last_retry_after, DefaultSettings().limits.max_retry_after * 9 / 10);
@@ -315,10 +315,10 @@
   double cold = 0, warm = 0;
   for (std::size_t self = 0; self < kSidecars; ++self) {
     Settings settings = DefaultSettings();
-    settings.balancers = kSidecars;
-    settings.self = self;
-    settings.rules.cold_time = 7400ms;
-    settings.rules.cold_from = 0.31;
+    settings.sidecar_count = kSidecars;
+    settings.sidecar_index = self;
+    settings.fleet_limits.slow_start_duration = 7400ms;
+    settings.fleet_limits.slow_start_initial_share = 0.31;
     World w(settings, 100 + self);
     w.Full(list);
     for (int i = 0; i < 150; ++i) w.Advance(57ms), w.Serve();
@@ -343,7 +343,7 @@
  public:
   ColdFleet(std::size_t sidecars, std::size_t upstreams, double rate, Settings settings, std::uint64_t seed)
       : settings_(std::move(settings)), random_(seed) {
-    settings_.balancers = sidecars;
+    settings_.sidecar_count = sidecars;
     for (std::size_t i = 0; i < upstreams; ++i) list.push_back(Up("s" + std::to_string(i)));
     double sum = 0;
     for (std::size_t i = 0; i < sidecars; ++i) {
@@ -358,7 +358,7 @@
   void StartAll() {
     for (std::size_t i = 0; i < sidecars_.size(); ++i) {
       Sidecar& s = sidecars_[i];
-      settings_.self = i;
+      settings_.sidecar_index = i;
       s = {s.rate, std::make_unique<World>(settings_, random_()), 0, {}};
       s.world->now = now;
       s.world->Do(MembershipUpdate{MembershipUpdate::Kind::kRestored, list});
@@ -425,7 +425,7 @@
     s.world->Advance(now - s.world->now);
     Note(s);
     const double arriving = s.rate * burst * std::chrono::duration<double>(kStep).count();
-    for (double left = arriving; Uniform() < left; left -= 1) s.world->Arrive(kSafe), Note(s);
+    for (double left = arriving; Uniform() < left; left -= 1) s.world->Arrive(kIdempotent), Note(s);
     for (std::size_t i = 0; i < s.out.size();) {
       if (s.out[i].first > now) {
         ++i;
@@ -445,38 +445,38 @@
 
 struct ColdCase {
   const char* name;
-  void (*play)(ColdFleet& fleet, Duration cold_time);
+  void (*play)(ColdFleet& fleet, Duration slow_start_duration);
 };
 
 std::ostream& operator<<(std::ostream& out, const ColdCase& what) { return out << what.name; }
 
 const ColdCase kColdCases[] = {
     {"AllStartTogether",
-     [](ColdFleet& f, Duration cold_time) {
+     [](ColdFleet& f, Duration slow_start_duration) {
        f.MakeCold(f.list.size() / 4);
        f.StartAll();
-       f.Run(cold_time);
+       f.Run(slow_start_duration);
      }},
     {"MostAreReplacedInABurst",
-     [](ColdFleet& f, Duration cold_time) {
+     [](ColdFleet& f, Duration slow_start_duration) {
        f.StartAndSettle();
        f.MakeCold(f.list.size() * 6 / 10);
        f.TellAll();
        f.burst = 1.5;
-       f.Run(cold_time);
+       f.Run(slow_start_duration);
      }},
     {"TheOthersAreGoneAfterAWhile",
-     [](ColdFleet& f, Duration cold_time) {
+     [](ColdFleet& f, Duration slow_start_duration) {
        f.StartAndSettle();
        f.MakeCold(f.list.size() / 4);
        f.TellAll();
        f.Run(1s);
        f.list.resize(f.list.size() / 4 + 1);
        f.TellAll();
-       f.Run(cold_time);
+       f.Run(slow_start_duration);
      }},
     {"TheOthersDieAndAllStartAnew",  // failures, repeats and trials turn to the cold ones
-     [](ColdFleet& f, Duration cold_time) {
+     [](ColdFleet& f, Duration slow_start_duration) {
        f.StartAndSettle();
        f.MakeCold(f.list.size() / 4);
        f.StartAll();
@@ -484,17 +484,17 @@
        for (std::size_t i = f.list.size() / 4; i < f.list.size(); ++i) {
          (i % 2 == 0 ? f.dead : f.hung).insert(f.list[i].id.value);
        }
-       f.Run(cold_time);
+       f.Run(slow_start_duration);
      }},
     {"TheyHangAndAreWellAgain",  // ejected, tried and returned together
-     [](ColdFleet& f, Duration cold_time) {
+     [](ColdFleet& f, Duration slow_start_duration) {
        f.StartAndSettle();
        f.MakeCold(f.list.size() / 4);
        f.TellAll();
        f.hung = f.cold;
-       f.Run(cold_time / 3);
+       f.Run(slow_start_duration / 3);
        f.hung.clear();
-       f.Run(cold_time);
+       f.Run(slow_start_duration);
      }},
 };
 
@@ -506,20 +506,20 @@
   const auto& [what, sidecars, seed] = GetParam();
   struct Deployment {
     double multiple, from;
-    Duration window, cold_time;
+    Duration window, slow_start_duration;
   };
   for (const Deployment& d : {Deployment{2.5, 0.31, 1s, 7400ms}, Deployment{1.8, 0.2, 700ms, 9s},
                               Deployment{4, 0.32, 2s, 8900ms}}) {
     Settings settings = DefaultSettings();
-    settings.rules.fall_multiple = d.multiple;
-    settings.rules.cold_from = d.from;
-    settings.rules.fall_window = d.window;
-    settings.rules.cold_time = d.cold_time;
+    settings.fleet_limits.overload_multiple = d.multiple;
+    settings.fleet_limits.slow_start_initial_share = d.from;
+    settings.fleet_limits.overload_window = d.window;
+    settings.fleet_limits.slow_start_duration = d.slow_start_duration;
     const std::size_t upstreams = sidecars < 100 ? 12 : 60;
     constexpr double kCapacity = 20, kLoad = 0.7;  // of a warm one, calls a second
-    ColdFleet fleet(static_cast<std::size_t>(sidecars), upstreams, upstreams * kCapacity * kLoad, settings,
-                    seed);
-    what.play(fleet, d.cold_time);
+    ColdFleet fleet(static_cast<std::size_t>(sidecars), upstreams,
+                    static_cast<double>(upstreams) * kCapacity * kLoad, settings, seed);
+    what.play(fleet, d.slow_start_duration);
     const auto seconds = [](Duration t) { return std::chrono::duration<double>(t).count(); };
     std::size_t all = 0;
     for (const std::string& id : fleet.cold) {
@@ -527,10 +527,10 @@
       all += calls.size();
       for (std::size_t first = 0, end = 0; first < calls.size(); ++first) {
         if (calls[first] < fleet.cold_since) continue;
-        if (calls[first] + d.window >= fleet.cold_since + d.cold_time) break;
+        if (calls[first] + d.window >= fleet.cold_since + d.slow_start_duration) break;
         while (end < calls.size() && calls[end] < calls[first] + d.window) ++end;
         const double warmth =
-            d.from + (1 - d.from) * seconds(calls[first] - fleet.cold_since) / seconds(d.cold_time);
+            d.from + (1 - d.from) * seconds(calls[first] - fleet.cold_since) / seconds(d.slow_start_duration);
         const double budget = d.multiple * warmth * kCapacity * seconds(d.window);
         EXPECT_LE(static_cast<double>(end - first), budget + 2 * std::sqrt(budget) + 2)
             << id << ", budget " << budget << ", after " << seconds(calls[first] - fleet.cold_since) << " s";
@@ -543,10 +543,10 @@
 INSTANTIATE_TEST_SUITE_P(Fleet, ColdBudget,
                          ::testing::Combine(::testing::ValuesIn(kColdCases),
                                             ::testing::Values(1, 3, 25, 300, 900), ::testing::Values(1u, 2u)),
-                         [](const auto& info) {
-                           return std::string(std::get<0>(info.param).name) + "_" +
-                                  std::to_string(std::get<1>(info.param)) + "_seed" +
-                                  std::to_string(std::get<2>(info.param));
+                         [](const auto& test) {
+                           return std::string(std::get<0>(test.param).name) + "_" +
+                                  std::to_string(std::get<1>(test.param)) + "_seed" +
+                                  std::to_string(std::get<2>(test.param));
                          });
 
 // A client repeats what was refused or came to nothing: where many answers are late, an aim or more ago.
@@ -557,22 +557,22 @@
     const std::size_t refused = w.refused.size();
     RequestArrived e;
     e.request = RequestId{1000 + refused + w.sent.size()};
-    e.request_class = kUnsafe;
+    e.request_class = kNotIdempotent;
     e.deadline = w.now + 2s;
     e.client_retry = true;
     w.Do(e);
     return w.refused.size() > refused;
   };
-  for (int i = 0; i < 30; ++i) w.Serve(kUnsafe);
+  for (int i = 0; i < 30; ++i) w.Serve(kNotIdempotent);
   EXPECT_FALSE(repeat()) << "all is well";
   for (int i = 0; i < 8; ++i) {
     const std::size_t before = w.sent.size();
-    w.Arrive(kUnsafe);
+    w.Arrive(kNotIdempotent);
     w.now += 350ms;  // of an aim of 400 ms
     w.Answer(before);
   }
   EXPECT_TRUE(repeat());
-  EXPECT_NE(w.Serve(kUnsafe), "") << "first tries are taken";
+  EXPECT_NE(w.Serve(kNotIdempotent), "") << "first tries are taken";
 }
 
 // "a" to "c" are here, the rest is there.
@@ -588,13 +588,13 @@
 // A crossing has its price: it is worth paying only for a call that would else be late.
 TEST(CrossingZones, CallsStayNearUntilThoseThereHoldTooMuch) {
   Settings settings = Reporting();
-  settings.prices.cross_zone = 0.1;
+  settings.decision_costs.cross_zone = 0.1;
   World w(settings);
   w.Full(TwoZones());
   const auto crossed = [&w](double held_here) {
     w.probed.clear();
     const std::size_t before = w.sent.size();
-    w.Arrive(kUnsafe);
+    w.Arrive(kNotIdempotent);
     for (const std::string& id : std::vector<std::string>(w.probed)) Report(w, id, id > "c" ? 0 : held_here);
     EXPECT_EQ(w.sent.size(), before + 1);
     w.now += 40ms;  // a tenth of the aim
@@ -611,12 +611,12 @@
 // Where nobody is asked for its load the rotation itself has to know what a crossing costs.
 TEST(CrossingZones, WithoutReportsCallsStayNearUntilThoseThereAnswerLate) {
   Settings settings = DefaultSettings();
-  settings.prices.cross_zone = 0.1;
+  settings.decision_costs.cross_zone = 0.1;
   World w(settings);
   w.Full(TwoZones());
   const auto crossed = [&w](Duration near_takes) {
     const std::size_t before = w.sent.size();
-    w.Arrive(kUnsafe);
+    w.Arrive(kNotIdempotent);
     const bool far = w.sent[before].upstream > "c";
     w.now += far ? Duration(40ms) : near_takes;  // the aim is 400 ms
     w.Answer(before);
@@ -632,7 +632,7 @@
 TEST(OtherSidecarsQueues, ASilentProbeHoldsACallForAMomentAndIsAFailure) {
   World w(Reporting());
   w.List(6);
-  w.Arrive(kUnsafe);
+  w.Arrive(kNotIdempotent);
   const std::string silent = w.probed[0], well = w.probed[1];
   Report(w, well, 50);
   EXPECT_TRUE(w.sent.empty());
@@ -640,16 +640,16 @@
   ASSERT_EQ(w.sent.size(), 1u) << "one attempt, no copy of a call that is not late";
   EXPECT_EQ(w.sent.back().upstream, well) << "of those that answered";
   w.Finish(w.sent.back(), Outcome::kServed);
-  for (int i = 0; i < 2; ++i) w.Do(ProbeEnded{{silent}, Outcome::kTimeout, 400ms, {}});
+  for (int i = 0; i < 2; ++i) w.Do(LoadProbeFinished{{silent}, Outcome::kTimeout, 400ms, {}});
   w.probed.clear();
-  for (int i = 0; i < 5; ++i) w.Arrive(kUnsafe);
+  for (int i = 0; i < 5; ++i) w.Arrive(kNotIdempotent);
   EXPECT_EQ(std::count(w.probed.begin(), w.probed.end(), silent), 0) << "a suspect now";
 }
 
 TEST(OtherSidecarsQueues, ABurstSharesTheAnswersOfOneProbeEach) {
   World w(Reporting());
   w.List(6);
-  for (int i = 0; i < 30; ++i) w.Arrive(kUnsafe);
+  for (int i = 0; i < 30; ++i) w.Arrive(kNotIdempotent);
   std::set<std::string> asked(w.probed.begin(), w.probed.end());
   EXPECT_EQ(w.probed.size(), asked.size()) << "no upstream twice";
   EXPECT_TRUE(w.sent.empty());
@@ -658,15 +658,15 @@
   std::map<std::string, int> spread;
   for (const Sent& sent : w.sent) EXPECT_LE(++spread[sent.upstream], 8) << "not all to the same one";
   w.probed.clear();
-  w.Arrive(kUnsafe);
+  w.Arrive(kNotIdempotent);
   EXPECT_EQ(w.probed.size(), 3u) << "asked anew once the answers are in";
 }
 
 TEST(OtherSidecarsQueues, ACallThatEndsWhileItWaitsIsNotSent) {
   World w(Reporting());
   w.List(6);
-  const RequestId gone = w.Arrive(kUnsafe);
-  w.Do(RequestGone{gone});
+  const RequestId gone = w.Arrive(kNotIdempotent);
+  w.Do(RequestCancelled{gone});
   for (const std::string& id : std::vector<std::string>(w.probed)) Report(w, id, 1);
   w.Advance(3s);
   EXPECT_TRUE(w.sent.empty());
@@ -676,14 +676,14 @@
 TEST(JammedFleet, ACallIsRefusedWhereAllThatWereAskedHoldTooMuch) {
   World w(Reporting());
   w.List(6);
-  const RequestId late = w.Arrive(kUnsafe);  // its aim is 400 ms
+  const RequestId late = w.Arrive(kNotIdempotent);  // its aim is 400 ms
   for (const std::string& id : std::vector<std::string>(w.probed)) Report(w, id, 40, 50);
   EXPECT_TRUE(w.sent.empty());
   ASSERT_EQ(w.refused.size(), 1u);
   EXPECT_EQ(w.refused.back(), late);
   EXPECT_TRUE(w.Logged("refusing: overload, upstreams hold more than they can serve in time"));
   w.probed.clear();
-  w.Arrive(kUnsafe);
+  w.Arrive(kNotIdempotent);
   const std::vector<std::string> asked = w.probed;
   for (const std::string& id : asked) Report(w, id, id == asked[2] ? 10 : 40, 50);
   ASSERT_EQ(w.sent.size(), 1u);
@@ -698,7 +698,7 @@
   const auto arrive = [&w](double held) {
     w.probed.clear();
     const std::size_t before = w.sent.size();
-    w.Arrive(kUnsafe);
+    w.Arrive(kNotIdempotent);
     for (const std::string& id : std::vector<std::string>(w.probed)) Report(w, id, held);
     return w.sent.size() > before;
   };
@@ -717,30 +717,30 @@
 TEST(JammedFleet, ACallThatMayNotBeRepeatedIsGivenUpAtItsAimUnderOverloadOnly) {
   World w;
   w.List(4);
-  w.Arrive(kUnsafe);
+  w.Arrive(kNotIdempotent);
   EXPECT_EQ(w.sent.back().timeout, Duration(2s));
   w.Finish(w.sent.back(), Outcome::kServed);
   for (int i = 0; i < 40; ++i) {  // answers past their aim of 400 ms
     const std::size_t before = w.sent.size();
-    w.Arrive(kUnsafe);
+    w.Arrive(kNotIdempotent);
     w.Advance(500ms);
     if (w.sent.size() > before) w.Finish(w.sent[before], Outcome::kServed);
   }
   const std::size_t before = w.sent.size();
-  for (int i = 0; i < 10 && w.sent.size() == before; ++i) w.Arrive(kUnsafe);
+  for (int i = 0; i < 10 && w.sent.size() == before; ++i) w.Arrive(kNotIdempotent);
   ASSERT_GT(w.sent.size(), before);
   EXPECT_EQ(w.sent.back().timeout, Duration(400ms));
 }
 
 // Cancelled at its aim and begun anew, a call that is worth something late would load upstreams twice.
 TEST(LateAnswers, AreWaitedForWhereTheyHaveAWorthWithAndWithoutSecondCopies) {
-  for (const bool second_copies : {false, true}) {
+  for (const bool hedging_allowed : {false, true}) {
     Settings settings = DefaultSettings();
-    settings.limits.second_copies = second_copies;
-    settings.classes[static_cast<std::size_t>(kSafe)].late_worth = 0.25;
+    settings.limits.hedging_allowed = hedging_allowed;
+    settings.classes[static_cast<std::size_t>(kIdempotent)].late_priority_weight = 0.25;
     World w(settings);
     w.List(4);
-    w.Arrive(kSafe);
+    w.Arrive(kIdempotent);
     EXPECT_EQ(w.sent.back().timeout, Duration(2s)) << "until its client gives up";
     w.Arrive(kKeyedAll);
     EXPECT_EQ(w.sent.back().timeout, Duration(400ms)) << "its aim: nothing is due for it later";
@@ -751,11 +751,11 @@
   World w;
   w.List(6);
   std::set<std::string> connected;
-  for (int i = 0; i < 3; ++i) connected.insert(w.Serve(kUnsafe));
+  for (int i = 0; i < 3; ++i) connected.insert(w.Serve(kNotIdempotent));
   // Whoever else is called gets no connection.
   for (int i = 0; i < 60; ++i) {
     const std::size_t before = w.sent.size();
-    w.Arrive(kUnsafe);
+    w.Arrive(kNotIdempotent);
     for (std::size_t k = before; k < w.sent.size(); ++k) {
       w.now += 5ms;
       const bool has = connected.count(w.sent[k].upstream) > 0;
@@ -764,49 +764,49 @@
     w.Advance(20ms);
   }
   int elsewhere = 0;
-  for (int i = 0; i < 30; ++i) elsewhere += connected.count(w.Serve(kUnsafe)) == 0;
+  for (int i = 0; i < 30; ++i) elsewhere += connected.count(w.Serve(kNotIdempotent)) == 0;
   EXPECT_EQ(elsewhere, 0);
 }
 
 TEST(ConnectionsDroppedUnseen, IdleOnesAreClosedBeforeTheAgeAtWhichOneWasFoundDropped) {
   World w;
   w.List(1);
-  w.Serve(kUnsafe);
+  w.Serve(kNotIdempotent);
   w.Advance(2s);
-  EXPECT_EQ(w.Serve(kUnsafe), "a");
+  EXPECT_EQ(w.Serve(kNotIdempotent), "a");
   EXPECT_TRUE(w.closed.empty()) << "trusted until one is found dropped";
   w.Advance(2s);
-  w.Arrive(kUnsafe);
+  w.Arrive(kNotIdempotent);
   w.now += 1ms;
   w.Finish(w.sent.back(), Outcome::kReset);
-  w.Serve(kUnsafe);
+  w.Serve(kNotIdempotent);
   w.Advance(1500ms);
-  w.Serve(kUnsafe);
+  w.Serve(kNotIdempotent);
   EXPECT_EQ(w.closed, std::vector<std::string>{"a"}) << "idle for longer than half of that";
   w.Advance(500ms);
-  w.Serve(kUnsafe);
+  w.Serve(kNotIdempotent);
   EXPECT_EQ(w.closed.size(), 1u) << "used not long ago";
   w.Advance(90s);
-  w.Serve(kUnsafe);
+  w.Serve(kNotIdempotent);
   w.closed.clear();
   w.Advance(10s);
-  w.Serve(kUnsafe);
+  w.Serve(kNotIdempotent);
   EXPECT_TRUE(w.closed.empty()) << "trusted again with time";
 }
 
 TEST(ConnectionsDroppedUnseen, AResetInTheMiddleOfACallSaysNothingOfIdleOnes) {
   World w;
   w.List(1);
-  w.Serve(kUnsafe);
+  w.Serve(kNotIdempotent);
   w.Advance(2s);
-  w.Arrive(kUnsafe);
+  w.Arrive(kNotIdempotent);
   w.now += 200ms;
   w.Finish(w.sent.back(), Outcome::kReset);
-  w.Serve(kUnsafe);
+  w.Serve(kNotIdempotent);
   w.Advance(1500ms);
-  w.Serve(kUnsafe);
+  w.Serve(kNotIdempotent);
   EXPECT_TRUE(w.closed.empty());
 }
 
 }  // namespace
-}  // namespace kestrellb::testing
+}  // namespace lb::testing
--- a/tests/helpers.h
+++ b/tests/helpers.h
@@ -9,39 +9,40 @@
 #include <variant>
 #include <vector>
 
+#include "balancer/balancer.h"
 #include "gtest/gtest.h"
-#include "kestrellb/balancer.h"
 
-namespace kestrellb::testing {
+namespace lb::testing {
 
 using namespace std::chrono_literals;
 
-inline RequestClass Class(std::string name, Effect effect) {
+inline RequestClass Class(std::string name, Idempotency idempotency) {
   RequestClass c;
   c.name = std::move(name);
-  c.aim = 400ms;
+  c.latency_objective = 400ms;
   c.deadline = 2s;
-  c.effect = effect;
+  c.idempotency = idempotency;
   c.key_window = 5s;
   return c;
 }
 
-inline constexpr ClassId kSafe{0};
-inline constexpr ClassId kUnsafe{1};
+inline constexpr ClassId kIdempotent{0};
+inline constexpr ClassId kNotIdempotent{1};
 inline constexpr ClassId kKeyedAll{2};
 inline constexpr ClassId kKeyedZone{3};
 inline constexpr ClassId kKeyedCell{4};
 
 inline Settings DefaultSettings() {
   Settings s;
-  s.classes = {Class("safe", Effect::kSafe), Class("unsafe", Effect::kUnsafe),
-               Class("keyed-all", Effect::kKeyed), Class("keyed-zone", Effect::kKeyed),
-               Class("keyed-cell", Effect::kKeyed)};
+  s.classes = {Class("safe", Idempotency::kIdempotent), Class("unsafe", Idempotency::kNotIdempotent),
+               Class("keyed-all", Idempotency::kIdempotencyKey),
+               Class("keyed-zone", Idempotency::kIdempotencyKey),
+               Class("keyed-cell", Idempotency::kIdempotencyKey)};
   s.classes[3].key_scope = KeyScope::kZone;
   s.classes[4].key_scope = KeyScope::kCell;
   s.zone = "here";
   s.limits.max_attempts = 4;
-  s.limits.second_copies = true;
+  s.limits.hedging_allowed = true;
   return s;
 }
 
@@ -85,11 +86,11 @@
   // Hands over one event; everything it caused is in `actions` (this event's only) and in the records below.
   void Do(const Event& event) {
     actions.clear();
-    balancer_.handle(now, event, actions);
+    balancer_.Handle(now, event, actions);
     for (const Action& action : actions) std::visit([this](const auto& a) { Record(a); }, action);
   }
 
-  RequestId Arrive(ClassId cls = kSafe, Duration patience = 2s) {
+  RequestId Arrive(ClassId cls = kIdempotent, Duration patience = 2s) {
     RequestArrived e;
     e.request = RequestId{++last_request_};
     e.request_class = cls;
@@ -98,9 +99,13 @@
     return e.request;
   }
 
-  void Finish(const Sent& sent, Outcome outcome, bool finished = false) {
-    Do(AttemptEnded{
-        sent.request, sent.attempt, outcome, now - sent.at, finished || outcome == Outcome::kServed, {}});
+  void Finish(const Sent& attempt, Outcome outcome, bool finished = false) {
+    Do(AttemptFinished{attempt.request,
+                       attempt.attempt,
+                       outcome,
+                       now - attempt.at,
+                       finished || outcome == Outcome::kServed,
+                       {}});
   }
 
   // Moves the clock on and fires the timers that come due on the way, in order.
@@ -131,7 +136,7 @@
   }
 
   // A request that is served at once: the upstream that took it, or "".
-  std::string Serve(ClassId cls = kSafe) {
+  std::string Serve(ClassId cls = kIdempotent) {
     const std::size_t before = sent.size();
     Arrive(cls);
     now += 10ms;
@@ -144,7 +149,7 @@
   void FailRun(const std::string& bad, int failures, Outcome outcome = Outcome::kError) {
     for (int guard = 0; failures > 0 && guard < 3000; ++guard) {
       const std::size_t before = sent.size();
-      Arrive(kSafe);
+      Arrive(kIdempotent);
       now += 10ms;
       failures -= Answer(before, bad, outcome);
       if (failures > 0) Advance(100ms);
@@ -153,7 +158,7 @@
   }
 
   // How often each upstream is picked in `calls` served calls.
-  std::map<std::string, int> Spread(int calls, ClassId cls = kSafe) {
+  std::map<std::string, int> Spread(int calls, ClassId cls = kIdempotent) {
     std::map<std::string, int> spread;
     for (int i = 0; i < calls; ++i) ++spread[Serve(cls)];
     return spread;
@@ -186,20 +191,20 @@
         {a.request, AttemptId{attempts_[a.request]++}, a.upstream.value, a.timeout, now, a.begin_within});
   }
   void Record(const CancelAttempt& a) { cancelled.emplace_back(a.request, a.attempt); }
-  void Record(const Refuse& a) {
+  void Record(const RejectRequest& a) {
     refused.push_back(a.request);
     last_retry_after = a.retry_after;
   }
-  void Record(const Fail& a) { failed.push_back(a.request); }
+  void Record(const FailRequest& a) { failed.push_back(a.request); }
   void Record(const SetTimer& a) { timers.emplace(a.at, a.token); }
-  void Record(const SendProbe& a) { probed.push_back(a.upstream.value); }
-  void Record(const CloseIdle& a) { closed.push_back(a.upstream.value); }
+  void Record(const SendLoadProbe& a) { probed.push_back(a.upstream.value); }
+  void Record(const CloseIdleConnections& a) { closed.push_back(a.upstream.value); }
   void Record(const Subscribe&) { ++subscribed; }
-  void Record(const Log& a) { logs.push_back(a.text); }
+  void Record(const LogLine& a) { logs.push_back(a.text); }
 
   Balancer balancer_;
   std::uint64_t last_request_ = 0;
   std::map<RequestId, std::size_t> attempts_;
 };
 
-}  // namespace kestrellb::testing
+}  // namespace lb::testing
--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -10,9 +10,9 @@
 #include <string>
 #include <vector>
 
-#include "operator_state_fixture.h"
+#include "tests/operator_state_fixture.h"
 
-namespace mothrack::testing {
+namespace lb::sidecar::testing {
 namespace {
 
 namespace fs = std::filesystem;
@@ -174,4 +174,4 @@
 }
 
 }  // namespace
-}  // namespace mothrack::testing
+}  // namespace lb::sidecar::testing
--- a/tests/lab_discovery_test.cpp
+++ b/tests/lab_discovery_test.cpp
@@ -11,16 +11,16 @@
 #include <thread>
 #include <vector>
 
-#include "lab/control_client.h"
-#include "lab/discovery_server.h"
-#include "lab/membership.h"
-#include "lab/propagation_log.h"
+#include "lab/measure/propagation_log.h"
+#include "lab/model/membership.h"
+#include "lab/real/control_client.h"
+#include "lab/real/discovery_server.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 namespace {
 
 namespace http = boost::beast::http;
-using kestrellb::UpstreamState;
+using lb::UpstreamState;
 using nlohmann::json;
 using std::chrono::milliseconds;
 
@@ -48,7 +48,7 @@
 // A sidecar's connection to its agent, one call at a time.
 class Caller {
  public:
-  explicit Caller(const mothrack::Endpoint& agent) : stream_(io_) { stream_.connect(agent); }
+  explicit Caller(const lb::Endpoint& agent) : stream_(io_) { stream_.connect(agent); }
 
   void Send(const std::string& target, http::verb method = http::verb::get) {
     http::request<http::empty_body> request{method, target, 11};
@@ -343,7 +343,7 @@
 
   void Change(std::size_t number) {
     const MembershipEntry entry = Weighing(entries_[number], 2);
-    propagation_.Changed(server_->Change(entry), entry.service, mothrack::Now());
+    propagation_.Changed(server_->Change(entry), entry.service, sidecar::Now());
   }
 
   // Lets the clients work until all of them hold `revision`.
@@ -359,12 +359,12 @@
     return false;
   }
 
-  std::size_t Missing() const { return propagation_.Missing(mothrack::Now()); }
+  std::size_t Missing() const { return propagation_.Missing(sidecar::Now()); }
 
   std::vector<MembershipEntry> entries_;
   std::optional<DiscoveryServer> server_;
   boost::asio::io_context io_;
-  mothrack::UnixClock clock_;
+  sidecar::UnixClock clock_;
   PropagationLog propagation_;
   std::vector<std::vector<ControlNotice>> notices_;
   std::vector<std::unique_ptr<ControlClient>> clients_;
@@ -383,9 +383,9 @@
   EXPECT_EQ(propagation_.TakeRecentDelays().count(), 0u);
   for (const auto& notices : notices_) {
     ASSERT_GE(notices.size(), 2u);
-    EXPECT_EQ(notices.front().update.kind, kestrellb::MembershipUpdate::Kind::kFull);
+    EXPECT_EQ(notices.front().update.kind, lb::MembershipUpdate::Kind::kFull);
     EXPECT_EQ(notices.front().update.upstreams.size(), entries_.size());
-    EXPECT_EQ(notices.back().update.kind, kestrellb::MembershipUpdate::Kind::kChanges);
+    EXPECT_EQ(notices.back().update.kind, lb::MembershipUpdate::Kind::kChanges);
   }
 }
 
@@ -402,4 +402,4 @@
 }
 
 }  // namespace
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/tests/lab_experiment_test.cpp
+++ b/tests/lab_experiment_test.cpp
@@ -15,12 +15,12 @@
 #include <string>
 #include <vector>
 
-#include "lab/deployment.h"
-#include "lab/experiment.h"
 #include "lab/run.h"
-#include "lab/schedule.h"
+#include "lab/spec/deployment.h"
+#include "lab/spec/experiment.h"
+#include "lab/spec/schedule.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 namespace {
 
 // A sound file; what a test adds to it belongs to the class, up to the next table.
@@ -133,8 +133,8 @@
       "[[fault]]\nkind = \"burst\"\nat_s = 9\nlasts_s = 2\nfactor = 3\n"
       "[[fault]]\nkind = \"notices_silent\"\nat_s = 4\n"
       "[[must_hold]]\nmetric = \"failed_share\"\nat_most = 0.25\n");
-  EXPECT_EQ(e.classes[0].aim, std::chrono::milliseconds(100));
-  EXPECT_EQ(e.classes[0].effect, kestrellb::Effect::kKeyed);
+  EXPECT_EQ(e.classes[0].latency_objective, std::chrono::milliseconds(100));
+  EXPECT_EQ(e.classes[0].idempotency, lb::Idempotency::kIdempotencyKey);
   EXPECT_EQ(e.classes[0].key_window, std::chrono::milliseconds(1500));
   EXPECT_EQ(e.upstreams.handshake_work, std::chrono::microseconds(250));
   EXPECT_EQ(e.upstreams.idle_close, std::chrono::seconds(7));
@@ -253,15 +253,15 @@
   const Experiment e =
       Parse("[sidecars]\nprobes = true\nmax_attempts = 2\n[upstreams]\ncold_from = 0.25\ncold_s = 4\n");
   const Deployment d = MakeDeployment(e, 12);
-  const kestrellb::Settings s = SidecarSettings(e, d, d.sidecars[7]);
+  const lb::Settings s = SidecarSettings(e, d, d.sidecars[7]);
   EXPECT_NO_THROW(s.Validate());
-  EXPECT_EQ(s.self, 7u);
-  EXPECT_EQ(s.balancers, 12u);
+  EXPECT_EQ(s.sidecar_index, 7u);
+  EXPECT_EQ(s.sidecar_count, 12u);
   EXPECT_EQ(s.zone, d.sidecars[7].zone);
   EXPECT_TRUE(s.load_by_probe);
   EXPECT_EQ(s.limits.max_attempts, 2u);
-  EXPECT_EQ(s.rules.cold_from, 0.25);
-  EXPECT_EQ(s.rules.cold_time, std::chrono::seconds(4));
+  EXPECT_EQ(s.fleet_limits.slow_start_initial_share, 0.25);
+  EXPECT_EQ(s.fleet_limits.slow_start_duration, std::chrono::seconds(4));
 }
 
 TEST(Seeds, DifferByPurposeIndexAndSeed) {
@@ -343,4 +343,4 @@
 }
 
 }  // namespace
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/tests/lab_faults_test.cpp
+++ b/tests/lab_faults_test.cpp
@@ -17,25 +17,25 @@
 #include <vector>
 
 #include "gtest/gtest.h"
-#include "lab/deployment.h"
-#include "lab/discovery_server.h"
-#include "lab/experiment.h"
-#include "lab/fleet_rules.h"
-#include "lab/http_load.h"
-#include "lab/process.h"
-#include "lab/real_fleet.h"
-#include "lab/scheduler.h"
-#include "lab/sidecar_operator.h"
-#include "lab/stalled_clients.h"
-#include "lab/wall_clock.h"
-#include "node/clock.h"
-
-namespace aspendyke::lab {
+#include "lab/measure/fleet_rules.h"
+#include "lab/real/discovery_server.h"
+#include "lab/real/http_load.h"
+#include "lab/real/process.h"
+#include "lab/real/real_fleet.h"
+#include "lab/real/sidecar_operator.h"
+#include "lab/real/stalled_clients.h"
+#include "lab/real/wall_clock.h"
+#include "lab/spec/deployment.h"
+#include "lab/spec/experiment.h"
+#include "lab/virtual/scheduler.h"
+#include "sidecar/clock.h"
+
+namespace lb::lab {
 namespace {
 
 using boost::asio::ip::tcp;
 using boost::system::error_code;
-using kestrellb::UpstreamState;
+using lb::UpstreamState;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -59,7 +59,7 @@
 )",
                                           "rules.toml");
   Deployment deployment = MakeDeployment(experiment, 3);
-  kestrellb::Settings settings = SidecarSettings(experiment, deployment, deployment.sidecars[0]);
+  lb::Settings settings = SidecarSettings(experiment, deployment, deployment.sidecars[0]);
   FleetRules rules{experiment, deployment, settings};
   TimePoint start{seconds(1000)};
 
@@ -74,7 +74,7 @@
 
 TEST(FleetRules, CountsAttemptsAtADrainingUpstreamOnceTheGraceIsOver) {
   Fleet fleet;
-  const Duration allowed = fleet.settings.rules.drain_grace + kDrainSlack + kArrivalMargin;
+  const Duration allowed = fleet.settings.fleet_limits.drain_grace + kDrainSlack + kArrivalMargin;
   fleet.rules.Told(0, fleet.Entry(1, UpstreamState::kDraining), fleet.start);
   fleet.rules.Told(0, fleet.Entry(1, UpstreamState::kGone), fleet.start + seconds(1));
   const auto late_after = [&](std::size_t sidecar, std::size_t upstream, Duration after) {
@@ -109,8 +109,8 @@
     fleet.rules.Started(2, fleet.start);
     fleet.rules.Told(0, fleet.Entry(2, UpstreamState::kServing, 1), fleet.start);
     const UpstreamInstance& upstream = fleet.deployment.upstreams[2];
-    const double allowed = fleet.settings.rules.fall_multiple * upstream.kind->cores * upstream.speed * 10 *
-                           fleet.settings.rules.cold_from;
+    const double allowed = fleet.settings.fleet_limits.overload_multiple * upstream.kind->cores *
+                           upstream.speed * 10 * fleet.settings.fleet_limits.slow_start_initial_share;
     const int attempts = static_cast<int>(c.shares_of_budget * SlowStartBudget(allowed));
     for (int i = 0; i < attempts; ++i) {
       const std::size_t sidecar = static_cast<std::size_t>(i) % 10 < c.unknowing_of_ten ? 1 : 0;
@@ -183,9 +183,9 @@
   for (const StallPoint point : {StallPoint::kRequestLine, StallPoint::kHeaders, StallPoint::kBody}) {
     clients.Begin(silent.endpoint(), "read", point);
   }
-  const TimePoint begun = mothrack::Now();
+  const TimePoint begun = sidecar::Now();
   ASSERT_TRUE(silent.RunUntil([&] { return clients.open() == 0; }));
-  EXPECT_GE(mothrack::Now() - begun, kStalledClientLimit);
+  EXPECT_GE(sidecar::Now() - begun, kStalledClientLimit);
   const StalledClientCounters counters = clients.Take();
   EXPECT_EQ(counters.begun, 3u);
   EXPECT_EQ(counters.unanswered, 3u);
@@ -216,7 +216,7 @@
   ClassSpec spec;
   spec.name = "read";
   spec.mean_work = milliseconds(1);
-  spec.aim = spec.deadline = milliseconds(600);
+  spec.latency_objective = spec.deadline = milliseconds(600);
   ClientSpec clients;
   clients.retries = 0;
   clients.try_share = 1;
@@ -275,13 +275,14 @@
   experiment.sidecars.real = 1;
   experiment.sidecars_per_upstream = 0.34;  // one
   experiment.load.per_upstream = 15;
-  experiment.upstreams.cold_from = 1;  // a cold one answers as fast as any, but the rules allow it little
+  experiment.upstreams.slow_start_initial_share =
+      1;  // a cold one answers as fast as any, but the rules allow it little
   const Deployment deployment = MakeDeployment(experiment, 3);
   const SidecarInstance& real = *std::find_if(deployment.sidecars.begin(), deployment.sidecars.end(),
                                               [](const SidecarInstance& s) { return s.real; });
-  kestrellb::Settings settings = SidecarSettings(experiment, deployment, real);
-  settings.rules.cold_from = 0.001;
-  settings.rules.cold_time = seconds(1000);
+  lb::Settings settings = SidecarSettings(experiment, deployment, real);
+  settings.fleet_limits.slow_start_initial_share = 0.001;
+  settings.fleet_limits.slow_start_duration = seconds(1000);
   FleetRules rules(experiment, deployment, settings);
   HttpUpstreamOptions options;
   options.on_start = [&](std::size_t upstream, TimePoint at) { rules.Started(upstream, at); };
@@ -289,7 +290,7 @@
     ASSERT_EQ(attempt.sidecar, real.index);
     rules.Attempted(*attempt.sidecar, attempt.upstream, attempt.work, attempt.at);
   };
-  RealFleet fleet(experiment, deployment, MOTHRACK_PROGRAM, options);
+  RealFleet fleet(experiment, deployment, LB_SIDECAR_PROGRAM, options);
   std::vector<MembershipEntry> entries;
   for (const UpstreamInstance& upstream : deployment.upstreams) {
     MembershipEntry& entry = entries.emplace_back();
@@ -304,11 +305,11 @@
   fleet.StartLoad();
   for (MembershipEntry& entry : entries) {
     entry.state = UpstreamState::kDraining;
-    rules.Told(real.index, entry, mothrack::Now());
+    rules.Told(real.index, entry, sidecar::Now());
   }
   const auto await = [](const std::function<bool()>& condition) {
-    const TimePoint end = mothrack::Now() + kPatience;
-    while (!condition() && mothrack::Now() < end) std::this_thread::sleep_for(milliseconds(20));
+    const TimePoint end = sidecar::Now() + kPatience;
+    while (!condition() && sidecar::Now() < end) std::this_thread::sleep_for(milliseconds(20));
     return condition();
   };
   EXPECT_TRUE(await([&] { return rules.counters().late_to_draining > 0; }));
@@ -319,13 +320,13 @@
   fleet.AtUpstreams([&](HttpUpstreams& upstreams) {
     upstreams.Crash(0);
     upstreams.Start(0);
-    rules.Told(real.index, entries[0], mothrack::Now());
+    rules.Told(real.index, entries[0], sidecar::Now());
   });
   EXPECT_TRUE(await([&] { return rules.counters().cold_overloads == 1; }));
 }
 
 // What a program that is started in that environment takes for the Unix time, against the machine's.
-std::int64_t SecondsAhead(const std::map<std::string, std::string>& environment, const std::string& folder) {
+double SecondsAhead(const std::map<std::string, std::string>& environment, const std::string& folder) {
   ProcessOptions options;
   options.program = "/bin/date";
   options.arguments = {"+%s"};
@@ -335,7 +336,7 @@
   Process date(options);
   date.Wait();
   const auto now = std::chrono::system_clock::now().time_since_epoch();
-  return std::stoll(date.Log()) - std::chrono::duration_cast<seconds>(now).count();
+  return std::stod(date.Log()) - std::chrono::duration<double>(now).count();
 }
 
 TEST(WallClock, IsSteppedInBothDirectionsForThoseWhoStartWithIt) {
@@ -393,9 +394,9 @@
   Duration Change() {
     const std::size_t before = log_.count();
     entry_.weight += 1;
-    const TimePoint begun = mothrack::Now();
+    const TimePoint begun = sidecar::Now();
     server_->Change(entry_);
-    while (log_.count() == before && mothrack::Now() < begun + kPatience) {
+    while (log_.count() == before && sidecar::Now() < begun + kPatience) {
       std::this_thread::sleep_for(milliseconds(5));
     }
     const std::lock_guard lock(log_.mutex);
@@ -453,4 +454,4 @@
 }
 
 }  // namespace
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/tests/lab_growth_test.cpp
+++ b/tests/lab_growth_test.cpp
@@ -8,13 +8,13 @@
 #include <string>
 #include <vector>
 
-#include "lab/deployment.h"
 #include "lab/engine.h"
-#include "lab/experiment.h"
-#include "lab/growth.h"
+#include "lab/measure/growth.h"
 #include "lab/run.h"
+#include "lab/spec/deployment.h"
+#include "lab/spec/experiment.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 namespace {
 
 const std::string kUsual =
@@ -227,7 +227,7 @@
   for (const FleetSize fleet : {FleetSize::kUsual, FleetSize::kLarge}) {
     const Experiment played = GrowthExperiment(Small(), fleet, GrowthPart::kReal);
     const Deployment d = MakeDeployment(played, played.sizes.front());
-    const Metrics metrics = RunReal(played, d, MOTHRACK_PROGRAM, {});
+    const Metrics metrics = RunReal(played, d, LB_SIDECAR_PROGRAM, {});
     EXPECT_EQ(metrics.sidecars, 2) << "the hollow ones are not played";
     EXPECT_GT(metrics.requests, 0);
     EXPECT_GT(metrics.real_cpu_s, 0);
@@ -240,4 +240,4 @@
 }
 
 }  // namespace
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/tests/lab_metrics_test.cpp
+++ b/tests/lab_metrics_test.cpp
@@ -10,12 +10,12 @@
 #include <vector>
 
 #include "gtest/gtest.h"
-#include "lab/chain.h"
-#include "lab/metrics.h"
-#include "lab/text_table.h"
+#include "lab/measure/metrics.h"
+#include "lab/measure/text_table.h"
+#include "lab/model/chain.h"
 #include "nlohmann/json.hpp"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 namespace {
 
 using namespace std::chrono_literals;
@@ -301,7 +301,7 @@
 }
 
 TEST(Chain, ShrinksDeadlinesToZeroAndNoFurther) {
-  const std::vector<kestrellb::Duration> expected = {70ms, 40ms, 10ms, 0ms, 0ms};
+  const std::vector<lb::Duration> expected = {70ms, 40ms, 10ms, 0ms, 0ms};
   EXPECT_EQ(RemainingDeadlines(100ms, 20ms, 10ms, 5), expected);
 }
 
@@ -340,4 +340,4 @@
 }
 
 }  // namespace
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/tests/lab_models_test.cpp
+++ b/tests/lab_models_test.cpp
@@ -9,20 +9,20 @@
 #include <string>
 #include <vector>
 
-#include "lab/client_model.h"
 #include "lab/engine.h"
-#include "lab/hollow_sidecar.h"
-#include "lab/membership_notices.h"
-#include "lab/network_model.h"
-#include "lab/scheduler.h"
-#include "lab/upstream_model.h"
-
-namespace aspendyke::lab {
+#include "lab/model/client_model.h"
+#include "lab/model/network_model.h"
+#include "lab/model/upstream_model.h"
+#include "lab/virtual/hollow_sidecar.h"
+#include "lab/virtual/membership_notices.h"
+#include "lab/virtual/scheduler.h"
+
+namespace lb::lab {
 namespace {
 
-using kestrellb::MembershipUpdate;
-using kestrellb::UpstreamInfo;
-using kestrellb::UpstreamState;
+using lb::MembershipUpdate;
+using lb::UpstreamInfo;
+using lb::UpstreamState;
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
@@ -36,7 +36,7 @@
   ClassSpec spec;
   spec.name = "get";
   spec.mean_work = milliseconds(20);
-  spec.aim = milliseconds(200);
+  spec.latency_objective = milliseconds(200);
   spec.deadline = milliseconds(1000);
   experiment.classes = {spec};
   KindSpec kind;
@@ -220,8 +220,8 @@
 }
 
 TEST_F(UpstreamTest, AFreshProcessIsColdAndWarmsEvenly) {
-  spec_.cold_from = 0.2;
-  spec_.cold_time = seconds(10);
+  spec_.slow_start_initial_share = 0.2;
+  spec_.slow_start_duration = seconds(10);
   EXPECT_NEAR(Saturate(8, seconds(2)), 2, 0.03);
   Model().Crash();
   Model().Start();
@@ -300,7 +300,7 @@
   Serve(milliseconds(10));
   Model().SetSilent(true);
   Serve(milliseconds(10));
-  Model().Probe([](const kestrellb::LoadReport&) { ADD_FAILURE() << "it is silent"; });
+  Model().Probe([](const lb::LoadReport&) { ADD_FAILURE() << "it is silent"; });
   Model().Crash();
   Run(seconds(1));
   EXPECT_TRUE(results_.empty());
@@ -328,10 +328,10 @@
 
 TEST_F(UpstreamTest, AProbeCostsWorkAndTellsWhatItHolds) {
   for (int i = 0; i < 6; ++i) Serve(milliseconds(100));
-  kestrellb::LoadReport report;
+  lb::LoadReport report;
   const TimePoint start = scheduler_.Now();
   TimePoint told;
-  Model().Probe([&](const kestrellb::LoadReport& load) {
+  Model().Probe([&](const lb::LoadReport& load) {
     report = load;
     told = scheduler_.Now();
   });
@@ -412,13 +412,13 @@
   other.name = "list";
   other.share = 3;
   experiment.classes.push_back(other);
-  std::map<kestrellb::ClassId, int> offered;
+  std::map<lb::ClassId, int> offered;
   ClientRig rig(experiment, 50, [&](std::size_t, const OfferedRequest& request, const auto& answer) {
     ++offered[request.request_class];
     answer({AnswerKind::kServed, {}});
   });
   rig.Play(seconds(100));
-  const double first = offered[kestrellb::ClassId{0}], second = offered[kestrellb::ClassId{1}];
+  const double first = offered[lb::ClassId{0}], second = offered[lb::ClassId{1}];
   EXPECT_NEAR(first / (first + second), 0.25, 0.02);
 }
 
@@ -442,13 +442,13 @@
 }
 
 TEST(ClientModel, OnlyWhatMayBeRepeatedIsAndSilenceIsAFailure) {
-  for (const auto effect : {kestrellb::Effect::kSafe, kestrellb::Effect::kUnsafe}) {
+  for (const auto idempotency : {lb::Idempotency::kIdempotent, lb::Idempotency::kNotIdempotent}) {
     Experiment experiment = SmallExperiment();
-    experiment.classes[0].effect = effect;
+    experiment.classes[0].idempotency = idempotency;
     ClientRig rig(experiment, 10, [](std::size_t, const OfferedRequest&, const auto&) {});
     rig.Play(seconds(10));
     ASSERT_GT(rig.results.size(), 100u);
-    const bool repeats = effect == kestrellb::Effect::kSafe;
+    const bool repeats = idempotency == lb::Idempotency::kIdempotent;
     for (const RequestResult& result : rig.results) {
       EXPECT_EQ(result.outcome, RequestOutcome::kFailed);
       EXPECT_EQ(result.tries, repeats ? 2 : 1);
@@ -647,7 +647,7 @@
     const std::size_t number = answers.size();
     answers.emplace_back();
     sidecars[sidecar]->Offer(
-        {kestrellb::ClassId{0}, work, scheduler.Now() + deadline, false},
+        {lb::ClassId{0}, work, scheduler.Now() + deadline, false},
         [this, number](const Answer& answer) { answers[number].push_back(answer.kind); });
   }
   void Run(Duration time) { scheduler.RunUntil(scheduler.Now() + time); }
@@ -765,7 +765,7 @@
 TEST(HollowSidecar, HearsOfADeadProcessUnlessItsMachineHadVanished) {
   for (const bool vanished : {false, true}) {
     Experiment experiment = SmallExperiment();
-    experiment.classes[0].effect = kestrellb::Effect::kUnsafe;
+    experiment.classes[0].idempotency = lb::Idempotency::kNotIdempotent;
     SidecarRig rig(experiment, 1, 1);
     rig.Offer(0, milliseconds(5), milliseconds(500));
     rig.Run(milliseconds(100));
@@ -798,8 +798,7 @@
   sidecar.Start(1, {info});
   int answers = 0, served = 0;
   for (int i = 0; i < 5; ++i) {
-    const OfferedRequest request{kestrellb::ClassId{0}, milliseconds(1), scheduler.Now() + seconds(10),
-                                 false};
+    const OfferedRequest request{lb::ClassId{0}, milliseconds(1), scheduler.Now() + seconds(10), false};
     sidecar.Offer(request, [&](const Answer& answer) {
       ++answers;
       served += answer.kind == AnswerKind::kServed;
@@ -848,8 +847,8 @@
     experiment.sidecars.probes = seed % 2 == 0;
     experiment.sidecars.probe_price = 0.001;
     experiment.upstreams.cancel_stops_work = seed % 3 == 0;
-    const kestrellb::Effect effects[] = {kestrellb::Effect::kSafe, kestrellb::Effect::kUnsafe};
-    experiment.classes[0].effect = effects[seed % 2];
+    const lb::Idempotency effects[] = {lb::Idempotency::kIdempotent, lb::Idempotency::kNotIdempotent};
+    experiment.classes[0].idempotency = effects[seed % 2];
     SidecarRig rig(experiment, 4, 3, seed);
     std::mt19937_64 random(seed);
     for (int i = 0; i < 2000; ++i) {
@@ -971,4 +970,4 @@
 }
 
 }  // namespace
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/tests/lab_processes_test.cpp
+++ b/tests/lab_processes_test.cpp
@@ -25,15 +25,15 @@
 #include <utility>
 #include <vector>
 
-#include "config.h"
-#include "lab/cpu_clock.h"
-#include "lab/http_load.h"
-#include "lab/http_upstream.h"
-#include "lab/process.h"
-#include "lab/sidecar_config.h"
-#include "wire.h"
-
-namespace aspendyke::lab {
+#include "lab/real/cpu_clock.h"
+#include "lab/real/http_load.h"
+#include "lab/real/http_upstream.h"
+#include "lab/real/process.h"
+#include "lab/real/sidecar_config.h"
+#include "settings/config.h"
+#include "settings/settings_reader.h"
+
+namespace lb::lab {
 namespace {
 
 using boost::asio::ip::tcp;
@@ -189,29 +189,29 @@
 // ---- Configuration ----
 
 // A new field breaks these, until it is written into the configuration as well.
-auto Fields(const kestrellb::RequestClass& value) {
+auto Fields(const lb::RequestClass& value) {
   const auto& [a, b, c, d, e, f, g, h, i, j] = value;
   return std::make_tuple(a, b, c, d, e, f, g, h, i, j);
 }
-auto Fields(const kestrellb::Tenant& value) {
+auto Fields(const lb::Tenant& value) {
   const auto& [a, b, c] = value;
   return std::make_tuple(a, b, c);
 }
-auto Fields(const kestrellb::Limits& value) {
+auto Fields(const lb::Limits& value) {
   const auto& [a, b, c, d, e, f, g, h, i] = value;
   return std::make_tuple(a, b, c, d, e, f, g, h, i);
 }
-auto Fields(const kestrellb::Rules& value) {
+auto Fields(const lb::FleetLimits& value) {
   const auto& [a, b, c, d, e, f, g] = value;
   return std::make_tuple(a, b, c, d, e, f, g);
 }
-auto Fields(const kestrellb::Prices& value) {
+auto Fields(const lb::DecisionCosts& value) {
   const auto& [a, b, c, d, e] = value;
   return std::make_tuple(a, b, c, d, e);
 }
 // Without the parts that have fields of their own.
-auto Fields(const kestrellb::Settings& value) {
-  const auto& [classes, tenants, a, b, c, d, e, f, g, limits, rules, prices] = value;
+auto Fields(const lb::Settings& value) {
+  const auto& [classes, tenants, a, b, c, d, e, f, g, limits, fleet_limits, costs] = value;
   return std::make_tuple(a, b, c, d, e, f, g);
 }
 
@@ -233,43 +233,44 @@
   (std::make_index_sequence<std::tuple_size_v<decltype(written_fields)>>());
 }
 
-kestrellb::Settings UnusualSettings() {
-  using kestrellb::Effect, kestrellb::KeyScope;
-  kestrellb::Settings settings;
-  settings.classes = {{"pay", milliseconds(80), 1.5, milliseconds(700), Effect::kKeyed, KeyScope::kCell,
-                       milliseconds(2500), 3.5, 0.25, true},
-                      {"read", milliseconds(40), 0.5, milliseconds(300), Effect::kSafe, KeyScope::kZone,
-                       milliseconds(1), 2, 0.5, true}};
+lb::Settings UnusualSettings() {
+  using lb::Idempotency, lb::KeyScope;
+  lb::Settings settings;
+  settings.classes = {{"pay", milliseconds(80), 1.5, milliseconds(700), Idempotency::kIdempotencyKey,
+                       KeyScope::kCell, milliseconds(2500), 3.5, 0.25, true},
+                      {"read", milliseconds(40), 0.5, milliseconds(300), Idempotency::kIdempotent,
+                       KeyScope::kZone, milliseconds(1), 2, 0.5, true}};
   settings.tenants = {{"large", 2.5, 40.5}, {"small", 0.5, 4}};
-  settings.over_share_worth = 0.125;
+  settings.over_share_priority_weight = 0.125;
   settings.zone = "r2-z3";
-  settings.balancers = 12;
-  settings.self = 7;
-  settings.membership_on_request = settings.live_weights = settings.load_by_probe = true;
+  settings.sidecar_count = 12;
+  settings.sidecar_index = 7;
+  settings.polled_membership = settings.live_weights = settings.load_by_probe = true;
   settings.limits = {5, true, false, true, false, milliseconds(1500), milliseconds(120), milliseconds(9000),
                      4};
-  settings.rules = {milliseconds(25),  milliseconds(7000), milliseconds(450), 0.3, milliseconds(11000), 3.5,
-                    milliseconds(1300)};
-  settings.prices = {0.01, 0.02, 0.03, 0.04, 0.05};
+  settings.fleet_limits = {
+      milliseconds(25),  milliseconds(7000), milliseconds(450), 0.3, milliseconds(11000), 3.5,
+      milliseconds(1300)};
+  settings.decision_costs = {0.01, 0.02, 0.03, 0.04, 0.05};
   return settings;
 }
 
 TEST(LabSidecarConfig, EverySettingComesBackFromTheWire) {
-  const kestrellb::Settings written = UnusualSettings();
-  const kestrellb::Settings read = kestrellb::wire::ParseSettings(ToJson(written));
+  const lb::Settings written = UnusualSettings();
+  const lb::Settings read = lb::ParseSettings(ToJson(written));
   ExpectSame(written, read);
   ExpectSame(written.limits, read.limits);
-  ExpectSame(written.rules, read.rules);
-  ExpectSame(written.prices, read.prices);
+  ExpectSame(written.fleet_limits, read.fleet_limits);
+  ExpectSame(written.decision_costs, read.decision_costs);
   ASSERT_EQ(read.classes.size(), 2U);
   ASSERT_EQ(read.tenants.size(), 2U);
   for (std::size_t i = 0; i < 2; ++i) {
     ExpectSame(written.classes[i], read.classes[i]);
     ExpectSame(written.tenants[i], read.tenants[i]);
   }
-  kestrellb::Settings plain;
+  lb::Settings plain;
   plain.classes = {{"send", milliseconds(80), 0, milliseconds(700)}};
-  const kestrellb::Settings plain_read = kestrellb::wire::ParseSettings(ToJson(plain));
+  const lb::Settings plain_read = lb::ParseSettings(ToJson(plain));
   EXPECT_EQ(Fields(plain_read), Fields(plain));
   EXPECT_EQ(Fields(plain_read.classes.at(0)), Fields(plain.classes.at(0)));
 }
@@ -286,7 +287,7 @@
   config.settings = UnusualSettings();
   std::ofstream(folder / "n3.json") << ToJson(config);
   const auto environment = Environment(config, folder / "n3.json");
-  const mothrack::Config read = mothrack::LoadConfig([&](const char* name) {
+  const lb::Config read = lb::LoadConfig([&](const char* name) {
     const auto it = environment.find(name);
     return it == environment.end() ? nullptr : it->second.c_str();
   });
@@ -314,17 +315,17 @@
       instance.kind = &kind;
       deployment.upstreams.push_back(instance);
     }
-    classes = {Class("read", kestrellb::Effect::kSafe)};
+    classes = {Class("read", lb::Idempotency::kIdempotent)};
     options_ = options;
   }
 
-  static ClassSpec Class(const std::string& name, kestrellb::Effect effect) {
+  static ClassSpec Class(const std::string& name, lb::Idempotency idempotency) {
     ClassSpec spec;
     spec.name = name;
-    spec.effect = effect;
+    spec.idempotency = idempotency;
     spec.mean_work = milliseconds(1);
     spec.work_variation = 0.5;
-    spec.aim = seconds(2);
+    spec.latency_objective = seconds(2);
     spec.deadline = seconds(4);
     return spec;
   }
@@ -598,7 +599,7 @@
 
 TEST(LabHttpLoad, RetriesWhatMayBeRepeatedAndHearsOfSilence) {
   Stage stage(1);
-  stage.classes = {Stage::Class("read", kestrellb::Effect::kSafe)};
+  stage.classes = {Stage::Class("read", lb::Idempotency::kIdempotent)};
   stage.clients.backoff = milliseconds(1);
   stage.upstreams().SetDraining(0, true);
   const LoadWindow refused = stage.Play({{stage.upstreams().endpoint(0), 200}}, 20);
@@ -614,7 +615,7 @@
   EXPECT_EQ(silent.traffic.failed, silent.traffic.requests);
   EXPECT_EQ(silent.traffic.client_retries, silent.traffic.requests);
 
-  stage.classes[0].effect = kestrellb::Effect::kUnsafe;
+  stage.classes[0].idempotency = lb::Idempotency::kNotIdempotent;
   EXPECT_EQ(stage.Play({{stage.upstreams().endpoint(0), 200}}, 20).traffic.client_retries, 0U);
 }
 
@@ -722,15 +723,15 @@
     config.known = stage.Known();
     config.settings.zone = "a";
     for (const ClassSpec& spec : stage.classes) {
-      kestrellb::RequestClass request_class;
+      lb::RequestClass request_class;
       request_class.name = spec.name;
-      request_class.aim = spec.aim;
+      request_class.latency_objective = spec.latency_objective;
       request_class.deadline = spec.deadline;
-      request_class.effect = spec.effect;
+      request_class.idempotency = spec.idempotency;
       request_class.key_window = spec.key_window;
       config.settings.classes.push_back(request_class);
     }
-    sidecar = std::make_unique<SidecarProcess>(MOTHRACK_PROGRAM, folder.path(), config);
+    sidecar = std::make_unique<SidecarProcess>(LB_SIDECAR_PROGRAM, folder.path(), config);
     sidecar->Start();
     ASSERT_TRUE(sidecar->AwaitReady(kPatience)) << sidecar->process().Log();
   }
@@ -742,9 +743,9 @@
 };
 
 TEST_F(LabRealSidecar, ServesEveryRequestAndUsesProcessorTimeForIt) {
-  stage.classes = {Stage::Class("read", kestrellb::Effect::kSafe),
-                   Stage::Class("order", kestrellb::Effect::kKeyed),
-                   Stage::Class("pay", kestrellb::Effect::kUnsafe)};
+  stage.classes = {Stage::Class("read", lb::Idempotency::kIdempotent),
+                   Stage::Class("order", lb::Idempotency::kIdempotencyKey),
+                   Stage::Class("pay", lb::Idempotency::kNotIdempotent)};
   StartSidecar();
   const auto before = sidecar->process().Usage();
   const LoadWindow window = Play(500);
@@ -827,4 +828,4 @@
 }
 
 }  // namespace
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/tests/lab_real_engine_test.cpp
+++ b/tests/lab_real_engine_test.cpp
@@ -5,11 +5,11 @@
 #include <string>
 #include <vector>
 
-#include "lab/deployment.h"
 #include "lab/engine.h"
-#include "lab/experiment.h"
+#include "lab/spec/deployment.h"
+#include "lab/spec/experiment.h"
 
-namespace aspendyke::lab {
+namespace lb::lab {
 namespace {
 
 constexpr const char* kSmall = R"(
@@ -36,13 +36,14 @@
 Metrics Play(const std::string& text, std::vector<Sample>& samples) {
   const Experiment experiment = ParseExperiment(text, "small.toml");
   const Deployment deployment = MakeDeployment(experiment, experiment.sizes.front());
-  return RunReal(experiment, deployment, MOTHRACK_PROGRAM,
+  return RunReal(experiment, deployment, LB_SIDECAR_PROGRAM,
                  [&](const Sample& sample) { samples.push_back(sample); });
 }
 
 TEST(RealEngine, PlaysHollowAndRealSidecarsWithFaults) {
   std::vector<Sample> samples;
-  const Metrics metrics = Play(std::string(kSmall) + R"(
+  std::string experiment = kSmall;
+  experiment += R"(
 [sidecars]
 real = 2
 
@@ -62,8 +63,8 @@
 kind = "sidecars_killed"
 at_s = 1
 share = 1
-)",
-                               samples);
+)";
+  const Metrics metrics = Play(experiment, samples);
   EXPECT_EQ(metrics.sidecars, 6);
   EXPECT_GT(metrics.requests, 100);
   EXPECT_GT(metrics.in_time_share, 0.2);
@@ -89,4 +90,4 @@
 }
 
 }  // namespace
-}  // namespace aspendyke::lab
+}  // namespace lb::lab
--- a/tests/membership_growth_test.cpp
+++ b/tests/membership_growth_test.cpp
@@ -11,10 +11,10 @@
 #include <vector>
 
 #include "gtest/gtest.h"
-#include "peers.h"
-#include "random_play.h"
+#include "tests/peers.h"
+#include "tests/random_play.h"
 
-namespace kestrellb::testing {
+namespace lb::testing {
 namespace {
 
 // The hashes of all actions of plays 0, 1, 2, ..., recorded on the module that sorted, summed and numbered
@@ -53,7 +53,7 @@
   std::size_t Of(const Event& event) {
     const std::size_t before = balancer_.upstreams_visited();
     std::vector<Action> actions;
-    balancer_.handle(now_, event, actions);
+    balancer_.Handle(now_, event, actions);
     for (const Action& action : actions)
       if (const auto* timer = std::get_if<SetTimer>(&action)) timers_.emplace(timer->at, timer->token);
     return balancer_.upstreams_visited() - before;
@@ -69,7 +69,8 @@
   }
   // Until whatever was cold is warm.
   void Rest() {
-    for (const TimePoint end = now_ + settings_.rules.cold_time + 1s; now_ < end;) OfHousekeeping();
+    for (const TimePoint end = now_ + settings_.fleet_limits.slow_start_duration + 1s; now_ < end;)
+      OfHousekeeping();
   }
 
   std::vector<UpstreamInfo> list_;
@@ -77,7 +78,7 @@
 
  private:
   static Settings Known(Settings settings) {
-    settings.balancers = 900;
+    settings.sidecar_count = 900;
     return settings;
   }
   const Settings settings_;
@@ -105,8 +106,8 @@
       most = std::max(most, work.OfChange(one));
       one.weight = 1.3;
       most = std::max(most, work.OfChange(one));
-      most = std::max(most, work.Of(OperatorsWord{one.id, true}));
-      most = std::max(most, work.Of(OperatorsWord{one.id, false}));
+      most = std::max(most, work.Of(OperatorOverride{one.id, true}));
+      most = std::max(most, work.Of(OperatorOverride{one.id, false}));
       work.Rest();
     }
     EXPECT_LE(most, Logarithmic(size)) << size << " upstreams";
@@ -150,7 +151,7 @@
       // It fails and gets its further attempts and its final answer.
       for (std::size_t attempt = 0; attempt < 4; ++attempt) {
         most = std::max(
-            most, work.Of(AttemptEnded{e.request, AttemptId{attempt}, Outcome::kNotSent, {}, false, {}}));
+            most, work.Of(AttemptFinished{e.request, AttemptId{attempt}, Outcome::kNotSent, {}, false, {}}));
       }
       work.OfHousekeeping();
     }
@@ -161,8 +162,8 @@
 // No list of 4,096 upstreams is too long for the node: every field told, names of 128 bytes, spread over
 // lines.
 TEST(MembershipGrowth, ANodeTakesAnIndentedListOf4096Upstreams) {
-  using mothrack::testing::json;
-  namespace peers = mothrack::testing;
+  using sidecar::testing::json;
+  namespace peers = sidecar::testing;
   peers::Upstream live(peers::Upstream::Echo("live"));
   json targets = json::array();
   for (int i = 4096; i > 0; --i) {
@@ -191,4 +192,4 @@
 }
 
 }  // namespace
-}  // namespace kestrellb::testing
+}  // namespace lb::testing
--- a/tests/module_test.cpp
+++ b/tests/module_test.cpp
@@ -3,9 +3,9 @@
 #include <deque>
 #include <stdexcept>
 
-#include "helpers.h"
+#include "tests/helpers.h"
 
-namespace kestrellb::testing {
+namespace lb::testing {
 namespace {
 
 // ---- The design ----
@@ -33,7 +33,7 @@
 }
 
 TEST(Ejection, ARefusalAsFullOrACallCalledOffLeavesTheRunAlone) {
-  for (const Outcome o : {Outcome::kFull, Outcome::kCancelled, Outcome::kNotSent}) {
+  for (const Outcome o : {Outcome::kRejected, Outcome::kCancelled, Outcome::kNotSent}) {
     World w;
     w.List(4);
     w.FailRun("b", 4);
@@ -80,7 +80,7 @@
   World w;
   w.List(4);
   const std::size_t before = w.sent.size();
-  w.Arrive(kUnsafe, 100s);
+  w.Arrive(kNotIdempotent, 100s);
   const Sent held = w.sent[before];
   w.FailRun(held.upstream, 5);
   ASSERT_TRUE(w.Logged("ejected " + held.upstream));
@@ -135,7 +135,7 @@
   int ejections = 0;
   for (int i = 0; i < 1500; ++i) {
     const std::size_t before = w.sent.size();
-    w.Arrive(kUnsafe);
+    w.Arrive(kNotIdempotent);
     w.now += 20ms;
     coin = coin * 6364136223846793005u + 1442695040888963407u;
     for (std::size_t k = before; k < w.sent.size(); ++k) {
@@ -153,7 +153,7 @@
   ASSERT_TRUE(w.Logged("ejected b"));
   w.Advance(1500ms);
   const std::size_t before = w.sent.size();
-  w.Arrive(kSafe);
+  w.Arrive(kIdempotent);
   ASSERT_EQ(w.sent.size(), before + 2) << "the call and the copy that is the trial";
   EXPECT_NE(w.sent[before].upstream, "b");
   EXPECT_EQ(w.sent[before + 1].upstream, "b");
@@ -169,7 +169,7 @@
   w.FailRun("b", 5);
   w.Advance(1500ms);
   const std::size_t before = w.sent.size();
-  w.Arrive(kUnsafe);
+  w.Arrive(kNotIdempotent);
   EXPECT_EQ(w.sent.size(), before + 1);
 }
 
@@ -180,7 +180,7 @@
   int trials = 0;
   for (int i = 0; i < 300; ++i) {  // 30 s: after 1, 2, 4 and 8 s, then every 8
     const std::size_t before = w.sent.size();
-    w.Arrive(kSafe);
+    w.Arrive(kIdempotent);
     w.now += 10ms;
     trials += w.Answer(before, "b", Outcome::kTimeout);
     w.Advance(90ms);
@@ -203,7 +203,7 @@
   w.List(1);
   w.FailRun("a", 5);
   const std::size_t refused = w.refused.size();
-  w.Arrive(kUnsafe);
+  w.Arrive(kNotIdempotent);
   EXPECT_EQ(w.refused.size(), refused + 1);
   EXPECT_GT(w.last_retry_after, 0ms);
   EXPECT_TRUE(w.Logged("refusing: no upstream can take a call"));
@@ -218,7 +218,7 @@
   w.Spread(100);  // about 10 ms each
   for (int i = 0; i < 40; ++i) {
     const std::size_t before = w.sent.size();
-    w.Arrive(kUnsafe);
+    w.Arrive(kNotIdempotent);
     w.now += 10ms;
     for (std::size_t k = before; k < w.sent.size(); ++k) {
       if (w.sent[k].upstream != "c") w.Finish(w.sent[k], Outcome::kServed);
@@ -236,7 +236,7 @@
   std::map<std::string, int> spread;
   for (int i = 0; i < 600; ++i) {
     const std::size_t before = w.sent.size();
-    w.Arrive(kUnsafe);
+    w.Arrive(kNotIdempotent);
     const Sent call = w.sent[before];
     w.now += call.upstream == "d" ? 40ms : 10ms;
     w.Finish(call, Outcome::kServed);
@@ -254,7 +254,7 @@
   int at_b = 0;
   for (int i = 0; i < 400; ++i) {
     const std::size_t before = w.sent.size();
-    w.Arrive(kUnsafe);
+    w.Arrive(kNotIdempotent);
     w.now += 10ms;
     ASSERT_EQ(w.sent.size(), before + 1);
     const bool b = w.sent[before].upstream == "b";
@@ -270,12 +270,12 @@
   w.List(3);
   w.Spread(30);
   const std::size_t before = w.sent.size();
-  w.Arrive(kUnsafe);
+  w.Arrive(kNotIdempotent);
   const std::string full = w.sent[before].upstream;
-  w.Finish(w.sent[before], Outcome::kFull);
+  w.Finish(w.sent[before], Outcome::kRejected);
   w.Answer(before + 1);
   for (int i = 0; i < 6; ++i) {
-    w.Arrive(kUnsafe);
+    w.Arrive(kNotIdempotent);
     EXPECT_NE(w.sent.back().upstream, full);
   }
 }
@@ -285,7 +285,7 @@
   w.List(4);
   w.Spread(100);
   const std::size_t before = w.sent.size();
-  w.Arrive(kSafe);
+  w.Arrive(kIdempotent);
   w.Advance(100ms);
   ASSERT_EQ(w.sent.size(), before + 2);
   EXPECT_NE(w.sent[before].upstream, w.sent[before + 1].upstream);
@@ -299,7 +299,7 @@
   w.List(4);
   w.Spread(100);  // about 10 ms each
   const std::size_t before = w.sent.size();
-  w.Arrive(kSafe);
+  w.Arrive(kIdempotent);
   const Sent late = w.sent[before];
   const auto copies = [&] {
     return std::count_if(w.sent.begin(), w.sent.end(),
@@ -309,7 +309,7 @@
   int others = 0;
   for (int i = 0; i < 10; ++i) {
     const std::size_t next = w.sent.size();
-    for (int k = 0; k < 8; ++k) w.Arrive(kUnsafe);  // at once: each upstream has some of them
+    for (int k = 0; k < 8; ++k) w.Arrive(kNotIdempotent);  // at once: each upstream has some of them
     for (std::size_t k = next; k < next + 8; ++k) others += w.sent[k].upstream == late.upstream;
     w.Advance(10ms);
     for (std::size_t k = next; k < next + 8; ++k) w.Finish(w.sent[k], Outcome::kServed);
@@ -325,7 +325,7 @@
   w.List(4);
   for (int i = 0; i < 500; ++i) {
     const std::size_t before = w.sent.size();
-    w.Arrive(kSafe);
+    w.Arrive(kIdempotent);
     w.now += 10ms;
     for (std::size_t k = before; k < w.sent.size(); ++k) w.Finish(w.sent[k], Outcome::kError);
   }
@@ -340,7 +340,7 @@
     std::size_t taken = 0;
     for (int i = 0; i < calls; ++i) {
       const std::size_t before = w.sent.size();
-      w.Arrive(kUnsafe);
+      w.Arrive(kNotIdempotent);
       taken += w.sent.size() - before;
       for (std::size_t k = before; k < w.sent.size(); ++k) out.push_back(w.sent[k]);
       w.Advance(10ms);
@@ -362,13 +362,13 @@
 
 TEST(Discovery, ASubscriptionIsAskedForAndAskedAgainAfterAFailure) {
   Settings s = DefaultSettings();
-  s.membership_on_request = true;
+  s.polled_membership = true;
   World w(s);
   w.List(2);
   EXPECT_EQ(w.subscribed, 1);
   w.Do(MembershipUpdate{MembershipUpdate::Kind::kFailed, {}});
   EXPECT_EQ(w.subscribed, 1) << "not at once";
-  w.Advance(s.rules.ask_within / 2);
+  w.Advance(s.fleet_limits.poll_interval_limit / 2);
   EXPECT_EQ(w.subscribed, 2);
   EXPECT_GT(w.Spread(10)["a"], 0) << "the old list holds";
 }
@@ -376,7 +376,7 @@
 // A service that is overbooked for a hundred is not won by asking on at the same pace.
 TEST(Discovery, PausesGrowFromFailureToFailureAndEndWithAList) {
   Settings s = DefaultSettings();
-  s.membership_on_request = true;
+  s.polled_membership = true;
   World w(s, 11);
   w.List(2);
   const auto pause = [&w] {
@@ -391,10 +391,10 @@
   Duration third = pause();
   EXPECT_GT(third, first);
   for (int i = 0; i < 20; ++i) third = std::max(third, pause());
-  EXPECT_LT(third, s.rules.ask_within);
-  EXPECT_LE(third, kLongestAskPause);
+  EXPECT_LT(third, s.fleet_limits.poll_interval_limit);
+  EXPECT_LE(third, kLongestPollPause);
   w.Full({Up("a"), Up("b")});
-  EXPECT_LT(pause(), s.rules.ask_within / 4);
+  EXPECT_LT(pause(), s.fleet_limits.poll_interval_limit / 4);
 }
 
 TEST(Settings, ThoseThatMakeNoSenseAreNamed) {
@@ -409,23 +409,23 @@
     return false;
   };
   EXPECT_TRUE(named([](Settings& s) { s.classes.clear(); }, "classes"));
-  EXPECT_TRUE(named([](Settings& s) { s.classes[0].aim = 0ms; }, "aim"));
+  EXPECT_TRUE(named([](Settings& s) { s.classes[0].latency_objective = 0ms; }, "aim"));
   EXPECT_TRUE(named([](Settings& s) { s.classes[0].deadline = -1ms; }, "deadline"));
   EXPECT_TRUE(named([](Settings& s) { s.classes[2].key_window = 0ms; }, "key_window"));
   EXPECT_TRUE(named([](Settings& s) { s.limits.max_attempts = 0; }, "max_attempts"));
-  EXPECT_TRUE(named([](Settings& s) { s.rules.cold_from = 0; }, "cold_from"));
-  EXPECT_TRUE(named([](Settings& s) { s.rules.cold_from = 1.5; }, "cold_from"));
-  EXPECT_TRUE(named([](Settings& s) { s.rules.cold_time = 0ms; }, "cold_time"));
-  EXPECT_TRUE(named([](Settings& s) { s.rules.fall_window = 0ms; }, "fall_window"));
-  EXPECT_TRUE(named([](Settings& s) { s.rules.fall_multiple = 0; }, "fall_multiple"));
+  EXPECT_TRUE(named([](Settings& s) { s.fleet_limits.slow_start_initial_share = 0; }, "cold_from"));
+  EXPECT_TRUE(named([](Settings& s) { s.fleet_limits.slow_start_initial_share = 1.5; }, "cold_from"));
+  EXPECT_TRUE(named([](Settings& s) { s.fleet_limits.slow_start_duration = 0ms; }, "cold_time"));
+  EXPECT_TRUE(named([](Settings& s) { s.fleet_limits.overload_window = 0ms; }, "fall_window"));
+  EXPECT_TRUE(named([](Settings& s) { s.fleet_limits.overload_multiple = 0; }, "fall_multiple"));
   EXPECT_TRUE(named([](Settings& s) { s.classes[1].name = s.classes[0].name; }, "classes.name"));
   EXPECT_TRUE(named([](Settings& s) { s.classes[1].name = ""; }, "classes.name"));
   EXPECT_TRUE(named([](Settings& s) { s.tenants = {{"a"}, {"b"}, {"a"}}; }, "tenants.name"));
   EXPECT_TRUE(named([](Settings& s) { s.classes[0].deadline = Duration::max(); }, "deadline"));
   EXPECT_TRUE(named([](Settings& s) { s.classes[2].key_window = Duration::max(); }, "key_window"));
-  EXPECT_TRUE(named([](Settings& s) { s.rules.drain_grace = Duration::max(); }, "drain_grace"));
+  EXPECT_TRUE(named([](Settings& s) { s.fleet_limits.drain_grace = Duration::max(); }, "drain_grace"));
   EXPECT_TRUE(named([](Settings& s) { s.limits.max_retry_after = -1ms; }, "max_retry_after"));
-  EXPECT_TRUE(named([](Settings& s) { s.prices.waste = -0.1; }, "prices"));
+  EXPECT_TRUE(named([](Settings& s) { s.decision_costs.waste = -0.1; }, "prices"));
 }
 
 TEST(Determinism, SameEventsSameActions) {
@@ -443,4 +443,4 @@
 }
 
 }  // namespace
-}  // namespace kestrellb::testing
+}  // namespace lb::testing
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -13,11 +13,11 @@
 #include <thread>
 #include <vector>
 
-#include "discovery.h"
 #include "gtest/gtest.h"
-#include "peers.h"
+#include "sidecar/discovery.h"
+#include "tests/peers.h"
 
-namespace mothrack::testing {
+namespace lb::sidecar::testing {
 namespace {
 
 using std::chrono::milliseconds;
@@ -1342,7 +1342,7 @@
     }
   }
   EXPECT_LE(kServiceWatch + kServiceWatchPatience + kServicePause + kServiceCall, kTold);
-  EXPECT_LE(kServiceCall + kestrellb::kLongestAskPause + kServiceCall, kTold);
+  EXPECT_LE(kServiceCall + lb::kLongestPollPause + kServiceCall, kTold);
 }
 
 // Each call in vain, of whatever kind and however many came before it, is followed by the next one in time.
@@ -1855,4 +1855,4 @@
 }
 
 }  // namespace
-}  // namespace mothrack::testing
+}  // namespace lb::sidecar::testing
--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -16,9 +16,9 @@
 #include <vector>
 
 #include "gtest/gtest.h"
-#include "peers.h"
+#include "tests/peers.h"
 
-namespace mothrack::testing {
+namespace lb::sidecar::testing {
 namespace {
 
 using std::chrono::milliseconds;
@@ -183,8 +183,7 @@
 TEST(TakenOut, WhatIsForeignInTheFolderIsLoggedAndPassedOver) {
   Folder folder;
   ASSERT_EQ(
-      ::system(
-          ("mkdir " + folder.path() + "/mothrack && echo x > " + folder.path() + "/mothrack/out-7z").c_str()),
+      ::system(("mkdir " + StateFolder(folder) + " && echo x > " + StateFolder(folder) + "/out-7z").c_str()),
       0);
   Upstream u1(Upstream::Echo("u1"));
   Node node(Operated(List({Target("u1", u1.address())}), folder.path()));
@@ -195,7 +194,7 @@
 
 TEST(TakenOut, HoldsInTheProcessWhereNothingCanBeKept) {
   Folder folder;
-  ASSERT_EQ(::system(("echo x > " + folder.path() + "/mothrack").c_str()), 0);
+  ASSERT_EQ(::system(("echo x > " + StateFolder(folder)).c_str()), 0);
   Upstream u1(Upstream::Echo("u1"));
   Upstream u2(Upstream::Echo("u2"));
   Node node(Operated(List({Target("u1", u1.address()), Target("u2", u2.address())}), folder.path()));
@@ -395,9 +394,9 @@
 // The process before does not hand over, and SIGTERM comes while it is waited for.
 TEST(Start, ASignalThatComesDuringItEndsItInGoodOrder) {
   const Folder folder;
-  ASSERT_EQ(::mkdir((folder.path() + "/mothrack").c_str(), 0700), 0);
+  ASSERT_EQ(::mkdir((StateFolder(folder)).c_str(), 0700), 0);
   boost::asio::io_context io;
-  boost::asio::local::stream_protocol::acceptor before(io, folder.path() + "/mothrack/handover");
+  boost::asio::local::stream_protocol::acceptor before(io, StateFolder(folder) + "/handover");
   Node node(Operated(json::array(), folder.path()));
   const auto waiting = before.accept();
   node.Signal(SIGTERM);
@@ -696,4 +695,4 @@
 }
 
 }  // namespace
-}  // namespace mothrack::testing
+}  // namespace lb::sidecar::testing
--- a/tests/operator_state_fixture.h
+++ b/tests/operator_state_fixture.h
@@ -14,12 +14,12 @@
 #include <utility>
 #include <vector>
 
-#include "fault_injection.h"
 #include "gtest/gtest.h"
-#include "operator_state.h"
-#include "peers.h"
+#include "sidecar/operator_state.h"
+#include "tests/fault_injection.h"
+#include "tests/peers.h"
 
-namespace mothrack::testing {
+namespace lb::sidecar::testing {
 
 using Ids = std::set<std::string>;
 
@@ -72,7 +72,7 @@
   }
 
   Folder folder_;
-  const std::string path_ = folder_.path() + "/mothrack";
+  const std::string path_ = StateFolder(folder_);
 };
 
 class FailingFolder : public OperatorStateTest {
@@ -109,4 +109,4 @@
   Discovery discovery_{List({Target("u1", upstream_.address()), Target(kLongId, upstream_.address())})};
 };
 
-}  // namespace mothrack::testing
+}  // namespace lb::sidecar::testing
--- a/tests/operator_state_test.cpp
+++ b/tests/operator_state_test.cpp
@@ -1,5 +1,5 @@
 // What operators said, kept in a folder that fails, vanishes or holds half-made files.
-#include "operator_state.h"
+#include "sidecar/operator_state.h"
 
 #include <cerrno>
 #include <chrono>
@@ -11,9 +11,9 @@
 #include <utility>
 #include <vector>
 
-#include "operator_state_fixture.h"
+#include "tests/operator_state_fixture.h"
 
-namespace mothrack::testing {
+namespace lb::sidecar::testing {
 namespace {
 
 namespace fs = std::filesystem;
@@ -315,4 +315,4 @@
 }
 
 }  // namespace
-}  // namespace mothrack::testing
+}  // namespace lb::sidecar::testing
--- a/tests/peers.cpp
+++ b/tests/peers.cpp
@@ -1,4 +1,4 @@
-#include "peers.h"
+#include "tests/peers.h"
 
 #include <fcntl.h>
 #include <netinet/tcp.h>
@@ -19,7 +19,7 @@
 #include <stdexcept>
 #include <utility>
 
-namespace mothrack::testing {
+namespace lb::sidecar::testing {
 namespace {
 
 namespace http = boost::beast::http;
@@ -167,7 +167,8 @@
     socket.native_non_blocking(true);
     const auto to = acceptor_.local_endpoint();
     // Not through Asio, which waits for the end of it.
-    [[maybe_unused]] const int begun = ::connect(socket.native_handle(), to.data(), to.size());
+    [[maybe_unused]] const int begun =
+        ::connect(socket.native_handle(), to.data(), static_cast<socklen_t>(to.size()));
     pollfd ready{socket.native_handle(), POLLOUT, 0};
     if (::poll(&ready, 1, 100) == 0) return;
   }
@@ -256,8 +257,8 @@
 }
 
 json Settings() {
-  const auto cls = [](const char* name, const char* effect) {
-    return json{{"Name", name}, {"Effect", effect}, {"Aim", 400000}, {"HardLimit", 20000000}};
+  const auto cls = [](const char* name, const char* idempotency) {
+    return json{{"Name", name}, {"Effect", idempotency}, {"Aim", 400000}, {"HardLimit", 20000000}};
   };
   json keyed = cls("keyed", "idempotency_key");
   keyed["KeyScope"] = "all";
@@ -275,7 +276,7 @@
 Node::Node(const Options& options) {
   static std::atomic<int> count{0};
   config_path_ = std::filesystem::temp_directory_path() /
-                 ("mothrack-test-" + std::to_string(::getpid()) + "-" + std::to_string(count++) + ".json");
+                 ("lb-sidecar-test-" + std::to_string(::getpid()) + "-" + std::to_string(count++) + ".json");
   config_ = {{"name", "t1"},
              {"listen", options.listen},
              {"discovery", options.discovery},
@@ -298,7 +299,7 @@
     if (!options.tmpdir.empty()) ::setenv("TMPDIR", options.tmpdir.c_str(), 1);
     for (const auto& [name, value] : options.environment) ::setenv(name.c_str(), value.c_str(), 1);
     for (const auto& name : options.unset) ::unsetenv(name.c_str());
-    ::execl(MOTHRACK_PROGRAM, MOTHRACK_PROGRAM, nullptr);
+    ::execl(LB_SIDECAR_PROGRAM, LB_SIDECAR_PROGRAM, nullptr);
     ::_exit(127);
   }
   ::close(ends[1]);
@@ -401,7 +402,7 @@
 }
 
 Folder::Folder() {
-  std::string name = std::filesystem::temp_directory_path() / "mothrack-folder-XXXXXX";
+  std::string name = std::filesystem::temp_directory_path() / "lb-sidecar-folder-XXXXXX";
   if (::mkdtemp(name.data()) == nullptr) throw std::runtime_error("mkdtemp");
   path_ = name;
 }
@@ -420,4 +421,4 @@
          "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-}  // namespace mothrack::testing
+}  // namespace lb::sidecar::testing
--- a/tests/peers.h
+++ b/tests/peers.h
@@ -22,8 +22,9 @@
 #include <vector>
 
 #include "nlohmann/json.hpp"
+#include "settings/config.h"
 
-namespace mothrack::testing {
+namespace lb::sidecar::testing {
 
 using boost::asio::ip::tcp;
 using nlohmann::json;
@@ -245,8 +246,11 @@
   std::string path_;
 };
 
+// Where a sidecar with this $TMPDIR keeps what outlasts its process.
+inline std::string StateFolder(const Folder& tmpdir) { return tmpdir.path() + "/" + kStateFolder; }
+
 std::string GetText(const std::string& target, const std::string& id, int timeout_ms = 5000);
 std::string PostText(const std::string& target, const std::string& id, const std::string& body,
                      int timeout_ms = 5000, const std::string& headers = "");
 
-}  // namespace mothrack::testing
+}  // namespace lb::sidecar::testing
--- a/tests/planned_stop_test.cpp
+++ b/tests/planned_stop_test.cpp
@@ -6,9 +6,9 @@
 #include <thread>
 
 #include "gtest/gtest.h"
-#include "peers.h"
+#include "tests/peers.h"
 
-namespace mothrack::testing {
+namespace lb::sidecar::testing {
 namespace {
 
 using std::chrono::milliseconds;
@@ -75,4 +75,4 @@
 }
 
 }  // namespace
-}  // namespace mothrack::testing
+}  // namespace lb::sidecar::testing
--- a/tests/random_play.h
+++ b/tests/random_play.h
@@ -12,10 +12,10 @@
 #include <variant>
 #include <vector>
 
-#include "helpers.h"
-#include "kestrellb/balancer.h"
+#include "balancer/balancer.h"
+#include "tests/helpers.h"
 
-namespace kestrellb::testing {
+namespace lb::testing {
 
 // How a deployment's weights look: all alike, sums of powers of two, or any decimal number.
 enum class Weights { kAlike, kDyadic, kDecimal };
@@ -23,7 +23,7 @@
 struct PlayOptions {
   std::size_t upstreams = 40;
   Weights weights = Weights::kAlike;
-  std::size_t balancers = 30;
+  std::size_t sidecar_count = 30;
   bool on_request = false;  // membership
   bool probes = false;      // tell the load, and are cheap
   double cross_zone = 0;    // price
@@ -38,7 +38,7 @@
   PlayOptions o;
   o.upstreams = kSizes[number % 5];
   o.weights = static_cast<Weights>(number / 2 % 3);
-  o.balancers = kBalancers[number / 3 % 3];
+  o.sidecar_count = kBalancers[number / 3 % 3];
   o.on_request = number / 4 % 2 == 1;
   o.probes = number / 5 % 3 == 1;
   o.cross_zone = number / 7 % 2 == 1 ? 0.05 : 0;
@@ -84,19 +84,19 @@
 
   static Settings MakeSettings(const PlayOptions& o, std::uint64_t seed) {
     Settings s = DefaultSettings();
-    s.balancers = o.balancers;
-    s.self = seed % o.balancers;
-    s.membership_on_request = o.on_request;
-    s.limits.probes = s.load_by_probe = o.probes;
-    s.prices.probe = o.probes ? 0.004 : 0;
-    s.prices.cross_zone = o.cross_zone;
-    s.classes[0].late_worth = seed % 2 == 0 ? 0.4 : 0;
+    s.sidecar_count = o.sidecar_count;
+    s.sidecar_index = seed % o.sidecar_count;
+    s.polled_membership = o.on_request;
+    s.limits.load_probes_allowed = s.load_by_probe = o.probes;
+    s.decision_costs.probe = o.probes ? 0.004 : 0;
+    s.decision_costs.cross_zone = o.cross_zone;
+    s.classes[0].late_priority_weight = seed % 2 == 0 ? 0.4 : 0;
     s.classes[0].stream = true;
     s.tenants = {{"one", 0.5, 100}, {"two", 0.5, 100}};
     if (o.tight) {
-      s.limits.second_copies = s.limits.cancel = false;
-      s.rules.cold_from = 0.02;
-      s.rules.cold_time = std::chrono::seconds(6);
+      s.limits.hedging_allowed = s.limits.cancellation_allowed = false;
+      s.fleet_limits.slow_start_initial_share = 0.02;
+      s.fleet_limits.slow_start_duration = std::chrono::seconds(6);
     }
     return s;
   }
@@ -196,16 +196,16 @@
       const bool out = !disabled_.contains(id);
       if (out) disabled_.insert(id);
       if (!out) disabled_.erase(id);
-      return Do(OperatorsWord{{id}, out});
+      return Do(OperatorOverride{{id}, out});
     }
     if (requests_.empty()) return;
     auto it = requests_.begin();
     std::advance(it, static_cast<std::ptrdiff_t>(Below(requests_.size())));
     const RequestId id = *it;
-    if (open_.erase(id) > 0) return Do(RequestWhole{id, now_ + std::chrono::seconds(2)});
+    if (open_.erase(id) > 0) return Do(RequestCompleted{id, now_ + std::chrono::seconds(2)});
     if (what < 94) {
       requests_.erase(it);
-      Do(RequestGone{id});
+      Do(RequestCancelled{id});
     }
   }
 
@@ -218,8 +218,8 @@
       e.tenant = TenantId{Below(2)};
       e.deadline = now_ + Duration(20'000 + Below(2'000'000));
       e.client_retry = Below(9) == 0;
-      e.open = Below(12) == 0;
-      if (e.open) open_.insert(e.request);
+      e.body_pending = Below(12) == 0;
+      if (e.body_pending) open_.insert(e.request);
       requests_.insert(e.request);
       Do(e);
     }
@@ -234,7 +234,7 @@
     Outcome outcome = Outcome::kServed;
     if (number % 5 == 0) takes *= 8;
     if (number % 7 == 0) outcome = Below(5) == 0 ? Outcome::kReset : Outcome::kError;
-    if (number % 13 == 0) outcome = Below(2) == 0 ? Outcome::kFull : Outcome::kConnectFailed;
+    if (number % 13 == 0) outcome = Below(2) == 0 ? Outcome::kRejected : Outcome::kConnectFailed;
     if (number % 11 == 0 || takes >= a.timeout) outcome = Outcome::kTimeout, takes = a.timeout;
     if (Below(60) == 0) outcome = Outcome::kNotSent;
     ends_.emplace(now_ + takes, Attempted{a.request, attempt, a.upstream.value, now_, outcome});
@@ -258,7 +258,7 @@
         ends_.erase(ends_.begin());
         End(a);
       } else {
-        ProbeEnded e{{probes_.begin()->second}, Outcome::kServed, Duration(1000), {}};
+        LoadProbeFinished e{{probes_.begin()->second}, Outcome::kServed, Duration(1000), {}};
         probes_.erase(probes_.begin());
         if (Below(12) == 0) e.outcome = Outcome::kTimeout;
         if (e.outcome == Outcome::kServed) e.load.in_flight = static_cast<double>(Below(12));
@@ -270,18 +270,18 @@
   }
 
   void End(const Attempted& a) {
-    AttemptEnded e{a.request, a.attempt, a.outcome, now_ - a.sent, false, {}};
-    if (Below(3) == 0) e.idle_for = Duration(Below(9'000'000));
+    AttemptFinished e{a.request, a.attempt, a.outcome, now_ - a.sent, false, {}};
+    if (Below(3) == 0) e.connection_idle_for = Duration(Below(9'000'000));
     if (a.outcome == Outcome::kServed && Below(6) == 0 && requests_.contains(a.request))
-      Do(AnswerStarted{a.request, a.attempt});
+      Do(ResponseStarted{a.request, a.attempt});
     // The first served answer is the client's.
-    e.finished = a.outcome == Outcome::kServed && requests_.erase(a.request) > 0;
+    e.response_delivered = a.outcome == Outcome::kServed && requests_.erase(a.request) > 0;
     Do(e);
   }
 
   void Do(const Event& event) {
     std::vector<Action> actions;
-    balancer_.handle(now_, event, actions);
+    balancer_.Handle(now_, event, actions);
     for (const Action& action : actions) {
       ++actions_;
       Mix(action.index());
@@ -305,7 +305,7 @@
                disabled_.contains(a.upstream.value);
     Mix(static_cast<std::uint64_t>(a.request));
     Mix(a.upstream.value);
-    Mix(a.timeout), Mix(a.max_idle), Mix(a.begin_within);
+    Mix(a.timeout), Mix(a.max_connection_idle), Mix(a.begin_within);
     Plan(a, AttemptId{attempts_[a.request]++});
   }
   void Record(const CancelAttempt& a) {
@@ -323,11 +323,11 @@
     broken_ += !final_.insert(id).second;
     requests_.erase(id);
   }
-  void Record(const Refuse& a) {
+  void Record(const RejectRequest& a) {
     Mix(static_cast<std::uint64_t>(a.request)), Mix(a.retry_after);
     Final(a.request);
   }
-  void Record(const Fail& a) {
+  void Record(const FailRequest& a) {
     Mix(static_cast<std::uint64_t>(a.request));
     Final(a.request);
   }
@@ -335,13 +335,13 @@
     Mix(a.at.time_since_epoch()), Mix(a.token);
     timers_.emplace(a.at, a.token);
   }
-  void Record(const SendProbe& a) {
-    Mix(a.upstream.value), Mix(a.max_idle);
+  void Record(const SendLoadProbe& a) {
+    Mix(a.upstream.value), Mix(a.max_connection_idle);
     probes_.emplace(now_ + Duration(500 + Below(30'000)), a.upstream.value);
   }
-  void Record(const CloseIdle& a) { Mix(a.upstream.value); }
+  void Record(const CloseIdleConnections& a) { Mix(a.upstream.value); }
   void Record(const Subscribe&) {}
-  void Record(const Log& a) {
+  void Record(const LogLine& a) {
     ejections_ += a.text.starts_with("ejected");
     const std::uint64_t decisions = decisions_;
     Mix(a.text);
@@ -365,4 +365,4 @@
   std::size_t actions_ = 0, ejections_ = 0, sent_ = 0, broken_ = 0;
 };
 
-}  // namespace kestrellb::testing
+}  // namespace lb::testing
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -4,31 +4,31 @@
 #include <random>
 #include <set>
 
-#include "helpers.h"
+#include "tests/helpers.h"
 
-namespace kestrellb::testing {
+namespace lb::testing {
 namespace {
 
 bool ProvesNotRun(Outcome o) {
-  return o == Outcome::kFull || o == Outcome::kConnectFailed || o == Outcome::kNotSent;
+  return o == Outcome::kRejected || o == Outcome::kConnectFailed || o == Outcome::kNotSent;
 }
 
 const Outcome kMayHaveRun[] = {Outcome::kError, Outcome::kTimeout, Outcome::kReset, Outcome::kCancelled};
-const Outcome kDidNotRun[] = {Outcome::kFull, Outcome::kConnectFailed, Outcome::kNotSent};
+const Outcome kDidNotRun[] = {Outcome::kRejected, Outcome::kConnectFailed, Outcome::kNotSent};
 
 // ---- No request is lost ----
 
 TEST(NoRequestIsLost, EmptyListRefuses) {
   World w;
   w.List(0);
-  w.Arrive(kUnsafe);
+  w.Arrive(kNotIdempotent);
   EXPECT_EQ(w.sent.size(), 0u);
   w.Advance(2s);
   EXPECT_EQ(w.refused.size() + w.failed.size(), 1u);
 }
 
 TEST(NoRequestIsLost, UnansweredAttemptFailsAtTheClientsDeadline) {
-  for (const ClassId cls : {kSafe, kUnsafe, kKeyedAll, kKeyedZone, kKeyedCell}) {
+  for (const ClassId cls : {kIdempotent, kNotIdempotent, kKeyedAll, kKeyedZone, kKeyedCell}) {
     World w;
     w.List(1);
     w.Arrive(cls, 700ms);
@@ -44,13 +44,13 @@
 TEST(NoRequestIsLost, LateOutcomesAndTimersOfAnEndedRequestAreIgnored) {
   World w;
   w.List(2);
-  const RequestId id = w.Arrive(kUnsafe, 500ms);
-  w.Do(RequestGone{id});
+  const RequestId id = w.Arrive(kNotIdempotent, 500ms);
+  w.Do(RequestCancelled{id});
   w.Finish(w.sent[0], Outcome::kError, true);
   w.Finish(w.sent[0], Outcome::kError, true);
-  w.Do(RequestGone{id});
+  w.Do(RequestCancelled{id});
   w.Do(TimerFired{999999});
-  w.Do(AttemptEnded{RequestId{424242}, AttemptId{0}, Outcome::kError, 1ms, false, {}});
+  w.Do(AttemptFinished{RequestId{424242}, AttemptId{0}, Outcome::kError, 1ms, false, {}});
   w.Advance(3s);
   EXPECT_EQ(w.sent.size(), 1u);
   EXPECT_TRUE(w.failed.empty());
@@ -60,8 +60,8 @@
 TEST(NoRequestIsLost, AStreamHasNoDeadlineAndEndsOnce) {
   World w;
   w.List(2);
-  const RequestId id = w.Arrive(kSafe, 500ms);
-  w.Do(AnswerStarted{id, AttemptId{0}});
+  const RequestId id = w.Arrive(kIdempotent, 500ms);
+  w.Do(ResponseStarted{id, AttemptId{0}});
   w.Advance(3s);
   EXPECT_TRUE(w.failed.empty() && w.refused.empty());
   w.Finish(w.sent[0], Outcome::kServed);
@@ -73,10 +73,10 @@
 TEST(NoRequestIsLost, TheEndOfAnotherAttemptLeavesAnAnswerThatHasBegunAlone) {
   World w;
   w.List(2);
-  const RequestId id = w.Arrive(kSafe);
+  const RequestId id = w.Arrive(kIdempotent);
   w.Advance(700ms);  // late, and its upstream answers nothing else: a copy goes out
   ASSERT_EQ(w.sent.size(), 2u);
-  w.Do(AnswerStarted{id, AttemptId{1}});
+  w.Do(ResponseStarted{id, AttemptId{1}});
   EXPECT_EQ(w.cancelled, (std::vector{std::pair{id, AttemptId{0}}}));
   w.Finish(w.sent[0], Outcome::kCancelled);
   w.Advance(60s);
@@ -89,15 +89,15 @@
   w.List(2);
   RequestArrived e;
   e.request = RequestId{77};
-  e.request_class = kUnsafe;
+  e.request_class = kNotIdempotent;
   e.deadline = w.now + 2s;
-  e.open = true;
+  e.body_pending = true;
   w.Do(e);
   ASSERT_EQ(w.sent.size(), 1u);
   EXPECT_EQ(w.sent[0].timeout, Duration(2s));
   w.Advance(30s);
   EXPECT_TRUE(w.refused.empty() && w.failed.empty());
-  w.Do(RequestWhole{RequestId{77}, w.now + 2s});
+  w.Do(RequestCompleted{RequestId{77}, w.now + 2s});
   w.Advance(1900ms);
   EXPECT_TRUE(w.failed.empty());
   w.Advance(200ms);
@@ -111,11 +111,11 @@
     const std::size_t before = w.sent.size();
     RequestArrived e;
     e.request = RequestId{spent ? 88u : 77u};
-    e.request_class = kSafe;
+    e.request_class = kIdempotent;
     e.deadline = w.now + 2s;
-    e.open = true;
+    e.body_pending = true;
     w.Do(e);
-    AttemptEnded end{e.request, AttemptId{0}, Outcome::kConnectFailed, 1ms, false, {}, {}, spent};
+    AttemptFinished end{e.request, AttemptId{0}, Outcome::kConnectFailed, 1ms, false, {}, {}, spent};
     w.Do(end);
     EXPECT_EQ(w.sent.size() - before, spent ? 1u : 2u);
   }
@@ -125,7 +125,7 @@
 TEST(NoRequestIsLost, AnAttemptCutOffByTheSidecarIsAnsweredAsFailed) {
   World w;
   w.List(3);
-  const RequestId id = w.Arrive(kUnsafe);
+  const RequestId id = w.Arrive(kNotIdempotent);
   w.now += 10ms;
   w.Finish(w.sent[0], Outcome::kReset);
   ASSERT_EQ(w.failed.size(), 1u);
@@ -138,7 +138,7 @@
   for (const Outcome o : kMayHaveRun) {
     World w;
     w.List(3);
-    w.Arrive(kUnsafe);
+    w.Arrive(kNotIdempotent);
     w.Finish(w.sent[0], o);
     w.Advance(3s);
     EXPECT_EQ(w.sent.size(), 1u);
@@ -148,7 +148,7 @@
   for (const Outcome o : kDidNotRun) {
     World w;
     w.List(3);
-    w.Arrive(kUnsafe);
+    w.Arrive(kNotIdempotent);
     w.Finish(w.sent[0], o);
     ASSERT_EQ(w.sent.size(), 2u);
     EXPECT_NE(w.sent[0].upstream, w.sent[1].upstream) << "never the same again while another stands";
@@ -223,12 +223,12 @@
 
 TEST(NoEffectTwice, NoSecondCopyWhereTheDeploymentForbidsIt) {
   Settings s = DefaultSettings();
-  s.limits.second_copies = false;
+  s.limits.hedging_allowed = false;
   World w(s);
   w.List(4);
   for (int i = 0; i < 50; ++i) w.Serve();
   const std::size_t before = w.sent.size();
-  w.Arrive(kSafe);
+  w.Arrive(kIdempotent);
   w.Advance(399ms);
   EXPECT_EQ(w.sent.size(), before + 1);
 }
@@ -256,10 +256,10 @@
 TEST(DrainsAreKept, AFurtherAttemptDoesNotGoThereEither) {
   World w;
   w.List(2);
-  w.Arrive(kSafe);
+  w.Arrive(kIdempotent);
   const std::string other = w.sent[0].upstream == "a" ? "b" : "a";
   w.Change(Up(other, UpstreamState::kDraining));
-  w.Finish(w.sent[0], Outcome::kFull);
+  w.Finish(w.sent[0], Outcome::kRejected);
   for (const Sent& s : w.sent) EXPECT_NE(s.upstream, other);
 }
 
@@ -268,8 +268,8 @@
 TEST(TakenOut, NothingNewUntilItIsPutBackWhateverTheListSays) {
   World w;
   w.List(3);
-  w.Do(OperatorsWord{{"b"}, true});
-  w.Do(OperatorsWord{{"b"}, true});
+  w.Do(OperatorOverride{{"b"}, true});
+  w.Do(OperatorOverride{{"b"}, true});
   EXPECT_EQ(w.Spread(30)["b"], 0);
   w.Full({Up("a"), Up("b"), Up("c")});
   EXPECT_EQ(w.Spread(30)["b"], 0);
@@ -279,7 +279,7 @@
   w.Change(anew);
   EXPECT_EQ(w.Spread(30)["b"], 0);
   w.Advance(60s);
-  w.Do(OperatorsWord{{"b"}, false});
+  w.Do(OperatorOverride{{"b"}, false});
   w.Advance(60s);
   EXPECT_EQ(w.Spread(30)["b"], 10);
 }
@@ -287,17 +287,17 @@
 TEST(TakenOut, ADrainToldMeanwhileHoldsOnceItIsPutBack) {
   World w;
   w.List(3);
-  w.Do(OperatorsWord{{"b"}, true});
+  w.Do(OperatorOverride{{"b"}, true});
   w.Change(Up("b", UpstreamState::kDraining));
-  w.Do(OperatorsWord{{"b"}, false});
+  w.Do(OperatorOverride{{"b"}, false});
   EXPECT_EQ(w.Spread(30)["b"], 0);
 }
 
 TEST(TakenOut, AllOfThemRefusesAtOnce) {
   World w;
   w.List(2);
-  for (const char* id : {"a", "b"}) w.Do(OperatorsWord{{id}, true});
-  w.Arrive(kUnsafe);
+  for (const char* id : {"a", "b"}) w.Do(OperatorOverride{{id}, true});
+  w.Arrive(kNotIdempotent);
   EXPECT_EQ(w.refused.size(), 1u);
   EXPECT_GT(w.last_retry_after, 0ms);
 }
@@ -307,9 +307,9 @@
   w.List(4);
   w.FailRun("b", 5);
   EXPECT_EQ(w.Spread(20)["b"], 0);
-  w.Do(OperatorsWord{{"b"}, true});
+  w.Do(OperatorOverride{{"b"}, true});
   w.Advance(1s);
-  w.Do(OperatorsWord{{"b"}, false});
+  w.Do(OperatorOverride{{"b"}, false});
   int taken = 0;
   for (int i = 0; i < 100; ++i) {
     taken += w.Serve() == "b";
@@ -374,7 +374,7 @@
   update.kind = MembershipUpdate::Kind::kRestored;
   update.upstreams = {cold};
   w.Do(update);
-  for (int i = 0; i < 50; ++i) w.Arrive(kSafe, 100ms);
+  for (int i = 0; i < 50; ++i) w.Arrive(kIdempotent, 100ms);
   EXPECT_LE(w.sent.size(), 1u);
 }
 
@@ -386,9 +386,9 @@
   std::mt19937_64 random(GetParam());
   const auto below = [&random](std::uint64_t n) { return random() % n; };
   Settings s = DefaultSettings();
-  s.limits.second_copies = below(2) == 0;
-  s.limits.probes = below(2) == 0;
-  s.limits.cancel = below(4) != 0;
+  s.limits.hedging_allowed = below(2) == 0;
+  s.limits.load_probes_allowed = below(2) == 0;
+  s.limits.cancellation_allowed = below(4) != 0;
   s.limits.max_attempts = 1 + below(5);
   s.classes[2].key_window = Duration(100000 + below(2000000));
   if (below(2) == 0) s.tenants = {{"t", 0.5, 50}, {"u", 0.5, 50}};
@@ -409,16 +409,16 @@
 
   const auto check = [&]() {
     for (const Action& action : w.actions) {
-      if (const auto* probe = std::get_if<SendProbe>(&action)) {
-        EXPECT_TRUE(s.limits.probes);
+      if (const auto* probe = std::get_if<SendLoadProbe>(&action)) {
+        EXPECT_TRUE(s.limits.load_probes_allowed);
         EXPECT_EQ(upstreams.at(probe->upstream.value).state, UpstreamState::kServing);
       }
       if (std::holds_alternative<CancelAttempt>(action)) {
-        EXPECT_TRUE(s.limits.cancel);
+        EXPECT_TRUE(s.limits.cancellation_allowed);
       }
       const auto* send = std::get_if<SendAttempt>(&action);
-      const auto* refuse = std::get_if<Refuse>(&action);
-      const auto* fail = std::get_if<Fail>(&action);
+      const auto* refuse = std::get_if<RejectRequest>(&action);
+      const auto* fail = std::get_if<FailRequest>(&action);
       if (send == nullptr && refuse == nullptr && fail == nullptr) continue;
       const RequestId id = send != nullptr     ? send->request
                            : refuse != nullptr ? refuse->request
@@ -426,7 +426,7 @@
       ASSERT_TRUE(requests.contains(id));
       Open& r = requests.at(id);
       ASSERT_FALSE(r.ended) << "an action after the end";
-      const Effect effect = s.classes[static_cast<std::size_t>(r.cls)].effect;
+      const Idempotency idempotency = s.classes[static_cast<std::size_t>(r.cls)].idempotency;
       const KeyScope scope = s.classes[static_cast<std::size_t>(r.cls)].key_scope;
       const Duration window = s.classes[static_cast<std::size_t>(r.cls)].key_window;
       bool may_have_run = false;
@@ -435,10 +435,10 @@
         may_have_run = true;
         if (send == nullptr) continue;
         if (!outcome) {
-          EXPECT_TRUE(s.limits.second_copies);
+          EXPECT_TRUE(s.limits.hedging_allowed);
         }
-        EXPECT_NE(effect, Effect::kUnsafe);
-        if (effect != Effect::kKeyed) continue;
+        EXPECT_NE(idempotency, Idempotency::kNotIdempotent);
+        if (idempotency != Idempotency::kIdempotencyKey) continue;
         EXPECT_LE(w.now - sent.at, window);
         const UpstreamInfo& from = upstreams.at(sent.upstream);
         const UpstreamInfo& to = upstreams.at(send->upstream.value);
@@ -450,7 +450,8 @@
         }
       }
       if (refuse != nullptr && may_have_run) {
-        EXPECT_TRUE(effect == Effect::kSafe || (effect == Effect::kKeyed && scope == KeyScope::kAll));
+        EXPECT_TRUE(idempotency == Idempotency::kIdempotent ||
+                    (idempotency == Idempotency::kIdempotencyKey && scope == KeyScope::kAll));
       }
       if (send == nullptr) {
         r.ended = true;
@@ -462,11 +463,12 @@
       EXPECT_EQ(to.state, UpstreamState::kServing);
       r.attempts.emplace_back(
           Sent{id, AttemptId{r.attempts.size()}, send->upstream.value, send->timeout, w.now}, std::nullopt);
-      if (to.started && w.now - *to.started < s.rules.cold_time) {
-        const double age =
-            static_cast<double>((w.now - *to.started) / 1us) / static_cast<double>(s.rules.cold_time / 1us);
+      if (to.started && w.now - *to.started < s.fleet_limits.slow_start_duration) {
+        const double age = static_cast<double>((w.now - *to.started) / 1us) /
+                           static_cast<double>(s.fleet_limits.slow_start_duration / 1us);
         cold_sends[{to.id.value, *to.started}].emplace_back(
-            w.now, s.rules.cold_from + (1 - s.rules.cold_from) * age);
+            w.now,
+            s.fleet_limits.slow_start_initial_share + (1 - s.fleet_limits.slow_start_initial_share) * age);
       }
     }
   };
@@ -502,7 +504,8 @@
     // What is still open must be inside its deadline by now: every timer up to this moment has fired.
     for (auto it = requests.begin(); it != requests.end();) {
       Open& r = it->second;
-      EXPECT_TRUE(r.ended || w.now <= r.deadline + s.rules.answer_grace) << "unanswered after its deadline";
+      EXPECT_TRUE(r.ended || w.now <= r.deadline + s.fleet_limits.answer_grace)
+          << "unanswered after its deadline";
       const bool settled = std::all_of(r.attempts.begin(), r.attempts.end(),
                                        [](const auto& a) { return a.second.has_value(); });
       it = r.ended && settled ? requests.erase(it) : std::next(it);
@@ -527,7 +530,7 @@
         const Outcome o = below(10) < 6 ? Outcome::kServed : static_cast<Outcome>(1 + below(7));
         outcome = o;
         if (o == Outcome::kServed) r.ended = true;
-        w.Do(AttemptEnded{sent.request, sent.attempt, o, w.now - sent.at, r.ended, {}});
+        w.Do(AttemptFinished{sent.request, sent.attempt, o, w.now - sent.at, r.ended, {}});
         check();
         break;
       }
@@ -536,7 +539,7 @@
       auto it = requests.begin();
       std::advance(it, below(requests.size()));
       it->second.ended = true;
-      w.Do(RequestGone{it->first});
+      w.Do(RequestCancelled{it->first});
       check();
     } else if (roll < 97) {
       change(std::string(1, static_cast<char>('a' + below(6))), below(3) == 0);
@@ -549,8 +552,9 @@
   for (const auto& [process, sends] : cold_sends) {
     for (std::size_t i = 0; i < sends.size(); ++i) {
       std::size_t k = i;
-      while (k + 1 < sends.size() && sends[k + 1].first - sends[i].first < s.rules.fall_window) ++k;
-      EXPECT_LE(static_cast<double>(k - i + 1), 2 + s.rules.fall_multiple * sends[k].second * 22)
+      while (k + 1 < sends.size() && sends[k + 1].first - sends[i].first < s.fleet_limits.overload_window)
+        ++k;
+      EXPECT_LE(static_cast<double>(k - i + 1), 2 + s.fleet_limits.overload_multiple * sends[k].second * 22)
           << process.first;
     }
   }
@@ -561,4 +565,4 @@
 INSTANTIATE_TEST_SUITE_P(Seeds, Stream, ::testing::Range<std::uint64_t>(1, 25));
 
 }  // namespace
-}  // namespace kestrellb::testing
+}  // namespace lb::testing
--- a/tests/system_call_faults_test.cpp
+++ b/tests/system_call_faults_test.cpp
@@ -11,10 +11,10 @@
 #include <string>
 #include <vector>
 
-#include "fault_injection.h"
-#include "peers.h"
+#include "tests/fault_injection.h"
+#include "tests/peers.h"
 
-namespace mothrack::testing {
+namespace lb::sidecar::testing {
 namespace {
 
 using std::chrono::milliseconds;
@@ -427,4 +427,4 @@
     GivenUpName);
 
 }  // namespace
-}  // namespace mothrack::testing
+}  // namespace lb::sidecar::testing
--- a/tests/wall_clock_test.cpp
+++ b/tests/wall_clock_test.cpp
@@ -1,5 +1,5 @@
 // Start times of upstreams where the machine's own wall clock was stepped before the process began.
-#include "wall_clock.h"
+#include "sidecar/wall_clock.h"
 
 #include <chrono>
 #include <memory>
@@ -8,16 +8,16 @@
 #include <string>
 #include <vector>
 
-#include "fault_injection.h"
 #include "gtest/gtest.h"
-#include "peers.h"
+#include "tests/fault_injection.h"
+#include "tests/peers.h"
 
-namespace mothrack::testing {
+namespace lb::sidecar::testing {
 namespace {
 
-using kestrellb::MembershipUpdate;
-using kestrellb::UpstreamInfo;
-using kestrellb::UpstreamState;
+using lb::MembershipUpdate;
+using lb::UpstreamInfo;
+using lb::UpstreamState;
 using std::chrono::hours;
 using std::chrono::milliseconds;
 using std::chrono::minutes;
@@ -265,4 +265,4 @@
 }
 
 }  // namespace
-}  // namespace mothrack::testing
+}  // namespace lb::sidecar::testing
--- a/tests/wire_format_test.cpp
+++ b/tests/wire_format_test.cpp
@@ -19,9 +19,9 @@
 #include <vector>
 
 #include "gtest/gtest.h"
-#include "peers.h"
+#include "tests/peers.h"
 
-namespace mothrack::testing {
+namespace lb::sidecar::testing {
 namespace {
 
 namespace fs = std::filesystem;
@@ -187,7 +187,7 @@
   }
 
   const Folder folder_;
-  const std::string state_ = folder_.path() + "/mothrack";
+  const std::string state_ = StateFolder(folder_);
   Upstream upstream_{Upstream::Echo("u")};
   Discovery discovery_{List({Target("u1", upstream_.address()), Target("u2", upstream_.address())})};
 };
@@ -276,4 +276,4 @@
 }
 
 }  // namespace
-}  // namespace mothrack::testing
+}  // namespace lb::sidecar::testing
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,9 +1,11 @@
 // The adapter: JSON to events, actions to JSON, and what it says of lines that are no batch.
-#include "wire.h"
+#include "adapter/wire.h"
 
 #include "gtest/gtest.h"
+#include "settings/json_fields.h"
+#include "settings/settings_reader.h"
 
-namespace kestrellb::wire {
+namespace lb::adapter {
 namespace {
 
 using nlohmann::json;
@@ -54,7 +56,7 @@
   Host host;
   try {
     host.Reply(line);
-  } catch (const Error& e) {
+  } catch (const FieldError& e) {
     return e.what();
   }
   return "";
@@ -75,19 +77,19 @@
 TEST(Wire, ReadsTheSettings) {
   const Settings s = ParseSettings(Params());
   ASSERT_EQ(s.classes.size(), 1u);
-  EXPECT_EQ(s.classes[0].aim, Duration(400000));
+  EXPECT_EQ(s.classes[0].latency_objective, Duration(400000));
   EXPECT_EQ(s.classes[0].deadline, Duration(1000000));
-  EXPECT_EQ(s.classes[0].effect, Effect::kSafe);
-  EXPECT_DOUBLE_EQ(s.classes[0].late_worth, 0.25);
+  EXPECT_EQ(s.classes[0].idempotency, Idempotency::kIdempotent);
+  EXPECT_DOUBLE_EQ(s.classes[0].late_priority_weight, 0.25);
   ASSERT_EQ(s.tenants.size(), 1u);
   EXPECT_DOUBLE_EQ(s.tenants[0].quota_per_s, 12.5);
   EXPECT_EQ(s.limits.max_attempts, 6u);
-  EXPECT_FALSE(s.limits.cancel);
-  EXPECT_EQ(s.rules.fall_window, Duration(1500000));
-  EXPECT_DOUBLE_EQ(s.rules.cold_from, 0.13);
-  EXPECT_DOUBLE_EQ(s.prices.cross_zone, 0.03);
-  EXPECT_TRUE(s.membership_on_request);
-  EXPECT_EQ(s.balancers, 3u);
+  EXPECT_FALSE(s.limits.cancellation_allowed);
+  EXPECT_EQ(s.fleet_limits.overload_window, Duration(1500000));
+  EXPECT_DOUBLE_EQ(s.fleet_limits.slow_start_initial_share, 0.13);
+  EXPECT_DOUBLE_EQ(s.decision_costs.cross_zone, 0.03);
+  EXPECT_TRUE(s.polled_membership);
+  EXPECT_EQ(s.sidecar_count, 3u);
 }
 
 TEST(Wire, AnEmptyBatchHasAnEmptyReply) {
@@ -162,7 +164,7 @@
     try {
       Reply(host, {order});
       ADD_FAILURE() << field << " was taken";
-    } catch (const Error& e) {
+    } catch (const FieldError& e) {
       EXPECT_NE(std::string(e.what()).find(field), std::string::npos) << e.what();
       EXPECT_NE(std::string(e.what()).find("Order"), std::string::npos) << e.what();
     }
@@ -197,4 +199,4 @@
 }
 
 }  // namespace
-}  // namespace kestrellb::wire
+}  // namespace lb::adapter
