--- a/sidecar/listener.cpp
+++ b/sidecar/listener.cpp
@@ -110,7 +110,7 @@
     EndUpload();
     if (answer_) {
       answer_->on_data = nullptr;
-      std::exchange(answer_, nullptr)->Leave();
+      std::exchange(answer_, nullptr)->AbandonByReader();
     }
     if (owner_ != nullptr) owner_->connections_.erase(shared_from_this());
     if (const auto gone = std::exchange(gone_, nullptr)) gone();
@@ -134,18 +134,18 @@
 
   // As the system has it now, also where bytes ahead of its end are unread. Nothing that was found earlier
   // counts: the process may have been held up since.
-  Client Look() {
-    if (closed_) return Client::kGone;
+  ClientPresence CheckClient() {
+    if (closed_) return ClientPresence::kGone;
     if (there_ && CanAsk() && Now() - found_at_ > kStillThere) AskAnew();
     if (!there_ && !asking_ && !ended_) {
       const IoStatus status = Peek(socket_.native_handle()).status;
-      if (status == IoStatus::kBroken) return Client::kGone;
-      if (status == IoStatus::kWouldBlock) return Client::kConnected;
+      if (status == IoStatus::kBroken) return ClientPresence::kGone;
+      if (status == IoStatus::kWouldBlock) return ClientPresence::kConnected;
       if (status != IoStatus::kEnd && PollNow(socket_.native_handle(), POLLRDHUP) == 0)
-        return Client::kConnected;
+        return ClientPresence::kConnected;
     }
-    if (IsOver()) return Client::kGone;
-    return there_ ? Client::kConnected : Client::kUnknown;
+    if (IsOver()) return ClientPresence::kGone;
+    return there_ ? ClientPresence::kConnected : ClientPresence::kUnknown;
   }
 
   TimePoint since() const { return since_; }
@@ -225,7 +225,7 @@
   // Is a request that has begun to come overdue? Nobody is to blame for bytes there is no room for.
   bool Stalled(TimePoint now) const {
     const Duration age = now - since_;
-    if (age <= kStalled || (upload_ && (held_up_ || !upload_->HasRoom()))) return false;
+    if (age <= kStalled || (upload_ && (held_up_ || !upload_->HasCapacity()))) return false;
     return arrived_ == 0 || now - last_byte_ > kSilentBody ||
            static_cast<double>(arrived_) < Seconds(age - kStalled) * kLeastRate;
   }
@@ -291,8 +291,8 @@
   // for, or nothing. While an answer is written, its write tells whether the client is there.
   void ActOnEnd() {
     if (!ended_ || closed_ || state_ == State::kWriting) return;
-    if (state_ != State::kServing) return Close();      // the rest of a request will not come
-    if (upload_ && upload_->HasRoom()) return Close();  // nor the rest of its body
+    if (state_ != State::kServing) return Close();          // the rest of a request will not come
+    if (upload_ && upload_->HasCapacity()) return Close();  // nor the rest of its body
     Ask();
   }
 
@@ -365,7 +365,7 @@
       if (self->buffer_.size() < self->buffer_.max_size()) return;
       if (self->state_ == State::kServing) {
         self->LookForLastByte();
-        if (!self->asking_ && self->Look() != Client::kConnected) return self->Ask();
+        if (!self->asking_ && self->CheckClient() != ClientPresence::kConnected) return self->Ask();
       }
       self->LookAgain();
     });
@@ -385,7 +385,7 @@
 
   void Parse() {
     while ((state_ == State::kReading || upload_) && buffer_.size() > 0) {
-      if (upload_ && !upload_->HasRoom()) {
+      if (upload_ && !upload_->HasCapacity()) {
         held_up_ = true;
         return;
       }
@@ -431,22 +431,22 @@
   void Arrived(const char* bytes, std::size_t size) {
     arrived_ += size;
     last_byte_ = Now();
-    if (upload_) return upload_->Put(bytes, size);
+    if (upload_) return upload_->Write(bytes, size);
     body_.append(bytes, size);
     if (body_.size() > kMostBody) BeginUpload();
   }
 
   // Whoever sent all that means the rest as well: it passes through from here on.
   void BeginUpload() {
-    upload_ = std::make_shared<BodyPipe>(owner_->io_, owner_->pipe_, parser_->content_length());
+    upload_ = std::make_shared<BodyStream>(owner_->io_, owner_->pipe_, parser_->content_length());
     coming_at_ = last_byte_;
-    upload_->coming_at = [weak = weak_from_this()] {
+    upload_->last_seen_incoming = [weak = weak_from_this()] {
       const auto self = weak.lock();
       if (!self || !self->upload_) return Now();
       if (self->StillComes()) self->coming_at_ = Now();
       return self->coming_at_;
     };
-    upload_->on_room = [weak = weak_from_this()] {
+    upload_->on_capacity = [weak = weak_from_this()] {
       const auto self = weak.lock();
       if (!self || self->closed_ || !self->upload_) return;
       if (std::exchange(self->held_up_, false)) {
@@ -455,7 +455,7 @@
       }
       self->Progress();
     };
-    upload_->Put(body_.data(), body_.size());
+    upload_->Write(body_.data(), body_.size());
     HttpRequest request;
     request.base() = parser_->get().base();
     Hand(std::move(request), upload_);
@@ -474,18 +474,18 @@
   // The client's time runs from the last byte it sent, also where that waits for room.
   void LookForLastByte() {
     if (!upload_ || upload_->sent_at()) return;
-    if (upload_->HasRoom() || StillComes()) {
+    if (upload_->HasCapacity() || StillComes()) {
       coming_at_ = Now();
     } else if (ended_ || parser_->content_length_remaining()) {
-      upload_->Sent(coming_at_);
+      upload_->MarkSent(coming_at_);
     }
   }
 
   void EndUpload() {
     if (!upload_) return;
-    upload_->on_room = nullptr;
-    upload_->coming_at = nullptr;
-    std::exchange(upload_, nullptr)->Break();
+    upload_->on_capacity = nullptr;
+    upload_->last_seen_incoming = nullptr;
+    std::exchange(upload_, nullptr)->AbortByWriter();
   }
 
   // The last byte of a request is there. Trailers have joined the head. And what follows a body must begin
@@ -499,9 +499,9 @@
     }
     if (fault) return Reject(http::status::bad_request, fault);
     if (upload_) {
-      upload_->on_room = nullptr;
-      upload_->coming_at = nullptr;
-      upload_->Sent(Now());
+      upload_->on_capacity = nullptr;
+      upload_->last_seen_incoming = nullptr;
+      upload_->MarkSent(Now());
       return std::exchange(upload_, nullptr)->Finish();
     }
     HttpRequest request;
@@ -547,9 +547,9 @@
           nullptr);
     }
     // It may have left since it sent this, also where it waits behind the end of its sending.
-    const Client client = Look();
-    if (client == Client::kGone) return Close();
-    if (client == Client::kUnknown) {
+    const ClientPresence client = CheckClient();
+    if (client == ClientPresence::kGone) return Close();
+    if (client == ClientPresence::kUnknown) {
       waiting_.emplace(std::move(request), std::move(body));
       return Ask();
     }
@@ -560,11 +560,11 @@
     auto reply = [self = shared_from_this()](HttpResponse response, Body answer) {
       self->gone_ = nullptr;
       if (!self->closed_) return self->Answer(std::move(response), std::move(answer));
-      if (answer) answer->Leave();
+      if (answer) answer->AbandonByReader();
     };
     auto look = [weak = weak_from_this()] {
       const auto self = weak.lock();
-      return self ? self->Look() : Client::kGone;
+      return self ? self->CheckClient() : ClientPresence::kGone;
     };
     auto gone = owner_->on_request_(std::move(request), std::move(body), std::move(reply), std::move(look));
     if (state_ == State::kServing) gone_ = std::move(gone);
@@ -649,7 +649,7 @@
     if (answer_->broken()) return Reset();
     const bool ended = answer_->ended();
     if (!ended) {
-      passing_ = answer_->Take();
+      passing_ = answer_->Read();
       if (passing_.empty()) return;  // woken when there is more
     }
     const auto passed = [self = shared_from_this(), ended](error_code error, std::size_t) {
@@ -724,7 +724,7 @@
   bool writing_ = false;
   bool chunked_ = false;
   Duration linger_ = kLinger;
-  OnGone gone_;
+  OnDisconnected gone_;
   State state_ = State::kReading;
   TimePoint since_;  // of the state, or of a request's first byte
   unsigned version_ = 11;
@@ -823,7 +823,7 @@
   }
 }
 
-void Listener::SendAway(bool away) {
+void Listener::SetConnectionDraining(bool away) {
   if (std::exchange(away_, away) == away) return;
   leaving_since_ = Now();
   sweep_.cancel();
@@ -831,7 +831,7 @@
   ScheduleSweep();
 }
 
-void Listener::Drain(bool handed_over, TimePoint stop_by, std::function<void()> done) {
+void Listener::ShutDown(bool handed_over, TimePoint stop_by, std::function<void()> done) {
   if (drained_) return;
   drained_ = std::move(done);
   stop_by_ = stop_by;
--- a/sidecar/listener.h
+++ b/sidecar/listener.h
@@ -11,7 +11,7 @@
 
 #include "settings/config.h"
 #include "sidecar/acceptor.h"
-#include "sidecar/body.h"
+#include "sidecar/body_stream.h"
 #include "sidecar/clock.h"
 #include "sidecar/descriptors.h"
 #include "sidecar/http.h"
@@ -22,15 +22,16 @@
 class Listener {
  public:
   // `body`: of an answer that passes through; null where the answer is whole.
-  using Reply = std::function<void(HttpResponse, Body body)>;
+  using SendResponse = std::function<void(HttpResponse, Body body)>;
   // What is to be done when the client leaves before its answer.
-  using OnGone = std::function<void()>;
+  using OnDisconnected = std::function<void()>;
   // A client that has ended its sending may have closed: that is not known for a moment.
-  enum class Client { kConnected, kUnknown, kGone };
+  enum class ClientPresence { kConnected, kUnknown, kGone };
   // Looks at the client's connection. To be asked right before anything is begun for its request.
-  using Look = std::function<Client()>;
+  using CheckClient = std::function<ClientPresence()>;
   // Takes one request and calls `reply` once, perhaps at once. `body`: of a request that passes through.
-  using OnRequest = std::function<OnGone(HttpRequest request, Body body, Reply reply, Look look)>;
+  using OnRequest =
+      std::function<OnDisconnected(HttpRequest request, Body body, SendResponse reply, CheckClient look)>;
 
   // `can_serve`: `/up` says no until then. `pipe`: how much of a body that passes through is held.
   // Binds and listens, with other processes where it is `shared`, or takes over `listening`, a socket that
@@ -41,16 +42,16 @@
   ~Listener();
 
   void Start();  // takes clients from now on; once is enough
-  int listening() { return acceptor_.native_handle(); }
+  int native_handle() { return acceptor_.native_handle(); }
   Endpoint local() const { return acceptor_.local_endpoint(); }
 
   // Sends clients away, or takes them again: `/up` says no, answers close their connections and idle ones are
   // closed, but whoever comes all the same is served.
-  void SendAway(bool away);
+  void SetConnectionDraining(bool away);
   // A planned stop: serves what still comes for a while, tells each client to close, then calls `done`. Where
   // another process takes the clients from the same socket by now, `handed_over`, that one serves what comes.
   // From `stop_by` on no connection is accepted, or left open for a first request.
-  void Drain(bool handed_over, TimePoint stop_by, std::function<void()> done);
+  void ShutDown(bool handed_over, TimePoint stop_by, std::function<void()> done);
 
  private:
   class Connection;
--- a/sidecar/sidecar.cpp
+++ b/sidecar/sidecar.cpp
@@ -179,7 +179,7 @@
       listener_(
           io, config.listen, config.admin.has_value(), Listening(hot_restart_, config.listen), config.pipe,
           descriptors_, log_,
-          [this](HttpRequest request, Body body, Listener::Reply reply, Listener::Look look) {
+          [this](HttpRequest request, Body body, Listener::SendResponse reply, Listener::CheckClient look) {
             return Take(std::move(request), std::move(body), std::move(reply), std::move(look));
           },
           [this] { return upstream_told_; }) {
@@ -221,7 +221,7 @@
   if (NotServing() != nullptr && hot_restart_.after_another()) return;
   serving_ = true;
   listener_.Start();
-  hot_restart_.OfferListener(listener_.listening());
+  hot_restart_.OfferListener(listener_.native_handle());
 }
 
 void Sidecar::FollowOther() {
@@ -230,13 +230,13 @@
             : hot_restart_.after_another() ? "the process before is there"
                                            : "this is the only process");
   descriptors_.Share(hot_restart_.after_another() || hot_restart_.has_next());
-  upstreams_.MakeRoom();
+  upstreams_.EnforceCapacity();
   Serve();
 }
 
 void Sidecar::Drain(std::function<void()> done) {
   if (!std::exchange(stopping_, true)) stop_by_ = Now() + TimeToStop(settings_);
-  listener_.Drain(hot_restart_.next_serves(), stop_by_, [this, done = std::move(done)] {
+  listener_.ShutDown(hot_restart_.next_serves(), stop_by_, [this, done = std::move(done)] {
     if (!operator_state_) return done();
     operator_state_->Finish(kStorePatience, done);
   });
@@ -272,7 +272,7 @@
 
 // One that has left the list can still be put back.
 HttpResponse Sidecar::SetDisabled(const std::string& upstream, bool disabled) {
-  if (!upstreams_.Knows(upstream) && !disabled_.contains(upstream)) {
+  if (!upstreams_.Contains(upstream) && !disabled_.contains(upstream)) {
     return PlainResponse(http::status::not_found, "no such upstream");
   }
   if (disabled) operator_state_->Disable(upstream);
@@ -307,7 +307,7 @@
     log_.Line(upstream + (disabled ? " is taken out" : " is put back") + " by the operators");
     const Busy busy(delivering_);
     events_.push_back(lb::OperatorOverride{{upstream}, disabled});
-    upstreams_.TakeOut(upstream, disabled);
+    upstreams_.SetDisabled(upstream, disabled);
   };
   const std::set<std::string> before = std::exchange(disabled_, state.disabled);
   for (const auto& upstream : disabled_)
@@ -315,7 +315,7 @@
   for (const auto& upstream : before)
     if (!disabled_.contains(upstream)) say(upstream, false);
   if (!delivering_) Pump();
-  listener_.SendAway(state.drained);
+  listener_.SetConnectionDraining(state.drained);
 }
 
 // handle() is never re-entered: an action that ends something at once queues its event here.
@@ -348,9 +348,9 @@
     const Busy busy(delivering_);
     const bool whole = list.update.kind != MembershipUpdate::Kind::kChanges;
     events_.push_back(std::move(list.update));
-    if (whole) upstreams_.ApplyWhole(list.locations);
+    if (whole) upstreams_.ReplaceAll(list.locations);
     if (!whole)
-      for (const auto& [uid, location] : list.locations) upstreams_.Apply(uid, location);
+      for (const auto& [uid, location] : list.locations) upstreams_.Update(uid, location);
   }
   upstream_told_ = upstream_told_ || !upstreams_.empty();
   Pump();
@@ -368,7 +368,8 @@
   return ask_for_all;
 }
 
-Listener::OnGone Sidecar::Take(HttpRequest request, Body body, Listener::Reply reply, Listener::Look look) {
+Listener::OnDisconnected Sidecar::Take(HttpRequest request, Body body, Listener::SendResponse reply,
+                                       Listener::CheckClient look) {
   const TimePoint now = Now();
   const auto bad = [&reply](const std::string& why) {
     reply(Unfit(why), nullptr);
@@ -414,7 +415,7 @@
   const RequestId id = event.request;
   if (body) {
     pending.deadline = TimePoint::max();
-    body->WhenSent([this, id] { BodySent(id); });
+    body->NotifyWhenSent([this, id] { BodySent(id); });
     pending.body = std::move(body);
   }
   requests_.emplace(id, std::move(pending));
@@ -444,7 +445,7 @@
 
 void Sidecar::Started(RequestId id, AttemptId attempt, HttpResponse head, Body body) {
   const auto it = requests_.find(id);
-  if (it == requests_.end() || !it->second.reply) return body->Leave();
+  if (it == requests_.end() || !it->second.reply) return body->AbandonByReader();
   head.version(11);
   RemoveHopByHop(head);
   it->second.answering = attempt;
@@ -479,7 +480,7 @@
   const bool finished = !pending.reply && pending.answering.value_or(attempt) == attempt;
   Deliver(AttemptFinished{id, attempt, result.outcome, result.elapsed, finished, result.load,
                           result.use > 1 ? std::optional(result.idle) : std::nullopt,
-                          pending.body && pending.body->touched()});
+                          pending.body && pending.body->consumed()});
   ForgetIfDone(id);
 }
 
@@ -507,7 +508,7 @@
 // The module lets a trial go on behind the answer, to learn of its upstream. But where its connection has not
 // come up by now the request must not be sent on any more.
 void Sidecar::SendNoMore(const Pending& pending) {
-  for (const auto exchange : pending.attempts) upstreams_.NoLongerWanted(exchange);
+  for (const auto exchange : pending.attempts) upstreams_.AbandonUnsent(exchange);
 }
 
 // While events wait their attempts are still needed: their turn comes with the last of them.
@@ -537,9 +538,9 @@
 }
 
 // Once its request has its answer nobody waits for more.
-Listener::Client Sidecar::LookAtClient(RequestId id) const {
+Listener::ClientPresence Sidecar::LookAtClient(RequestId id) const {
   const auto it = requests_.find(id);
-  return it != requests_.end() && it->second.reply ? it->second.look() : Listener::Client::kGone;
+  return it != requests_.end() && it->second.reply ? it->second.look() : Listener::ClientPresence::kGone;
 }
 
 void Sidecar::Launch(const lb::SendAttempt& action, AttemptId attempt, TimePoint decided) {
@@ -548,34 +549,34 @@
   if (it == requests_.end()) return;
   const Pending& pending = it->second;
   const auto client = LookAtClient(id);
-  if (client == Listener::Client::kUnknown) return LaunchLater(action, attempt, decided);
+  if (client == Listener::ClientPresence::kUnknown) return LaunchLater(action, attempt, decided);
   // The client may end its sending, or leave, while a connection for it comes up.
   const auto on_end = [this, action, attempt, decided](ExchangeResult result) {
     const bool unsent = result.outcome == Outcome::kNotSent;
-    if (unsent && LookAtClient(action.request) == Listener::Client::kUnknown)
+    if (unsent && LookAtClient(action.request) == Listener::ClientPresence::kUnknown)
       return LaunchLater(action, attempt, decided);
     Ended(action.request, attempt, action.upstream.value, std::move(result));
   };
-  if (client == Listener::Client::kGone) return on_end({Outcome::kNotSent, {}, {}, {}});
+  if (client == Listener::ClientPresence::kGone) return on_end({Outcome::kNotSent, {}, {}, {}});
   const Duration spent = Now() - decided;
-  Upstreams::Call call;
+  Upstreams::ExchangeRequest call;
   call.request = pending.message;
   call.body = pending.body;
   call.timeout = action.timeout;
   // Of a body that still comes the time runs from its last byte.
   if (pending.deadline != TimePoint::max())
     call.timeout = std::max<Duration>(call.timeout - spent, milliseconds(1));
-  call.max_idle = action.max_connection_idle;
+  call.max_connection_idle = action.max_connection_idle;
   if (action.begin_within != Duration::max()) call.begin_within = action.begin_within - spent;
-  call.wanted = [this, id] { return LookAtClient(id) == Listener::Client::kConnected; };
-  call.left = [this, id](TimePoint now) { return LeftToClient(id, now); };
-  call.patience = pending.timeout;
-  call.on_start = [this, id, attempt](HttpResponse head, Body body) {
+  call.client_is_waiting = [this, id] { return LookAtClient(id) == Listener::ClientPresence::kConnected; };
+  call.time_left = [this, id](TimePoint now) { return LeftToClient(id, now); };
+  call.body_stall_timeout = pending.timeout;
+  call.on_response_started = [this, id, attempt](HttpResponse head, Body body) {
     Started(id, attempt, std::move(head), std::move(body));
   };
-  call.on_end = on_end;
-  upstreams_.Send(pending.attempts[static_cast<std::size_t>(attempt)], action.upstream.value,
-                  std::move(call));
+  call.on_finished = on_end;
+  upstreams_.StartExchange(pending.attempts[static_cast<std::size_t>(attempt)], action.upstream.value,
+                           std::move(call));
 }
 
 void Sidecar::LaunchLater(const lb::SendAttempt& action, AttemptId attempt, TimePoint decided) {
@@ -617,10 +618,11 @@
 void Sidecar::CarryOut(const lb::SetTimer& action) { timers_.emplace(action.at, action.token); }
 
 void Sidecar::CarryOut(const lb::SendLoadProbe& action) {
-  upstreams_.Probe(Upstreams::ExchangeId{++last_exchange_}, action.upstream.value, action.max_connection_idle,
-                   [this, upstream = action.upstream](ExchangeResult result) {
-                     Deliver(lb::LoadProbeFinished{upstream, result.outcome, result.elapsed, result.load});
-                   });
+  upstreams_.SendLoadProbe(
+      Upstreams::ExchangeId{++last_exchange_}, action.upstream.value, action.max_connection_idle,
+      [this, upstream = action.upstream](ExchangeResult result) {
+        Deliver(lb::LoadProbeFinished{upstream, result.outcome, result.elapsed, result.load});
+      });
 }
 
 void Sidecar::CarryOut(const lb::CloseIdleConnections& action) {
--- a/sidecar/sidecar.h
+++ b/sidecar/sidecar.h
@@ -50,11 +50,11 @@
   struct Pending {
     std::string wire_id;
     std::shared_ptr<const HttpRequest> message;
-    Body body;              // of a request that passes through
-    TimePoint deadline;     // not known while its body still comes
-    Duration timeout{};     // how long its client waits from its last byte on
-    Listener::Reply reply;  // empty once the request has its answer or its client is gone
-    Listener::Look look;
+    Body body;                     // of a request that passes through
+    TimePoint deadline;            // not known while its body still comes
+    Duration timeout{};            // how long its client waits from its last byte on
+    Listener::SendResponse reply;  // empty once the request has its answer or its client is gone
+    Listener::CheckClient look;
     std::vector<Upstreams::ExchangeId> attempts;
     std::size_t out = 0;                     // attempts that have not ended
     std::optional<lb::AttemptId> answering;  // the one whose answer passes through
@@ -64,7 +64,8 @@
   void Pump();
   void Apply(MembershipList list);
   bool JudgeStarts(MembershipList& list);  // true: the whole list is needed
-  Listener::OnGone Take(HttpRequest request, Body body, Listener::Reply reply, Listener::Look look);
+  Listener::OnDisconnected Take(HttpRequest request, Body body, Listener::SendResponse reply,
+                                Listener::CheckClient look);
   // By when a request that was complete at `complete` has to have its answer: within `timeout`, and in a
   // planned stop before the process may be killed. At `complete` itself where that has passed.
   TimePoint DeadlineOf(TimePoint complete, Duration timeout) const;
@@ -75,7 +76,7 @@
   // Sends an attempt that was decided on at `decided`, unless its client has gone by now.
   void Launch(const lb::SendAttempt& action, lb::AttemptId attempt, TimePoint decided);
   void LaunchLater(const lb::SendAttempt& action, lb::AttemptId attempt, TimePoint decided);
-  Listener::Client LookAtClient(lb::RequestId id) const;
+  Listener::ClientPresence LookAtClient(lb::RequestId id) const;
   void Started(lb::RequestId id, lb::AttemptId attempt, HttpResponse head, Body body);
   void Gone(lb::RequestId id);
   void Ended(lb::RequestId id, lb::AttemptId attempt, const std::string& upstream, ExchangeResult result);
--- a/sidecar/upstreams.cpp
+++ b/sidecar/upstreams.cpp
@@ -138,7 +138,7 @@
     return begun_ && begun_->local ? begun_->error : error_code();
   }
 
-  void Start(ExchangeId id, Call call) {
+  void Start(ExchangeId id, ExchangeRequest call) {
     LeaveIdle();
     id_ = id;
     call_ = std::move(call);
@@ -188,7 +188,7 @@
   }
 
   // An attempt that was to tell something of the upstream goes on behind the answer, but nothing is sent.
-  void NoLongerWanted() {
+  void AbandonUnsent() {
     wanted_ = false;
     if (write_pending_) End(Cause::kCancelled);
   }
@@ -203,8 +203,8 @@
     slot_.reset();
     LeaveBody();
     if (!passing_) return;
-    passing_->on_room = nullptr;
-    std::exchange(passing_, nullptr)->Break();
+    passing_->on_capacity = nullptr;
+    std::exchange(passing_, nullptr)->AbortByWriter();
   }
 
   // Did the upstream close it, or say something nobody asked for? Asked before each use: the event may not
@@ -261,7 +261,7 @@
     ArmTimer(call_.body ? TakenBy() : gives_up_);
     const TimePoint now = Now();
     Compose(now);
-    if (now >= begin_by_ || (call_.wanted && !call_.wanted())) return Spare();
+    if (now >= begin_by_ || (call_.client_is_waiting && !call_.client_is_waiting())) return Spare();
     write_pending_ = true;
     if (call_.body) {
       WriteHead();
@@ -303,11 +303,11 @@
 
   // No more than what is left to the client.
   Duration Bounded(Duration wait, TimePoint now) const {
-    return call_.left ? std::min(wait, call_.left(now)) : wait;
+    return call_.time_left ? std::min(wait, call_.time_left(now)) : wait;
   }
 
   // Until a piece of a body has to be taken.
-  TimePoint TakenBy() const { return Now() + std::min(kSilentPeer, call_.patience); }
+  TimePoint TakenBy() const { return Now() + std::min(kSilentPeer, call_.body_stall_timeout); }
 
   // A request that passes through: its head, then its pieces as they come.
   void WriteHead() {
@@ -323,7 +323,7 @@
 
   void WritePiece() {
     if (call_.body->broken()) return;  // whoever took the request calls this off
-    outgoing_ = call_.body->Take();
+    outgoing_ = call_.body->Read();
     const bool chunked = !call_.body->length();
     const bool last = call_.body->ended() && (outgoing_.empty() || !chunked);
     if (outgoing_.empty() && !last) return DisarmTimer();
@@ -397,9 +397,9 @@
   // The answer passes through from here on: what has come of it, and what will.
   void Begin() {
     holds_back_ = false;
-    if (!call_.on_start) return End(Cause::kBroken, http::error::body_limit);
-    passing_ = std::make_shared<BodyPipe>(owner_.io_, owner_.pipe_, parser_->content_length());
-    passing_->on_room = [weak = weak_from_this()] {
+    if (!call_.on_response_started) return End(Cause::kBroken, http::error::body_limit);
+    passing_ = std::make_shared<BodyStream>(owner_.io_, owner_.pipe_, parser_->content_length());
+    passing_->on_capacity = [weak = weak_from_this()] {
       const auto self = weak.lock();
       if (!self || self->closed_ || !self->passing_) return;
       if (self->passing_->left()) return self->End(Cause::kCancelled);
@@ -407,12 +407,12 @@
     };
     error_code ignored;
     socket_.set_option(boost::asio::socket_base::receive_buffer_size(kReceiveBuffer), ignored);
-    if (!held_.empty()) passing_->Put(held_.data(), held_.size());
+    if (!held_.empty()) passing_->Write(held_.data(), held_.size());
     held_ = {};
     ArmTimer(Now() + kSilentPeer);
     HttpResponse head;
     head.base() = parser_->get().base();
-    call_.on_start(std::move(head), passing_);
+    call_.on_response_started(std::move(head), passing_);
   }
 
   TimePoint EndOfHoldBack() const {
@@ -430,7 +430,7 @@
 
   void ReadBody() {
     if (parser_->is_done()) return OnWhole();
-    if (passing_ && !passing_->HasRoom()) {
+    if (passing_ && !passing_->HasCapacity()) {
       paused_ = true;
       return DisarmTimer();
     }
@@ -447,7 +447,7 @@
     const std::size_t size = piece_.size() - parser_->get().body().size;
     if (error && error != http::error::need_buffer) return End(Cause::kBroken, error);
     if (passing_) {
-      passing_->Put(piece_.data(), size);
+      passing_->Write(piece_.data(), size);
     } else {
       held_.append(piece_, 0, size);
       const bool served = parser_->get().result_int() == 200;
@@ -470,12 +470,12 @@
     timer_.cancel();
     holds_back_ = false;
     if (passing_) {
-      passing_->on_room = nullptr;
+      passing_->on_capacity = nullptr;
       std::exchange(passing_, nullptr)->Finish();
     }
     LeaveBody();
     phase_ = Phase::kIdle;
-    const auto on_end = std::exchange(call_.on_end, nullptr);
+    const auto on_finished = std::exchange(call_.on_finished, nullptr);
     const auto self = shared_from_this();
     owner_.exchanges_.erase(id_);
     if (keep) {
@@ -484,7 +484,7 @@
     } else {
       Close();
     }
-    on_end(std::move(result));
+    on_finished(std::move(result));
   }
 
   // It is up, and there is nothing to send on it.
@@ -492,12 +492,12 @@
     timer_.cancel();
     LeaveBody();
     phase_ = Phase::kIdle;
-    const auto on_end = std::exchange(call_.on_end, nullptr);
+    const auto on_finished = std::exchange(call_.on_finished, nullptr);
     owner_.exchanges_.erase(id_);
     const ExchangeResult result = Result(Outcome::kNotSent);
     // The upstream counts its rest from its last answer, whatever was meant to be sent since.
     Rest(idle_since_, idle_since_);
-    on_end(result);
+    on_finished(result);
   }
 
   void Rest(TimePoint since, TimePoint usable_from) {
@@ -537,10 +537,10 @@
     if (cause == Cause::kCancelled) outcome = Outcome::kCancelled;
     if (cause == Cause::kLocal) outcome = Outcome::kLocalFailure;
     phase_ = Phase::kIdle;
-    const auto on_end = std::exchange(call_.on_end, nullptr);
+    const auto on_finished = std::exchange(call_.on_finished, nullptr);
     const auto self = shared_from_this();
     owner_.exchanges_.erase(id_);
-    on_end(Result(outcome));
+    on_finished(Result(outcome));
   }
 
   ExchangeResult Result(Outcome outcome) const {
@@ -566,7 +566,7 @@
   std::uint64_t use_ = 0;  // counts the exchanges: a watch that one outran is void
   int interim_ = 0;
   ExchangeId id_{};
-  Call call_;
+  ExchangeRequest call_;
   bool wanted_ = true;    // by the request
   bool whole_ = false;    // the last byte of a request that passes through is written
   std::string outgoing_;  // a piece of it
@@ -605,12 +605,12 @@
   }
 }
 
-void Upstreams::Apply(const std::string& uid, const Location& location) {
+void Upstreams::Update(const std::string& uid, const Location& location) {
   Apply(pools_.try_emplace(uid).first, location);
 }
 
 // Both are sorted by their ids.
-void Upstreams::ApplyWhole(const std::map<std::string, Location>& locations) {
+void Upstreams::ReplaceAll(const std::map<std::string, Location>& locations) {
   auto pool = pools_.begin();
   for (const auto& [uid, location] : locations) {
     while (pool != pools_.end() && pool->first < uid) pool = Apply(pool, kNowhere);
@@ -640,7 +640,7 @@
   return next;
 }
 
-void Upstreams::TakeOut(const std::string& uid, bool out) {
+void Upstreams::SetDisabled(const std::string& uid, bool out) {
   if (!out) out_.erase(uid);
   if (!out || !out_.insert(uid).second) return;
   if (const auto it = pools_.find(uid); it != pools_.end()) Empty(it->second);
@@ -663,32 +663,34 @@
   for (const auto& connection : unsent) connection->End(Connection::Cause::kNotSent);
 }
 
-void Upstreams::Send(ExchangeId id, const std::string& uid, Call call) {
+void Upstreams::StartExchange(ExchangeId id, const std::string& uid, ExchangeRequest call) {
   const auto it = pools_.find(uid);
   Opened opened;
   if (it != pools_.end() && MayOpen(*it->second)) {
-    opened.connection = TakeIdle(*it->second, call.max_idle);
+    opened.connection = TakeIdle(*it->second, call.max_connection_idle);
     if (!opened.connection) opened = Open(it->second);
     if (opened.error) opened.connection = TakeSoonUsable(*it->second);
   }
   if (!opened.connection) {
     const auto outcome = opened.error ? Outcome::kLocalFailure : Outcome::kNotSent;
-    return call.on_end({outcome, {}, {}, {}, opened.error});
+    return call.on_finished({outcome, {}, {}, {}, opened.error});
   }
   exchanges_.emplace(id, opened.connection);
   opened.connection->Start(id, std::move(call));
 }
 
-void Upstreams::Probe(ExchangeId id, const std::string& uid, Duration max_idle, OnEnd on_end) {
+void Upstreams::SendLoadProbe(ExchangeId id, const std::string& uid, Duration max_connection_idle,
+                              OnFinished on_finished) {
   const auto request = std::make_shared<HttpRequest>(http::verb::get, probe_target_, 11);
   request->set(http::field::host, uid);
-  auto ended = [by_body = probe_target_ != "/alive", on_end = std::move(on_end)](ExchangeResult result) {
+  auto ended = [by_body = probe_target_ != "/alive",
+                on_finished = std::move(on_finished)](ExchangeResult result) {
     if (by_body && result.outcome == Outcome::kServed) result.load = ParseLoad(result.response.body());
-    on_end(std::move(result));
+    on_finished(std::move(result));
   };
-  Send(id, uid,
-       {request, nullptr, connect_timeout_, max_idle, Duration::max(), nullptr, nullptr, Duration::max(),
-        nullptr, std::move(ended)});
+  StartExchange(id, uid,
+                {request, nullptr, connect_timeout_, max_connection_idle, Duration::max(), nullptr, nullptr,
+                 Duration::max(), nullptr, std::move(ended)});
 }
 
 void Upstreams::Cancel(ExchangeId id) {
@@ -698,11 +700,11 @@
   connection->End(Connection::Cause::kCancelled);
 }
 
-void Upstreams::NoLongerWanted(ExchangeId id) {
+void Upstreams::AbandonUnsent(ExchangeId id) {
   const auto it = exchanges_.find(id);
   if (it == exchanges_.end()) return;
   const auto connection = it->second;
-  connection->NoLongerWanted();
+  connection->AbandonUnsent();
 }
 
 void Upstreams::CloseIdleConnections(const std::string& uid) {
@@ -711,7 +713,7 @@
   for (const auto& connection : std::exchange(it->second->idle, {})) connection->Close();
 }
 
-void Upstreams::MakeRoom() {
+void Upstreams::EnforceCapacity() {
   while (!descriptors_.Room(Descriptors::Side::kUpstream) && EvictIdle()) {
   }
 }
@@ -724,8 +726,8 @@
   return true;
 }
 
-std::shared_ptr<Upstreams::Connection> Upstreams::TakeIdle(Pool& pool, Duration max_idle) {
-  const Duration trusted = std::min(trusted_idle_, max_idle);
+std::shared_ptr<Upstreams::Connection> Upstreams::TakeIdle(Pool& pool, Duration max_connection_idle) {
+  const Duration trusted = std::min(trusted_idle_, max_connection_idle);
   const TimePoint now = Now();
   for (std::size_t i = pool.idle.size(); i-- > 0;) {
     if (now < pool.idle[i]->usable_from()) continue;
--- a/sidecar/upstreams.h
+++ b/sidecar/upstreams.h
@@ -15,7 +15,7 @@
 
 #include "balancer/balancer.h"
 #include "settings/config.h"
-#include "sidecar/body.h"
+#include "sidecar/body_stream.h"
 #include "sidecar/clock.h"
 #include "sidecar/descriptors.h"
 #include "sidecar/http.h"
@@ -49,23 +49,24 @@
 class Upstreams {
  public:
   // An answer that passes through has begun.
-  using OnStart = std::function<void(HttpResponse head, Body body)>;
-  using OnEnd = std::function<void(ExchangeResult)>;
-  struct Call {
+  using OnResponseStarted = std::function<void(HttpResponse head, Body body)>;
+  using OnFinished = std::function<void(ExchangeResult)>;
+  struct ExchangeRequest {
     std::shared_ptr<const HttpRequest> request;
     Body body;                                // of a request that passes through
     Duration timeout{};                       // from now; where the body passes through, from its last byte
-    Duration max_idle{};                      // of the connection
+    Duration max_connection_idle{};           // of the connection
     Duration begin_within = Duration::max();  // where nothing of it is written by then it ends as not sent
     // Asked right before its first byte is written, with nothing but the write behind it: where it says no,
     // nothing is written and it ends as not sent.
-    std::function<bool()> wanted;
+    std::function<bool()> client_is_waiting;
     // What the client will still wait, at a time: the upstream is told no more, and waited for no longer.
     // Null: no client waits.
-    std::function<Duration(TimePoint)> left;
-    Duration patience = Duration::max();  // an upstream that takes nothing of a body for so long has failed
-    OnStart on_start;
-    OnEnd on_end;
+    std::function<Duration(TimePoint)> time_left;
+    Duration body_stall_timeout =
+        Duration::max();  // an upstream that takes nothing of a body for so long has failed
+    OnResponseStarted on_response_started;
+    OnFinished on_finished;
   };
   enum class ExchangeId : std::uint64_t {};
 
@@ -76,27 +77,28 @@
 
   // What discovery tells of one upstream. Where it drains, is gone, moved or started anew, its idle
   // connections are closed and what has not begun to be written to it ends as not sent.
-  void Apply(const std::string& uid, const Location& location);
+  void Update(const std::string& uid, const Location& location);
   // What discovery tells of all: those that `locations` does not name are gone.
-  void ApplyWhole(const std::map<std::string, Location>& locations);
+  void ReplaceAll(const std::map<std::string, Location>& locations);
   bool empty() const { return pools_.empty(); }
-  bool Knows(const std::string& uid) const { return pools_.contains(uid); }
+  bool Contains(const std::string& uid) const { return pools_.contains(uid); }
   // Taken out by the operators: as one that drains, whatever discovery tells of it.
-  void TakeOut(const std::string& uid, bool out);
+  void SetDisabled(const std::string& uid, bool out);
 
   // `on_end` is called exactly once, also where nothing could be sent, and `on_start` before it where the
   // answer passes through. The request is sent with its X-Timeout-Ms set to the time-out, on a connection
   // that has been idle for `max_idle` at most, or a new one.
-  void Send(ExchangeId id, const std::string& uid, Call call);
-  void Probe(ExchangeId id, const std::string& uid, Duration max_idle, OnEnd on_end);
+  void StartExchange(ExchangeId id, const std::string& uid, ExchangeRequest call);
+  void SendLoadProbe(ExchangeId id, const std::string& uid, Duration max_connection_idle,
+                     OnFinished on_finished);
   // Stops waiting: the connection is closed.
   void Cancel(ExchangeId id);
   // Its request has had its answer: what is not written by now is not written any more. A connection that
   // still comes up is kept for the next one.
-  void NoLongerWanted(ExchangeId id);
+  void AbandonUnsent(ExchangeId id);
   void CloseIdleConnections(const std::string& uid);
   // Closes idle connections for which there is no room any more.
-  void MakeRoom();
+  void EnforceCapacity();
 
  private:
   class Connection;
@@ -107,7 +109,7 @@
   };
   using Pools = std::map<std::string, std::shared_ptr<Pool>>;
 
-  std::shared_ptr<Connection> TakeIdle(Pool& pool, Duration max_idle);
+  std::shared_ptr<Connection> TakeIdle(Pool& pool, Duration max_connection_idle);
   std::shared_ptr<Connection> TakeSoonUsable(Pool& pool);
   struct Opened {
     std::shared_ptr<Connection> connection;  // null where none could be opened
--- a/tests/client_time_test.cpp
+++ b/tests/client_time_test.cpp
@@ -147,10 +147,10 @@
   Listener listener(
       io, Endpoint(boost::asio::ip::make_address("127.0.0.1"), 0), false, std::nullopt, 32 * 1024,
       descriptors, log,
-      [&](HttpRequest, Body, Listener::Reply, Listener::Look look) -> Listener::OnGone {
-        EXPECT_EQ(look(), Listener::Client::kConnected);
+      [&](HttpRequest, Body, Listener::SendResponse, Listener::CheckClient look) -> Listener::OnDisconnected {
+        EXPECT_EQ(look(), Listener::ClientPresence::kConnected);
         client.reset();
-        EXPECT_NE(look(), Listener::Client::kConnected);
+        EXPECT_NE(look(), Listener::ClientPresence::kConnected);
         asked = true;
         return nullptr;
       },
@@ -180,13 +180,13 @@
     auto request = std::make_shared<HttpRequest>(http::verb::get, "/page/k", 11);
     request->set("X-Request-ID", std::to_string(exchange));
     std::optional<ExchangeResult> ended;
-    Upstreams::Call call;
+    Upstreams::ExchangeRequest call;
     call.request = request;
-    call.timeout = call.max_idle = std::chrono::seconds(15);
-    call.wanted = [&, here] { return steps += "look ", here; };
-    call.left = [&](TimePoint) { return steps += "clock ", std::chrono::seconds(15); };
-    call.on_end = [&](ExchangeResult result) { ended = std::move(result); };
-    upstreams.Send(Upstreams::ExchangeId{++exchange}, "u1", std::move(call));
+    call.timeout = call.max_connection_idle = std::chrono::seconds(15);
+    call.client_is_waiting = [&, here] { return steps += "look ", here; };
+    call.time_left = [&](TimePoint) { return steps += "clock ", std::chrono::seconds(15); };
+    call.on_finished = [&](ExchangeResult result) { ended = std::move(result); };
+    upstreams.StartExchange(Upstreams::ExchangeId{++exchange}, "u1", std::move(call));
     while (!ended) io.run_one();
     return ended->outcome;
   };
