--- a/tests/client_time_test.cpp
+++ b/tests/client_time_test.cpp
@@ -173,7 +173,7 @@
   Location location;
   location.endpoint = Endpoint(boost::asio::ip::make_address("127.0.0.1"),
                                static_cast<std::uint16_t>(std::stoi(upstream.address().substr(colon + 1))));
-  upstreams.Apply("u1", location);
+  upstreams.Update("u1", location);
   std::uint64_t exchange = 0;
   std::string steps;
   const auto send = [&](bool here) {
