--- /dev/null
+++ b/tests/connection_pool_test.cpp
@@ -0,0 +1,138 @@
+// Upstream connections: when one is reused, and when it is closed or left out instead.
+#include <atomic>
+#include <chrono>
+#include <future>
+#include <string>
+#include <thread>
+
+#include "gtest/gtest.h"
+#include "tests/peers.h"
+#include "tests/sidecar_steps.h"
+
+namespace lb::sidecar::testing {
+namespace {
+
+using std::chrono::milliseconds;
+
+TEST(ConnectionPool, ReusesOneConnectionForSequentialRequests) {
+  Upstream upstream(Upstream::Echo("u"));
+  Node node(With(List({Target("u1", upstream.address())})));
+  ASSERT_TRUE(node.Listening());
+  Client client(node.port());
+  for (int i = 0; i < 5; ++i) {
+    const auto response = client.Get("/page/" + std::to_string(i), "r" + std::to_string(i));
+    ASSERT_TRUE(response);
+    EXPECT_EQ(response->body(), "u /page/" + std::to_string(i));
+    WaitForConnectionReuse();
+  }
+  EXPECT_EQ(upstream.connections(), 1);
+}
+
+TEST(ConnectionPool, DropsConnectionClosedByTheUpstream) {
+  Gate closed;
+  Upstream upstream([&](Wire& wire, const Request&, int number) {
+    wire.Answer(200, "n" + std::to_string(number));
+    if (number > 0) return;
+    wire.socket.close();
+    closed.Open();
+  });
+  Node node(With(List({Target("u1", upstream.address())})));
+  ASSERT_TRUE(node.Listening());
+  Client client(node.port());
+  ASSERT_TRUE(client.Post("/submit/k", "a1", "x"));
+  closed.Pass();
+  WaitForConnectionReuse();
+  const auto response = client.Post("/submit/k", "a2", "x");
+  ASSERT_TRUE(response);
+  EXPECT_EQ(response->result_int(), 200U);
+  EXPECT_EQ(response->body(), "n1");
+  EXPECT_EQ(upstream.connections(), 2);
+}
+
+TEST(ConnectionPool, ClosesIdleConnectionBeforeTheUpstreamsLimit) {
+  std::promise<bool> ended;
+  Peer peer([&](Wire& wire, int) {
+    if (!wire.ReadRequest()) return;
+    wire.Answer(200, "x");
+    ended.set_value(wire.ReadsEnd());
+  });
+  json settings = Settings();
+  settings["Limits"]["IdleClose"] = 1500000;
+  Node node(With(List({Target("u1", peer.address())}), settings));
+  ASSERT_TRUE(node.Listening());
+  Client client(node.port());
+  ASSERT_TRUE(client.Get("/page/k", "a1"));
+  EXPECT_TRUE(ended.get_future().get());
+}
+
+// The one used last may be fresh while those below it in the pool have been idle for long: each is judged by
+// its own age.
+TEST(ConnectionPool, SkipsConnectionIdleForLongerThanOneFoundDropped) {
+  Gate both;
+  Gate go;
+  std::atomic<int> held{0};
+  Upstream upstream([&](Wire& wire, const Request& request, int) {
+    if (request["X-Request-ID"].starts_with("held")) {
+      if (++held == 2) both.Open();
+      go.Pass();
+    }
+    if (request["X-Request-ID"] == "dropped") return wire.Reset();
+    wire.Answer(200, "x");
+  });
+  json settings = Settings();
+  settings["Limits"]["ConnectTimeout"] = 19000000;  // a reset within a tenth of it is one at once
+  Node node(With(List({Target("u1", upstream.address())}), settings));
+  ASSERT_TRUE(node.Listening());
+  Client a(node.port());
+  Client b(node.port());
+  ASSERT_TRUE(a.Send(PostText("/submit/k", "held1", "x")));
+  ASSERT_TRUE(b.Send(PostText("/submit/k", "held2", "x")));
+  both.Pass();
+  go.Open();
+  ASSERT_TRUE(a.Read());
+  ASSERT_TRUE(b.Read());
+  ASSERT_EQ(upstream.connections(), 2);
+  std::this_thread::sleep_for(milliseconds(500));
+  ASSERT_TRUE(a.Post("/submit/k", "dropped", "x"));
+  EXPECT_EQ(upstream.connections(), 2);
+  const auto response = a.Post("/submit/k", "next", "x");
+  ASSERT_TRUE(response);
+  EXPECT_EQ(response->result_int(), 200U);
+  EXPECT_EQ(upstream.connections(), 3);
+}
+
+TEST(ConnectionPool, LateResponseReachesNoOtherRequest) {
+  Gate late;
+  Upstream upstream([&](Wire& wire, const Request& request, int number) {
+    if (number == 0) late.Pass();
+    wire.Answer(200, std::string(request["X-Request-ID"]));
+  });
+  Node node(With(List({Target("u1", upstream.address())})));
+  ASSERT_TRUE(node.Listening());
+  Client client(node.port());
+  const auto first = client.Post("/submit/k", "slow", "x", 300);
+  ASSERT_TRUE(first);
+  EXPECT_EQ(first->result_int(), 504U);
+  late.Open();
+  const auto second = client.Post("/submit/k", "next", "x");
+  ASSERT_TRUE(second);
+  EXPECT_EQ(second->body(), "next");
+  EXPECT_EQ(upstream.connections(), 2);
+}
+
+TEST(ConnectionPool, DropsConnectionThatTheResponseCloses) {
+  Upstream upstream([](Wire& wire, const Request&, int) { wire.Answer(200, "x", "Connection: close\r\n"); });
+  Node node(With(List({Target("u1", upstream.address())})));
+  ASSERT_TRUE(node.Listening());
+  Client client(node.port());
+  for (const char* id : {"a1", "a2"}) {
+    const auto response = client.Post("/submit/k", id, "x");
+    ASSERT_TRUE(response);
+    EXPECT_EQ(response->result_int(), 200U);
+    WaitForConnectionReuse();
+  }
+  EXPECT_EQ(upstream.connections(), 2);
+}
+
+}  // namespace
+}  // namespace lb::sidecar::testing
--- /dev/null
+++ b/tests/discovery_client_test.cpp
@@ -0,0 +1,152 @@
+// The watch on a local discovery agent: retries, backoff, and the limits that they keep.
+#include <atomic>
+#include <chrono>
+#include <cstddef>
+#include <string>
+#include <thread>
+
+#include "gtest/gtest.h"
+#include "sidecar/discovery.h"
+#include "tests/peers.h"
+#include "tests/sidecar_steps.h"
+
+namespace lb::sidecar::testing {
+namespace {
+
+using std::chrono::milliseconds;
+
+TEST(DiscoveryClient, RecoversFromBrokenSilentAndMalformedDiscovery) {
+  Upstream a(Upstream::Echo("a"));
+  Upstream b(Upstream::Echo("b"));
+  for (const auto mood : {Discovery::Mood::kBreaks, Discovery::Mood::kMalformed, Discovery::Mood::kSilent}) {
+    Discovery discovery(List({Target("u1", a.address())}));
+    Node::Options options = With(nullptr);
+    options.discovery = discovery.address();
+    Node node(options);
+    ASSERT_TRUE(node.Listening());
+    ASSERT_TRUE(BecomesServedBy(node, "a /page/k"));
+    const int calls = discovery.calls();
+    discovery.Set(mood);
+    ASSERT_TRUE(Eventually([&] { return discovery.calls() > calls + 1; }));
+    EXPECT_TRUE(BecomesServedBy(node, "a /page/k"));  // the old list stands
+    discovery.Tell(List({Target("u2", b.address())}));
+    discovery.Set(Discovery::Mood::kAnswers);
+    EXPECT_TRUE(BecomesServedBy(node, "b /page/k"));
+  }
+}
+
+TEST(DiscoveryClient, BackoffGrowsToALimitWithJitter) {
+  const Duration most = milliseconds(75);
+  EXPECT_LT(PauseAfter(1, most, 1), PauseAfter(4, most, 0));
+  for (const int failures : {1, 3, 6, 1000}) {
+    EXPECT_GT(PauseAfter(failures, most, 0), Duration::zero());
+    EXPECT_LT(PauseAfter(failures, most, 0), PauseAfter(failures, most, 0.5));
+    EXPECT_LT(PauseAfter(failures, most, 0.5), PauseAfter(failures, most, 1));
+    EXPECT_LE(PauseAfter(failures, most, 1), most);
+  }
+}
+
+TEST(DiscoveryClient, BackoffLeavesHalfOfTheGraceAfterARecovery) {
+  for (const auto grace : {milliseconds(100), milliseconds(300), milliseconds(2000)}) {
+    const Duration silence = SilencePatience(grace);
+    EXPECT_LE(silence + PauseAfter(1000, silence, 1), grace / 2);
+  }
+  EXPECT_GT(SilencePatience(Duration::zero()), Duration::zero());
+}
+
+TEST(DiscoveryClient, RetriesAMuteAgentWithinTheGrace) {
+  Upstream hung([](Wire& wire, const Request&, int) { wire.ReadsEnd(); });
+  Peer agent([](Wire& wire, int) {
+    wire.ReadRequest();
+    wire.ReadsEnd();
+  });
+  json settings = Settings();
+  settings["Rules"]["StopSendingWithin"] = 40000;
+  Node::Options options = With(List({Target("u1", hung.address())}), settings);
+  options.discovery = agent.address();
+  Node node(options);
+  ASSERT_TRUE(node.Listening());
+  // The request's time-out is the clock: some hundred such graces.
+  Client client(node.port());
+  ASSERT_TRUE(client.Post("/submit/k", "a1", "x", 3000));
+  EXPECT_GT(agent.connections(), 10);
+}
+
+TEST(DiscoveryClient, FollowsASlowAgent) {
+  Upstream a(Upstream::Echo("a"));
+  const std::string list = json{{"rev", 7}, {"all", true}, {"targets", {Target("u1", a.address())}}}.dump(4);
+  const auto slowly = [&](Wire& wire, milliseconds first, std::size_t piece, milliseconds gap) {
+    while (wire.ReadRequest()) {
+      std::this_thread::sleep_for(first);
+      const std::string answer =
+          "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(list.size()) + "\r\n\r\n" + list;
+      for (std::size_t at = 0; at < answer.size(); at += piece) {
+        if (!wire.Write(answer.substr(at, piece))) return;
+        std::this_thread::sleep_for(gap);
+      }
+    }
+  };
+  Peer late([&](Wire& wire, int) { slowly(wire, milliseconds(300), 65536, milliseconds(0)); });
+  Peer in_pieces([&](Wire& wire, int) { slowly(wire, milliseconds(0), 20, milliseconds(20)); });
+  json settings = Settings();
+  settings["Rules"]["StopSendingWithin"] = 400000;
+  for (const std::string& address : {late.address(), in_pieces.address()}) {
+    Node::Options options = With(nullptr, settings);
+    options.discovery = address;
+    Node node(options);
+    ASSERT_TRUE(node.Listening());
+    EXPECT_TRUE(BecomesServedBy(node, "a /page/k"));
+  }
+}
+
+TEST(DiscoveryClient, DoesNotSpinOnAnAgentThatAnswersAtOnce) {
+  Upstream a(Upstream::Echo("a"));
+  std::atomic<int> calls{0};
+  const std::string body =
+      json{{"rev", 1}, {"all", true}, {"targets", List({Target("u1", a.address())})}}.dump();
+  Upstream agent([&](Wire& wire, const Request&, int) {
+    ++calls;
+    wire.Answer(200, body);
+  });
+  Node::Options options = With(nullptr);
+  options.discovery = agent.address();
+  const auto start = std::chrono::steady_clock::now();
+  Node node(options);
+  ASSERT_TRUE(node.Listening());
+  ASSERT_TRUE(Eventually([&] { return calls >= 10; }));
+  EXPECT_GT(std::chrono::steady_clock::now() - start, milliseconds(200));
+}
+
+TEST(DiscoveryClient, WatchContinuesFromTheLastVersion) {
+  Upstream a(Upstream::Echo("a"));
+  std::atomic<bool> watched{false};
+  const std::string body =
+      json{{"rev", 41}, {"all", true}, {"targets", List({Target("u1", a.address())})}}.dump();
+  Upstream agent([&](Wire& wire, const Request& request, int) {
+    if (std::string(request.target()).find("index=41&") != std::string::npos) watched = true;
+    wire.Answer(200, body);
+  });
+  Node::Options options = With(nullptr);
+  options.discovery = agent.address();
+  Node node(options);
+  ASSERT_TRUE(node.Listening());
+  EXPECT_TRUE(Eventually([&] { return watched.load(); }));
+  EXPECT_EQ(agent.requests().front().target(), "/discovery/hosts");
+}
+
+TEST(DiscoveryClient, AnyMissedChangeArrivesWithinTheNotificationLimit) {
+  for (const int grace_ms : {0, 40, 300, 1000, 5000, 60000}) {
+    const Duration silence = SilencePatience(milliseconds(grace_ms));
+    for (const int failures : {1, 4, 1000}) {
+      const Duration pause = PauseAfter(failures, silence, 1);
+      EXPECT_LE(kAgentWatch + silence + pause + silence, kTold) << "a watch falls silent";
+      EXPECT_LE(kAgentWatch + kAgentPatience + pause + silence, kTold) << "or never ends";
+      EXPECT_LE(silence + pause + silence, kTold) << "a call is in vain";
+    }
+  }
+  EXPECT_LE(kServiceWatch + kServiceWatchPatience + kServicePause + kServiceCall, kTold);
+  EXPECT_LE(kServiceCall + lb::kLongestPollPause + kServiceCall, kTold);
+}
+
+}  // namespace
+}  // namespace lb::sidecar::testing
--- /dev/null
+++ b/tests/half_close_test.cpp
@@ -0,0 +1,260 @@
+// A client that ends its sending still gets its responses; one that closes the connection ends its request.
+#include <chrono>
+#include <csignal>
+#include <cstddef>
+#include <future>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "gtest/gtest.h"
+#include "tests/peers.h"
+#include "tests/sidecar_steps.h"
+
+namespace lb::sidecar::testing {
+namespace {
+
+TEST(ClientDisconnect, CancelsTheAttempt) {
+  std::promise<bool> ended;
+  Gate asked;
+  Upstream upstream([&](Wire& wire, const Request&, int) {
+    asked.Open();
+    ended.set_value(wire.ReadsEnd());
+  });
+  Node node(With(List({Target("u1", upstream.address())})));
+  ASSERT_TRUE(node.Listening());
+  {
+    Client client(node.port());
+    ASSERT_TRUE(client.Send(GetText("/page/k", "a1", 15000)));
+    asked.Pass();
+  }
+  EXPECT_TRUE(ended.get_future().get());
+}
+
+// Whoever only ends its sending waits for the answer, also for one that takes an attempt after that end was
+// seen.
+TEST(HalfClose, WaitingClientIsServedAfterAProbe) {
+  Gate asked, go;
+  Upstream upstream([&](Wire& wire, const Request& request, int number) {
+    if (number == 0) {
+      asked.Open();
+      go.Pass();
+      wire.Answer(503, "", "X-Not-Processed: 1\r\n");
+    } else {
+      wire.Answer(200, std::string(request.target()));
+    }
+  });
+  json settings = Settings();
+  settings["Classes"][1]["Aim"] = 15000000;
+  Node node(With(List({Target("u1", upstream.address()), Target("u2", upstream.address())}), settings));
+  ASSERT_TRUE(node.Listening());
+  for (const char* id : {"in work", "at once"}) {
+    Client client(node.port());
+    const std::string target = std::string("/submit/") + id[0];
+    ASSERT_TRUE(client.Send(PostText(target, id[0] == 'i' ? "a1" : "a2", "x", 15000)));
+    if (id[0] == 'i') asked.Pass();
+    client.wire.socket.shutdown(tcp::socket::shutdown_send);
+    if (id[0] == 'i') {
+      // It has been asked whether it is there, and did not say no.
+      const auto interim = client.Read();
+      ASSERT_TRUE(interim);
+      EXPECT_EQ(interim->result_int(), 102U);
+      go.Open();
+    }
+    const auto answer = ReadFinalResponse(client);
+    ASSERT_TRUE(answer) << id;
+    EXPECT_EQ(answer->result_int(), 200U);
+    EXPECT_EQ(answer->body(), target);
+    EXPECT_TRUE(client.wire.ReadsEnd());
+  }
+}
+
+// The bodies of the answers that come until the connection ends; the status where it isn't 200. Nothing comes
+// behind one that says it is the last.
+std::vector<std::string> ReadResponsesUntilClose(Client& client) {
+  std::vector<std::string> bodies;
+  bool goes_on = true;
+  while (const auto answer = ReadFinalResponse(client)) {
+    EXPECT_TRUE(goes_on);
+    goes_on = answer->keep_alive();
+    bodies.push_back(answer->result_int() == 200U ? answer->body() : std::to_string(answer->result_int()));
+  }
+  return bodies;
+}
+
+// Requests sent ahead of the end of sending are all served, in their order.
+TEST(HalfClose, AllPipelinedRequestsAreServed) {
+  Upstream upstream([](Wire& wire, const Request& request, int) {
+    wire.Answer(200, std::string(request.target()) + " " + std::to_string(request.body().size()));
+  });
+  Node node(With(List({Target("u1", upstream.address())})));
+  ASSERT_TRUE(node.Listening());
+  const auto get = [](const std::string& id) { return GetText("/page/" + id, id); };
+  const auto post = [](const std::string& id, std::size_t size) {
+    return PostText("/submit/" + id, id, std::string(size, 'x'));
+  };
+  const std::vector<std::pair<std::string, std::vector<std::string>>> cases = {
+      {get("a1") + get("a2"), {"/page/a1 0", "/page/a2 0"}},
+      {get("b1") + get("b2") + get("b3"), {"/page/b1 0", "/page/b2 0", "/page/b3 0"}},
+      {post("c1", 10) + post("c2", 20), {"/submit/c1 10", "/submit/c2 20"}},
+      {post("d1", 1) + get("d2") + post("d3", 60000), {"/submit/d1 1", "/page/d2 0", "/submit/d3 60000"}},
+      // Held whole, more than is read ahead, passed through.
+      {post("e1", 60000) + post("e2", 60000) + get("e3"),
+       {"/submit/e1 60000", "/submit/e2 60000", "/page/e3 0"}},
+      {get("f1") + post("f2", 300000) + get("f3"), {"/page/f1 0", "/submit/f2 300000", "/page/f3 0"}},
+  };
+  for (const auto& [requests, answers] : cases) {
+    Client client(node.port());
+    ASSERT_TRUE(client.Send(requests));
+    client.wire.socket.shutdown(tcp::socket::shutdown_send);
+    EXPECT_EQ(ReadResponsesUntilClose(client), answers);
+  }
+}
+
+// Likewise where they and the end are there together, as for a process that was short of time; and where the
+// last of them isn't whole, which ends the connection behind the answers to the others.
+TEST(HalfClose, RequestsReadTogetherWithTheEndAreServed) {
+  Upstream upstream(Upstream::Echo("u"));
+  Node node(With(List({Target("u1", upstream.address())})));
+  ASSERT_TRUE(node.Listening());
+  const std::string first = GetText("/page/1", "a1");
+  const std::string last = GetText("/page/2", "a2");
+  const std::string post = PostText("/submit/2", "a3", "12345");
+  struct Case {
+    std::string second;
+    std::size_t answers;
+  };
+  const std::vector<Case> cases = {{last, 2},
+                                   {post, 2},
+                                   {last.substr(0, 30), 1},
+                                   {last.substr(0, last.size() - 1), 1},
+                                   {post.substr(0, post.size() - 1), 1},
+                                   {"\r", 1}};
+  for (std::size_t i = 0; i < cases.size(); ++i) {
+    Client client(node.port());
+    node.Pause();
+    std::string requests = first + cases[i].second;
+    for (std::size_t at = 0; (at = requests.find("ID: a", at)) != std::string::npos; ++at) {
+      requests[at + 4] = static_cast<char>('b' + i);
+    }
+    ASSERT_TRUE(client.Send(requests));
+    client.wire.socket.shutdown(tcp::socket::shutdown_send);
+    node.Signal(SIGCONT);
+    std::size_t answers = 0;
+    while (const auto answer = ReadFinalResponse(client)) {
+      EXPECT_EQ(answer->result_int(), 200U) << i;
+      ++answers;
+    }
+    EXPECT_EQ(answers, cases[i].answers) << i;
+  }
+}
+
+// It stayed neither for the answer to its first request nor for the one to the next, which isn't begun.
+TEST(ClientDisconnect, AfterAHalfCloseStartsNoFurtherRequest) {
+  Gate asked, go;
+  Upstream upstream([&](Wire& wire, const Request& request, int number) {
+    if (number == 0) {
+      asked.Open();
+      go.Pass();
+    }
+    wire.Answer(200, std::string(request.target()));
+  });
+  Node node(With(List({Target("u1", upstream.address())})));
+  ASSERT_TRUE(node.Listening());
+  {
+    Client client(node.port());
+    ASSERT_TRUE(client.Send(GetText("/page/1", "a1", 15000) + GetText("/page/2", "a2", 15000)));
+    asked.Pass();
+    client.wire.socket.shutdown(tcp::socket::shutdown_send);
+    const auto interim = client.Read();
+    ASSERT_TRUE(interim);
+    EXPECT_EQ(interim->result_int(), 102U);
+  }
+  go.Open();
+  Client other(node.port());
+  ASSERT_TRUE(other.Get("/page/3", "a3"));
+  WaitForConnectionReuse();
+  ASSERT_TRUE(other.Get("/page/4", "a4"));
+  for (const auto& request : upstream.requests()) EXPECT_NE(request.target(), "/page/2");
+}
+
+// An answer that fills the connection leaves no room to ask its client whether it is there.
+TEST(HalfClose, SlowReaderIsServed) {
+  const std::string large(2000000, 'x');
+  Upstream upstream([&](Wire& wire, const Request& request, int) {
+    wire.Answer(200, request.target() == "/page/1" ? large : "small");
+  });
+  Node node(With(List({Target("u1", upstream.address())})));
+  ASSERT_TRUE(node.Listening());
+  Client client(node.port());
+  ASSERT_TRUE(client.Send(GetText("/page/1", "a1", 15000) + GetText("/page/2", "a2", 15000)));
+  client.wire.socket.shutdown(tcp::socket::shutdown_send);
+  const auto first = ReadFinalResponse(client);
+  ASSERT_TRUE(first);
+  EXPECT_EQ(first->body().size(), large.size());
+  const auto second = ReadFinalResponse(client);
+  ASSERT_TRUE(second);
+  EXPECT_EQ(second->body(), "small");
+}
+
+// The end of sending is read while the rest of the body still waits for an upstream that takes it slowly.
+TEST(HalfClose, EndBehindALargeBodyIsServed) {
+  Peer upstream(
+      [](Wire& wire, int) {
+        if (const auto request = wire.ReadRequest()) wire.Answer(200, std::to_string(request->body().size()));
+      },
+      true);
+  Node node(With(List({Target("u1", upstream.address())})));
+  ASSERT_TRUE(node.Listening());
+  Client client(node.port());
+  ASSERT_TRUE(client.Send(PostText("/submit/k", "a1", std::string(300000, 'x'), 15000)));
+  client.wire.socket.shutdown(tcp::socket::shutdown_send);
+  EXPECT_EQ(ReadResponsesUntilClose(client), std::vector<std::string>{"300000"});
+}
+
+// The client's end is behind bytes that there is no room for: its request must not begin when a connection
+// for it comes up at last.
+TEST(ClientDisconnect, BehindMoreThanTheReadBufferIsNoticed) {
+  std::promise<bool> ended;
+  Gate asked;
+  Upstream upstream([&](Wire& wire, const Request&, int) {
+    asked.Open();
+    ended.set_value(wire.ReadsEnd());
+  });
+  json settings = Settings();
+  settings["Classes"][0]["Aim"] = 40000000;
+  Node node(With(List({Target("u1", upstream.address())}), settings));
+  ASSERT_TRUE(node.Listening());
+  {
+    Client client(node.port());
+    ASSERT_TRUE(
+        client.Send(GetText("/page/k", "a1", 40000) + PostText("/submit/k", "a2", std::string(60000, 'x'))));
+    asked.Pass();
+  }
+  EXPECT_EQ(ended.get_future().wait_for(std::chrono::seconds(20)), std::future_status::ready)
+      << "the time of the request is twice that";
+}
+
+// A request and its client's close are there together, as for a process that was short of time: nothing
+// begins.
+TEST(ClientDisconnect, BeforeItsRequestIsReadStartsNothing) {
+  Upstream upstream(Upstream::Echo("u"));
+  Node node(With(List({Target("u1", upstream.address())})));
+  ASSERT_TRUE(node.Listening());
+  Client before(node.port());
+  ASSERT_TRUE(before.Get("/page/k", "a0"));
+  node.Pause();
+  for (int i = 1; i <= 20; ++i) {
+    Client leaves(node.port());
+    ASSERT_TRUE(leaves.Send(GetText("/page/k", "a" + std::to_string(i))));
+  }
+  node.Signal(SIGCONT);
+  // They are ahead of this one in the listener's queue.
+  Client stays(node.port());
+  ASSERT_TRUE(stays.Get("/page/k", "b"));
+  ASSERT_TRUE(stays.Get("/page/k", "c"));
+  EXPECT_EQ(upstream.requests().size(), 3u);
+}
+
+}  // namespace
+}  // namespace lb::sidecar::testing
--- /dev/null
+++ b/tests/membership_updates_test.cpp
@@ -0,0 +1,175 @@
+// Endpoint lists and changes to them, from the discovery service to the upstreams that requests reach.
+#include <atomic>
+#include <cstddef>
+#include <functional>
+#include <string>
+
+#include "gtest/gtest.h"
+#include "sidecar/discovery.h"
+#include "tests/peers.h"
+#include "tests/sidecar_steps.h"
+
+namespace lb::sidecar::testing {
+namespace {
+
+TEST(MembershipUpdates, StartFromKnownUpstreamsWhileDiscoveryIsDown) {
+  Upstream upstream(Upstream::Echo("u"));
+  Node node(With(List({Target("u1", upstream.address())})));
+  ASSERT_TRUE(node.Listening());
+  Client client(node.port());
+  const auto response = client.Get("/page/k", "a1");
+  ASSERT_TRUE(response);
+  EXPECT_EQ(response->result_int(), 200U);
+}
+
+TEST(MembershipUpdates, FollowListsChangesAndMoves) {
+  Upstream a(Upstream::Echo("a"));
+  Upstream b(Upstream::Echo("b"));
+  Upstream c(Upstream::Echo("c"));
+  Discovery discovery(List({Target("u1", a.address())}));
+  Node::Options options = With(nullptr);
+  options.discovery = discovery.address();
+  Node node(options);
+  ASSERT_TRUE(node.Listening());
+  EXPECT_TRUE(BecomesServedBy(node, "a /page/k"));
+  discovery.Tell(List({Target("u2", b.address())}), true);  // u1 is missing: it is gone
+  EXPECT_TRUE(BecomesServedBy(node, "b /page/k"));
+  discovery.Tell(List({Target("u2", c.address())}), false);  // moved
+  EXPECT_TRUE(BecomesServedBy(node, "c /page/k"));
+  const std::size_t before = a.requests().size() + b.requests().size();
+  for (int i = 0; i < 10; ++i) EXPECT_TRUE(BecomesServedBy(node, "c /page/k"));
+  EXPECT_EQ(a.requests().size() + b.requests().size(), before);
+  discovery.Tell(List({Target("u2", c.address(), "left"), Target("u1", a.address())}), false);
+  EXPECT_TRUE(BecomesServedBy(node, "a /page/k"));
+}
+
+TEST(MembershipUpdates, SendNothingNewToADrainingUpstream) {
+  Gate asked;
+  Gate go;
+  Upstream leaving([&](Wire& wire, const Request& request, int) {
+    if (request.target() == "/submit/held") {
+      asked.Open();
+      go.Pass();
+    }
+    wire.Answer(200, "old");
+  });
+  Upstream staying(Upstream::Echo("new"));
+  Discovery discovery(List({Target("u1", leaving.address())}));
+  Node::Options options = With(List({Target("u1", leaving.address())}));
+  options.discovery = discovery.address();
+  Node node(options);
+  ASSERT_TRUE(node.Listening());
+  Client held(node.port());
+  ASSERT_TRUE(held.Send(PostText("/submit/held", "h1", "x", 15000)));
+  asked.Pass();
+  discovery.Tell(List({Target("u1", leaving.address(), "leaving"), Target("u2", staying.address())}), false);
+  ASSERT_TRUE(BecomesServedBy(node, "new /page/k"));
+  const std::size_t before = leaving.requests().size();
+  for (int i = 0; i < 20; ++i) EXPECT_TRUE(BecomesServedBy(node, "new /page/k"));
+  EXPECT_EQ(leaving.requests().size(), before);
+  go.Open();  // what it had is finished
+  const auto response = held.Read();
+  ASSERT_TRUE(response);
+  EXPECT_EQ(response->body(), "old");
+}
+
+TEST(MembershipUpdates, CancelAConnectingAttemptWhenItsUpstreamDrains) {
+  BlackHole hole;
+  Upstream staying(Upstream::Echo("new"));
+  Discovery discovery(List({Target("u1", hole.address())}));
+  json settings = Settings();
+  settings["Limits"]["ConnectTimeout"] = 60000000;
+  Node::Options options = With(List({Target("u1", hole.address())}), settings);
+  options.discovery = discovery.address();
+  Node node(options);
+  ASSERT_TRUE(node.Listening());
+  const int idle = node.descriptors();
+  Client client(node.port());
+  ASSERT_TRUE(client.Send(PostText("/submit/k", "a1", "x", 15000)));
+  ASSERT_TRUE(Eventually([&] { return node.descriptors() >= idle + 2; }));  // the client and the attempt
+  discovery.Tell(List({Target("u1", hole.address(), "leaving"), Target("u2", staying.address())}), false);
+  const auto response = client.Read();
+  ASSERT_TRUE(response);
+  EXPECT_EQ(response->body(), "new /submit/k");
+}
+
+// Of a damaged list nothing is taken, not even what can be read.
+TEST(MembershipUpdates, RejectDamagedListsWholeAndNameTheFault) {
+  const UnixClock clock;
+  const json good{{"rev", 3}, {"all", true}, {"targets", List({Target("u1", "127.0.0.1:1", "active", 5)})}};
+  EXPECT_EQ(ParseList(good, clock).locations.size(), 1u);
+  const auto named = [&](const std::string& name, const std::function<void(json&)>& damage) {
+    json body = good;
+    damage(body);
+    try {
+      ParseList(body, clock);
+    } catch (const std::exception& e) {
+      return std::string(e.what()).find(name) != std::string::npos;
+    }
+    return false;
+  };
+  EXPECT_TRUE(named("two lines for u1", [](json& b) { b["targets"].push_back(b["targets"][0]); }));
+  EXPECT_TRUE(named("empty uid", [](json& b) { b["targets"][0]["uid"] = ""; }));
+  EXPECT_TRUE(named("unknown state", [](json& b) { b["targets"][0]["state"] = "asleep"; }));
+  EXPECT_TRUE(named("bad endpoint", [](json& b) { b["targets"][0]["endpoint"] = "nowhere"; }));
+  EXPECT_TRUE(named("bad capacity_hint", [](json& b) { b["targets"][0]["capacity_hint"] = -1; }));
+  EXPECT_TRUE(named("bad boot_ms", [](json& b) { b["targets"][0]["boot_ms"] = -5; }));
+  EXPECT_TRUE(named("bad boot_ms", [](json& b) { b["targets"][0]["boot_ms"] = 1e300; }));
+  EXPECT_TRUE(named("bad pod_group", [](json& b) { b["targets"][0]["pod_group"] = -1e300; }));
+  EXPECT_TRUE(named("bad rev", [](json& b) { b["rev"] = -1; }));
+  EXPECT_TRUE(named("bad rev", [](json& b) { b["rev"] = 1e300; }));
+  EXPECT_TRUE(named("type", [](json& b) { b["all"] = 1; }));
+  EXPECT_TRUE(named("type", [](json& b) { b["rev"] = "3"; }));
+  EXPECT_TRUE(named("rev", [](json& b) { b.erase("rev"); }));
+  EXPECT_TRUE(named("no array", [](json& b) { b["targets"] = 7; }));
+}
+
+// 350 processes and some hundreds of upstreams are usual; more than a thousand have to work.
+TEST(MembershipUpdates, FollowAThousandUpstreams) {
+  Upstream old(Upstream::Echo("old"));
+  Upstream fresh(Upstream::Echo("new"));
+  const int count = 1024;
+  json whole = json::array(), drains = json::array();
+  for (int i = 0; i < count; ++i) {
+    const std::string uid = "s-" + std::to_string(i);
+    whole.push_back(Target(uid, old.address()));
+    drains.push_back(
+        Target(uid, i < count - 1 ? old.address() : fresh.address(), i < count - 1 ? "leaving" : "active"));
+  }
+  Discovery discovery(whole);
+  Node::Options options = With(whole);
+  options.discovery = discovery.address();
+  Node node(options);
+  ASSERT_TRUE(node.Listening());
+  ASSERT_TRUE(BecomesServedBy(node, "old /page/k"));
+  discovery.Tell(drains, false);
+  ASSERT_TRUE(BecomesServedBy(node, "new /page/k"));
+  const std::size_t before = old.requests().size();
+  for (int i = 0; i < 20; ++i) EXPECT_TRUE(BecomesServedBy(node, "new /page/k"));
+  EXPECT_EQ(old.requests().size(), before);
+  discovery.Tell(whole, true);
+  EXPECT_TRUE(BecomesServedBy(node, "old /page/k"));
+}
+
+// What was counted elsewhere is no base for changes.
+TEST(MembershipUpdates, FetchTheWholeListAfterAnOlderVersion) {
+  Upstream a(Upstream::Echo("a"));
+  std::atomic<int> whole{0};
+  const json list = List({Target("u1", a.address())});
+  Upstream agent([&](Wire& wire, const Request& request, int) {
+    const bool watch = std::string(request.target()).find("index=") != std::string::npos;
+    whole += !watch;
+    wire.Answer(
+        200,
+        json{{"rev", watch ? 3 : 41}, {"all", !watch}, {"targets", watch ? json::array() : list}}.dump());
+  });
+  Node::Options options = With(nullptr);
+  options.discovery = agent.address();
+  Node node(options);
+  ASSERT_TRUE(node.Listening());
+  EXPECT_TRUE(Eventually([&] { return whole >= 3; }));
+  EXPECT_TRUE(BecomesServedBy(node, "a /page/k"));
+}
+
+}  // namespace
+}  // namespace lb::sidecar::testing
--- /dev/null
+++ b/tests/response_framing_test.cpp
@@ -0,0 +1,143 @@
+// Responses that violate HTTP/1.1 framing, and bytes that belong to no request.
+#include <atomic>
+#include <chrono>
+#include <string>
+
+#include "gtest/gtest.h"
+#include "sidecar/upstreams.h"
+#include "tests/peers.h"
+#include "tests/sidecar_steps.h"
+
+namespace lb::sidecar::testing {
+namespace {
+
+// What an unsafe request gets for an upstream that sends these bytes and leaves the connection open.
+unsigned StatusForBytes(const std::string& bytes) {
+  Upstream upstream([&](Wire& wire, const Request&, int) { wire.Write(bytes); });
+  const unsigned status = NonIdempotentStatus(upstream.address(), 1000);
+  EXPECT_EQ(upstream.requests().size(), 1U) << bytes.substr(0, 80);
+  return status;
+}
+
+TEST(ResponseFraming, AmbiguousLengthFails) {
+  for (const char* head :
+       {"Transfer-Encoding: gzip\r\n", "Transfer-Encoding: chunked, gzip\r\n", "Content-Length: -5\r\n",
+        "Content-Length: 3000000000\r\n", "Content-Length: 4\r\nTransfer-Encoding: gzip\r\n",
+        "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n",
+        "Content-Length: 4\r\nContent-Length: 5\r\n"}) {
+    EXPECT_EQ(StatusForBytes(std::string("HTTP/1.1 200 OK\r\n") + head + "\r\nbody"), 502U) << head;
+  }
+}
+
+// That is a form of HTTP/1.1, too; but a reset is no end.
+TEST(ResponseFraming, EndOfConnectionCompletesTheBodyAndAResetDoesNot) {
+  Upstream ends([](Wire& wire, const Request&, int) {
+    wire.Write("HTTP/1.1 200 OK\r\n\r\nall of it");
+    wire.socket.close();
+  });
+  EXPECT_EQ(NonIdempotentStatus(ends.address(), 5000), 200U);
+  Upstream breaks([](Wire& wire, const Request&, int) {
+    wire.Write("HTTP/1.1 200 OK\r\n\r\n");
+    wire.Reset();
+  });
+  EXPECT_EQ(NonIdempotentStatus(breaks.address(), 5000), 502U);
+}
+
+TEST(ResponseFraming, EndlessInterimResponsesFail) {
+  std::string many;
+  for (int i = 0; i < 100; ++i) many += "HTTP/1.1 103 Early Hints\r\n\r\n";
+  EXPECT_EQ(StatusForBytes(many), 502U);
+  EXPECT_EQ(StatusForBytes("HTTP/1.1 101 Switching Protocols\r\n\r\n"), 502U);
+}
+
+// Guards against an answer that is none: the request can't have been read.
+TEST(ResponseFraming, ResponseBeforeTheLastRequestByteIsIgnored) {
+  if (BytesAcceptedUnread() >= 65536) GTEST_SKIP() << "this system takes a whole message that nobody reads";
+  Gate end;
+  Peer peer(
+      [&](Wire& wire, int) {
+        wire.Answer(200, "too early");
+        end.Pass();
+      },
+      true);
+  EXPECT_EQ(NonIdempotentStatus(peer.address(), 5000, 65536), 503U);
+  end.Open();
+}
+
+// Bytes that come while a connection is idle must never be read as the next answer, whole or in part.
+TEST(ResponseFraming, ExcessBytesReachNoOtherRequest) {
+  const std::string copy = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray";
+  for (const std::string& stray : {copy, copy.substr(0, 20), std::string("noise")}) {
+    for (const bool later : {false, true}) {
+      Gate answered;
+      Gate strayed;
+      Upstream upstream([&](Wire& wire, const Request& request, int number) {
+        const std::string id(request["X-Request-ID"]);
+        const std::string answer =
+            "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(id.size()) + "\r\n\r\n" + id;
+        wire.Write(answer + (number == 0 && !later ? stray : ""));
+        if (number > 0) return;
+        if (later) {
+          answered.Pass();
+          wire.Write(stray);
+        }
+        strayed.Open();
+      });
+      Node node(With(List({Target("u1", upstream.address())})));
+      ASSERT_TRUE(node.Listening());
+      Client client(node.port());
+      const auto first = client.Post("/submit/k", "one", "x");
+      ASSERT_TRUE(first);
+      EXPECT_EQ(first->body(), "one");
+      answered.Open();
+      strayed.Pass();
+      WaitForConnectionReuse();
+      const auto second = client.Post("/submit/k", "two", "x");
+      ASSERT_TRUE(second);
+      EXPECT_EQ(second->body(), "two");
+      EXPECT_EQ(upstream.connections(), 2);
+    }
+  }
+}
+
+// The second answer is written once the next request has come, where that is within the time that the program
+// allows for it: on the same connection it would be that request's.
+TEST(ResponseFraming, SecondResponseReachesNoOtherRequest) {
+  using Clock = std::chrono::steady_clock;
+  std::atomic<int> crossings{0};
+  for (int round = 0; round < 100 && crossings < 3; ++round) {
+    std::atomic<Clock::time_point> answered;
+    Upstream upstream([&](Wire& wire, const Request& request, int) {
+      const std::string id(request["X-Request-ID"]);
+      if (id == "one") {
+        answered = Clock::now();  // the program can't have read it sooner
+      } else if (Clock::now() - answered.load() < kSecondAnswer) {
+        ++crossings;
+        if (upstream.connections() == 1) wire.Answer(200, "one");
+      }
+      wire.Answer(200, id);
+    });
+    Node node(With(List({Target("u1", upstream.address())})));
+    ASSERT_TRUE(node.Listening());
+    Client client(node.port());
+    ASSERT_TRUE(client.Send(PostText("/submit/k", "one", "x") + PostText("/submit/k", "two", "x")));
+    ASSERT_TRUE(client.Read());
+    const auto second = client.Read();
+    ASSERT_TRUE(second);
+    EXPECT_EQ(second->body(), "two");
+  }
+  EXPECT_GT(crossings, 0);
+}
+
+TEST(ResponseFraming, MalformedLoadReportLeavesTheResponseValid) {
+  for (const char* report :
+       {"inflight=nan", "inflight=inf,queue=2", "util=-1", "queue=1e300", "inflight=", "=,=,"}) {
+    Upstream upstream([&](Wire& wire, const Request&, int) {
+      wire.Answer(200, "good", "X-Server-Load: " + std::string(report) + "\r\n");
+    });
+    EXPECT_EQ(NonIdempotentStatus(upstream.address(), 5000), 200U) << report;
+  }
+}
+
+}  // namespace
+}  // namespace lb::sidecar::testing
--- /dev/null
+++ b/tests/sidecar_steps.cpp
@@ -0,0 +1,53 @@
+#include "tests/sidecar_steps.h"
+
+#include <boost/asio/buffer.hpp>
+#include <boost/asio/io_context.hpp>
+#include <boost/system/error_code.hpp>
+#include <thread>
+
+#include "sidecar/upstreams.h"
+
+namespace lb::sidecar::testing {
+
+unsigned NonIdempotentStatus(const std::string& address, int timeout_ms, std::size_t body) {
+  Node node(With(List({Target("u1", address)})));
+  if (!node.Listening()) return 0;
+  Client client(node.port());
+  const auto response = client.Post("/submit/k", "a1", std::string(body, 'x'), timeout_ms);
+  return response ? response->result_int() : 0;
+}
+
+void WaitForConnectionReuse() { std::this_thread::sleep_for(kSecondAnswer); }
+
+std::size_t BytesAcceptedUnread() {
+  boost::asio::io_context io;
+  tcp::acceptor acceptor(io, tcp::v4());
+  MakeNarrow(acceptor);
+  acceptor.bind({boost::asio::ip::make_address_v4("127.0.0.1"), 0});
+  acceptor.listen();
+  tcp::socket socket(io);
+  socket.connect(acceptor.local_endpoint());
+  socket.non_blocking(true);
+  boost::system::error_code error;
+  const std::string bytes(65536, 'x');
+  std::size_t taken = 0;
+  while (!error && taken < bytes.size()) taken += socket.write_some(boost::asio::buffer(bytes), error);
+  return taken;
+}
+
+std::optional<Response> ReadFinalResponse(Client& client) {
+  auto response = client.Read();
+  while (response && response->result_int() == 102U) response = client.Read();
+  return response;
+}
+
+bool BecomesServedBy(Node& node, const std::string& body) {
+  static int number = 0;
+  return Eventually([&] {
+    Client client(node.port());
+    const auto response = client.Get("/page/k", "w" + std::to_string(number++));
+    return response && response->body() == body;
+  });
+}
+
+}  // namespace lb::sidecar::testing
