--- a/tests/attempt_outcome_test.cpp
+++ b/tests/attempt_outcome_test.cpp
@@ -6,6 +6,7 @@
 #include <string>
 
 #include "gtest/gtest.h"
+#include "tests/gated_upstream.h"
 #include "tests/peers.h"
 #include "tests/sidecar_steps.h"
 
@@ -90,19 +91,17 @@
 }
 
 TEST(AttemptOutcome, MissingResponseEndsAtTheClientsDeadline) {
-  Gate end;
-  Upstream upstream([&](Wire&, const Request&, int) { end.Pass(); });
+  GatedUpstream upstream;
   EXPECT_EQ(NonIdempotentStatus(upstream.address(), 300), 504U);
   EXPECT_EQ(upstream.requests().size(), 1U);
-  end.Open();
 }
 
 TEST(AttemptOutcome, IdempotentRequestIsRetriedOnAnotherUpstream) {
   Upstream good(Upstream::Echo("good"));
   Upstream bad([](Wire& wire, const Request&, int) { wire.Answer(500, "x"); });
-  Node node(With(List({Target("u1", good.address()), Target("u2", bad.address())})));
-  ASSERT_TRUE(node.Listening());
-  Client client(node.port());
+  SidecarProcess sidecar(With(List({Target("u1", good.address()), Target("u2", bad.address())})));
+  ASSERT_TRUE(sidecar.Listening());
+  Client client(sidecar.port());
   for (int i = 0; i < 8; ++i) {
     const auto response = client.Get("/page/k", "s" + std::to_string(i));
     ASSERT_TRUE(response);
@@ -114,9 +113,9 @@
 
 TEST(AttemptOutcome, RejectionCarriesRetryAfter) {
   Refusing refusing;
-  Node node(With(List({Target("u1", refusing.address())})));
-  ASSERT_TRUE(node.Listening());
-  Client client(node.port());
+  SidecarProcess sidecar(With(List({Target("u1", refusing.address())})));
+  ASSERT_TRUE(sidecar.Listening());
+  Client client(sidecar.port());
   const auto response = client.Get("/page/k", "a1");
   ASSERT_TRUE(response);
   EXPECT_EQ(response->result_int(), 503U);
@@ -133,9 +132,9 @@
   settings["Limits"]["SecondCopies"] = true;
   settings["Limits"]["ConnectTimeout"] = 15000000;
   settings["Classes"][0]["Aim"] = 15000000;
-  Node node(With(List({Target("u1", late.address()), Target("u2", good.address())}), settings));
-  ASSERT_TRUE(node.Listening());
-  Client client(node.port());
+  SidecarProcess sidecar(With(List({Target("u1", late.address()), Target("u2", good.address())}), settings));
+  ASSERT_TRUE(sidecar.Listening());
+  Client client(sidecar.port());
   int number = 0;
   const auto served = [&] {
     const auto response = client.Get("/page/k", "r" + std::to_string(number++), 15000);
@@ -187,11 +186,11 @@
   settings["Classes"][2]["KeyScope"] = "zone";
   settings["Classes"][2]["Aim"] = 15000000;
   settings["Classes"][2]["Window"] = 4000000;
-  Node::Options options = With(List({first}), settings);
+  SidecarProcess::Options options = With(List({first}), settings);
   options.discovery = discovery.address();
-  Node node(options);
-  ASSERT_TRUE(node.Listening());
-  Client client(node.port());
+  SidecarProcess sidecar(options);
+  ASSERT_TRUE(sidecar.Listening());
+  Client client(sidecar.port());
   ASSERT_TRUE(client.Send(PostText("/keyed/k", "a1", "x", 15000, "Idempotency-Key: 1\r\n")));
   ASSERT_TRUE(Eventually([&] { return resets.requests().size() == 1; }));
   discovery.Tell(List({first, Target("u2", late.address())}));
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -10,8 +10,8 @@
 namespace lb::sidecar::testing {
 namespace {
 
-std::string ConfigWithDiscovery(const Node& node, const std::string& discovery) {
-  json config = node.config();
+std::string ConfigWithDiscovery(const SidecarProcess& sidecar, const std::string& discovery) {
+  json config = sidecar.config();
   config["discovery"] = discovery;
   return config.dump();
 }
@@ -24,85 +24,85 @@
   for (int i = 0; i < 5; ++i)
     first.Tell(List({Target("u1", a.address())}));  // a higher version than the next
   Discovery second(List({Target("u2", b.address())}));
-  Node::Options options = With(nullptr);
+  SidecarProcess::Options options = With(nullptr);
   options.discovery = first.address();
-  Node node(options);
-  ASSERT_TRUE(node.Listening());
-  ASSERT_TRUE(BecomesServedBy(node, "a /page/k"));
-  node.Reload(ConfigWithDiscovery(node, second.address()));  // with a watch open
-  EXPECT_TRUE(BecomesServedBy(node, "b /page/k"));
+  SidecarProcess sidecar(options);
+  ASSERT_TRUE(sidecar.Listening());
+  ASSERT_TRUE(BecomesServedBy(sidecar, "a /page/k"));
+  sidecar.Reload(ConfigWithDiscovery(sidecar, second.address()));  // with a watch open
+  EXPECT_TRUE(BecomesServedBy(sidecar, "b /page/k"));
   first.Set(Discovery::Mood::kBreaks);
-  node.Reload(ConfigWithDiscovery(node, first.address()));
-  ASSERT_TRUE(Eventually([&] { return node.log().find("discovery: ") != std::string::npos; }));
-  EXPECT_TRUE(BecomesServedBy(node, "b /page/k"));  // the old list stands
-  for (int i = 0; i < 3; ++i) node.Reload(ConfigWithDiscovery(node, second.address()));
+  sidecar.Reload(ConfigWithDiscovery(sidecar, first.address()));
+  ASSERT_TRUE(Eventually([&] { return sidecar.log().find("discovery: ") != std::string::npos; }));
+  EXPECT_TRUE(BecomesServedBy(sidecar, "b /page/k"));  // the old list stands
+  for (int i = 0; i < 3; ++i) sidecar.Reload(ConfigWithDiscovery(sidecar, second.address()));
   second.Tell(List({Target("u1", a.address())}));
-  EXPECT_TRUE(BecomesServedBy(node, "a /page/k"));
-  node.Signal(SIGTERM);
-  node.Reload(ConfigWithDiscovery(node, first.address()));  // in a drain
-  EXPECT_EQ(node.Wait(), 0);
+  EXPECT_TRUE(BecomesServedBy(sidecar, "a /page/k"));
+  sidecar.Signal(SIGTERM);
+  sidecar.Reload(ConfigWithDiscovery(sidecar, first.address()));  // in a drain
+  EXPECT_EQ(sidecar.Wait(), 0);
 }
 
 TEST(ConfigurationReload, LogsAFaultAndKeepsTheOldConfiguration) {
   Upstream a(Upstream::Echo("a"));
   Upstream b(Upstream::Echo("b"));
   Discovery discovery(List({Target("u1", a.address())}));
-  Node::Options options = With(nullptr);
+  SidecarProcess::Options options = With(nullptr);
   options.discovery = discovery.address();
-  Node node(options);
-  ASSERT_TRUE(node.Listening());
-  ASSERT_TRUE(BecomesServedBy(node, "a /page/k"));
-  json known = node.config();
+  SidecarProcess sidecar(options);
+  ASSERT_TRUE(sidecar.Listening());
+  ASSERT_TRUE(BecomesServedBy(sidecar, "a /page/k"));
+  json known = sidecar.config();
   known["known"] = {{"no", "list"}};
-  json settings = node.config();
+  json settings = sidecar.config();
   settings["settings"]["Classes"][0]["Aim"] = -1;
-  for (const auto& text : {std::string("{"), ConfigWithDiscovery(node, "nowhere"), known.dump(),
+  for (const auto& text : {std::string("{"), ConfigWithDiscovery(sidecar, "nowhere"), known.dump(),
                            settings.dump(), std::string()}) {
-    const auto faults = [&node] {
-      const std::string log = node.log();
+    const auto faults = [&sidecar] {
+      const std::string log = sidecar.log();
       int count = 0;
       for (auto at = log.find("not taken"); at != std::string::npos; at = log.find("not taken", at + 1))
         ++count;
       return count;
     };
     const int before = faults();
-    node.Reload(text);
+    sidecar.Reload(text);
     EXPECT_TRUE(Eventually([&] { return faults() > before; })) << text;
   }
   discovery.Tell(List({Target("u2", b.address())}));
-  EXPECT_TRUE(BecomesServedBy(node, "b /page/k"));
+  EXPECT_TRUE(BecomesServedBy(sidecar, "b /page/k"));
 }
 
 // The file can be replaced under a running process, its environment can't: after a restart it counts too.
 TEST(ConfigurationReload, PrefersTheFileToTheEnvironment) {
   Upstream a(Upstream::Echo("a"));
   Discovery discovery(List({Target("u1", a.address())}));
-  Node::Options options = With(nullptr);
+  SidecarProcess::Options options = With(nullptr);
   options.discovery = "127.0.0.1:1";
-  json config = Node(options).config();
+  json config = SidecarProcess(options).config();
   config["discovery"] = discovery.address();
   options.config_text = config.dump();
-  Node node(options);
-  ASSERT_TRUE(node.Listening());
-  EXPECT_TRUE(BecomesServedBy(node, "a /page/k"));
+  SidecarProcess sidecar(options);
+  ASSERT_TRUE(sidecar.Listening());
+  EXPECT_TRUE(BecomesServedBy(sidecar, "a /page/k"));
 }
 
 TEST(Startup, BindsTheSameAddressAtOnceAfterAKill) {
   Upstream upstream(Upstream::Echo("u"));
   std::uint16_t port = 0;
   {
-    Node node(With(List({Target("u1", upstream.address())})));
-    ASSERT_TRUE(node.Listening());
-    port = node.port();
+    SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
+    ASSERT_TRUE(sidecar.Listening());
+    port = sidecar.port();
     Client client(port);
     ASSERT_TRUE(client.Get("/page/k", "a1"));
-    node.Signal(SIGKILL);
-    EXPECT_EQ(node.Wait(), 128 + SIGKILL);
+    sidecar.Signal(SIGKILL);
+    EXPECT_EQ(sidecar.Wait(), 128 + SIGKILL);
   }
-  Node::Options options = With(List({Target("u1", upstream.address())}));
+  SidecarProcess::Options options = With(List({Target("u1", upstream.address())}));
   options.listen = "127.0.0.1:" + std::to_string(port);
-  Node node(options);
-  ASSERT_TRUE(node.Listening());
+  SidecarProcess sidecar(options);
+  ASSERT_TRUE(sidecar.Listening());
   Client client(port);
   const auto response = client.Get("/page/k", "a1");
   ASSERT_TRUE(response);
@@ -111,33 +111,33 @@
 
 // Clients come once it says yes: not before there is anybody to serve them.
 TEST(Startup, ReportsUpOnceThereIsAnUpstream) {
-  const auto up = [](Node& node) {
-    Client client(node.port());
+  const auto up = [](SidecarProcess& sidecar) {
+    Client client(sidecar.port());
     client.Send("GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
     const auto response = client.Read();
     return response ? response->result_int() : 0;
   };
   Upstream upstream(Upstream::Echo("u"));
   const json list = List({Target("u1", upstream.address())});
-  Node known(With(list));
+  SidecarProcess known(With(list));
   ASSERT_TRUE(known.Listening());
   EXPECT_EQ(up(known), 200U) << "discovery is down";
   Discovery discovery(json::array());
-  Node::Options options = With(json::array());
+  SidecarProcess::Options options = With(json::array());
   options.discovery = discovery.address();
-  Node node(options);
-  ASSERT_TRUE(node.Listening());
+  SidecarProcess sidecar(options);
+  ASSERT_TRUE(sidecar.Listening());
   ASSERT_TRUE(Eventually([&] { return discovery.calls() > 1; }));
-  EXPECT_EQ(up(node), 503U);
+  EXPECT_EQ(up(sidecar), 503U);
   discovery.Tell(list);
-  EXPECT_TRUE(Eventually([&] { return up(node) == 200U; }));
+  EXPECT_TRUE(Eventually([&] { return up(sidecar) == 200U; }));
 }
 
 // The one line on standard error that a bad start leaves; checks the exit code.
-std::string FailedStartLog(const Node::Options& options) {
-  Node node(options);
-  EXPECT_NE(node.Wait(), 0);
-  const std::string log = node.log();
+std::string FailedStartLog(const SidecarProcess::Options& options) {
+  SidecarProcess sidecar(options);
+  EXPECT_NE(sidecar.Wait(), 0);
+  const std::string log = sidecar.log();
   EXPECT_EQ(std::count(log.begin(), log.end(), '\n'), 1) << log;
   return log;
 }
@@ -147,11 +147,11 @@
     return text.find(part) != std::string::npos;
   };
   for (const char* name : {"LB_NAME", "LB_LISTEN", "LB_DISCOVERY", "LB_CONFIG"}) {
-    Node::Options options = With(nullptr);
+    SidecarProcess::Options options = With(nullptr);
     options.unset = {name};
     EXPECT_TRUE(has(FailedStartLog(options), name));
   }
-  Node::Options options = With(nullptr);
+  SidecarProcess::Options options = With(nullptr);
   options.listen = "nowhere";
   EXPECT_TRUE(has(FailedStartLog(options), "LB_LISTEN"));
   options = With(nullptr);
@@ -192,7 +192,7 @@
 
 TEST(Startup, NamesAnAddressInUse) {
   Peer peer([](Wire&, int) {});
-  Node::Options options = With(nullptr);
+  SidecarProcess::Options options = With(nullptr);
   options.listen = peer.address();
   EXPECT_NE(FailedStartLog(options).find(peer.address()), std::string::npos);
 }
--- a/tests/connection_pool_test.cpp
+++ b/tests/connection_pool_test.cpp
@@ -6,6 +6,7 @@
 #include <thread>
 
 #include "gtest/gtest.h"
+#include "tests/gated_upstream.h"
 #include "tests/peers.h"
 #include "tests/sidecar_steps.h"
 
@@ -16,9 +17,9 @@
 
 TEST(ConnectionPool, ReusesOneConnectionForSequentialRequests) {
   Upstream upstream(Upstream::Echo("u"));
-  Node node(With(List({Target("u1", upstream.address())})));
-  ASSERT_TRUE(node.Listening());
-  Client client(node.port());
+  SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
+  ASSERT_TRUE(sidecar.Listening());
+  Client client(sidecar.port());
   for (int i = 0; i < 5; ++i) {
     const auto response = client.Get("/page/" + std::to_string(i), "r" + std::to_string(i));
     ASSERT_TRUE(response);
@@ -36,9 +37,9 @@
     wire.socket.close();
     closed.Open();
   });
-  Node node(With(List({Target("u1", upstream.address())})));
-  ASSERT_TRUE(node.Listening());
-  Client client(node.port());
+  SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
+  ASSERT_TRUE(sidecar.Listening());
+  Client client(sidecar.port());
   ASSERT_TRUE(client.Post("/submit/k", "a1", "x"));
   closed.Pass();
   WaitForConnectionReuse();
@@ -58,9 +59,9 @@
   });
   json settings = Settings();
   settings["Limits"]["IdleClose"] = 1500000;
-  Node node(With(List({Target("u1", peer.address())}), settings));
-  ASSERT_TRUE(node.Listening());
-  Client client(node.port());
+  SidecarProcess sidecar(With(List({Target("u1", peer.address())}), settings));
+  ASSERT_TRUE(sidecar.Listening());
+  Client client(sidecar.port());
   ASSERT_TRUE(client.Get("/page/k", "a1"));
   EXPECT_TRUE(ended.get_future().get());
 }
@@ -81,10 +82,10 @@
   });
   json settings = Settings();
   settings["Limits"]["ConnectTimeout"] = 19000000;  // a reset within a tenth of it is one at once
-  Node node(With(List({Target("u1", upstream.address())}), settings));
-  ASSERT_TRUE(node.Listening());
-  Client a(node.port());
-  Client b(node.port());
+  SidecarProcess sidecar(With(List({Target("u1", upstream.address())}), settings));
+  ASSERT_TRUE(sidecar.Listening());
+  Client a(sidecar.port());
+  Client b(sidecar.port());
   ASSERT_TRUE(a.Send(PostText("/submit/k", "held1", "x")));
   ASSERT_TRUE(b.Send(PostText("/submit/k", "held2", "x")));
   both.Pass();
@@ -102,18 +103,16 @@
 }
 
 TEST(ConnectionPool, LateResponseReachesNoOtherRequest) {
-  Gate late;
-  Upstream upstream([&](Wire& wire, const Request& request, int number) {
-    if (number == 0) late.Pass();
+  GatedUpstream upstream([](Wire& wire, const Request& request, int) {
     wire.Answer(200, std::string(request["X-Request-ID"]));
   });
-  Node node(With(List({Target("u1", upstream.address())})));
-  ASSERT_TRUE(node.Listening());
-  Client client(node.port());
+  SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
+  ASSERT_TRUE(sidecar.Listening());
+  Client client(sidecar.port());
   const auto first = client.Post("/submit/k", "slow", "x", 300);
   ASSERT_TRUE(first);
   EXPECT_EQ(first->result_int(), 504U);
-  late.Open();
+  upstream.Release();
   const auto second = client.Post("/submit/k", "next", "x");
   ASSERT_TRUE(second);
   EXPECT_EQ(second->body(), "next");
@@ -122,9 +121,9 @@
 
 TEST(ConnectionPool, DropsConnectionThatTheResponseCloses) {
   Upstream upstream([](Wire& wire, const Request&, int) { wire.Answer(200, "x", "Connection: close\r\n"); });
-  Node node(With(List({Target("u1", upstream.address())})));
-  ASSERT_TRUE(node.Listening());
-  Client client(node.port());
+  SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
+  ASSERT_TRUE(sidecar.Listening());
+  Client client(sidecar.port());
   for (const char* id : {"a1", "a2"}) {
     const auto response = client.Post("/submit/k", id, "x");
     ASSERT_TRUE(response);
--- a/tests/discovery_client_test.cpp
+++ b/tests/discovery_client_test.cpp
@@ -20,18 +20,18 @@
   Upstream b(Upstream::Echo("b"));
   for (const auto mood : {Discovery::Mood::kBreaks, Discovery::Mood::kMalformed, Discovery::Mood::kSilent}) {
     Discovery discovery(List({Target("u1", a.address())}));
-    Node::Options options = With(nullptr);
+    SidecarProcess::Options options = With(nullptr);
     options.discovery = discovery.address();
-    Node node(options);
-    ASSERT_TRUE(node.Listening());
-    ASSERT_TRUE(BecomesServedBy(node, "a /page/k"));
+    SidecarProcess sidecar(options);
+    ASSERT_TRUE(sidecar.Listening());
+    ASSERT_TRUE(BecomesServedBy(sidecar, "a /page/k"));
     const int calls = discovery.calls();
     discovery.Set(mood);
     ASSERT_TRUE(Eventually([&] { return discovery.calls() > calls + 1; }));
-    EXPECT_TRUE(BecomesServedBy(node, "a /page/k"));  // the old list stands
+    EXPECT_TRUE(BecomesServedBy(sidecar, "a /page/k"));  // the old list stands
     discovery.Tell(List({Target("u2", b.address())}));
     discovery.Set(Discovery::Mood::kAnswers);
-    EXPECT_TRUE(BecomesServedBy(node, "b /page/k"));
+    EXPECT_TRUE(BecomesServedBy(sidecar, "b /page/k"));
   }
 }
 
@@ -62,12 +62,12 @@
   });
   json settings = Settings();
   settings["Rules"]["StopSendingWithin"] = 40000;
-  Node::Options options = With(List({Target("u1", hung.address())}), settings);
+  SidecarProcess::Options options = With(List({Target("u1", hung.address())}), settings);
   options.discovery = agent.address();
-  Node node(options);
-  ASSERT_TRUE(node.Listening());
+  SidecarProcess sidecar(options);
+  ASSERT_TRUE(sidecar.Listening());
   // The request's time-out is the clock: some hundred such graces.
-  Client client(node.port());
+  Client client(sidecar.port());
   ASSERT_TRUE(client.Post("/submit/k", "a1", "x", 3000));
   EXPECT_GT(agent.connections(), 10);
 }
@@ -91,11 +91,11 @@
   json settings = Settings();
   settings["Rules"]["StopSendingWithin"] = 400000;
   for (const std::string& address : {late.address(), in_pieces.address()}) {
-    Node::Options options = With(nullptr, settings);
+    SidecarProcess::Options options = With(nullptr, settings);
     options.discovery = address;
-    Node node(options);
-    ASSERT_TRUE(node.Listening());
-    EXPECT_TRUE(BecomesServedBy(node, "a /page/k"));
+    SidecarProcess sidecar(options);
+    ASSERT_TRUE(sidecar.Listening());
+    EXPECT_TRUE(BecomesServedBy(sidecar, "a /page/k"));
   }
 }
 
@@ -108,11 +108,11 @@
     ++calls;
     wire.Answer(200, body);
   });
-  Node::Options options = With(nullptr);
+  SidecarProcess::Options options = With(nullptr);
   options.discovery = agent.address();
   const auto start = std::chrono::steady_clock::now();
-  Node node(options);
-  ASSERT_TRUE(node.Listening());
+  SidecarProcess sidecar(options);
+  ASSERT_TRUE(sidecar.Listening());
   ASSERT_TRUE(Eventually([&] { return calls >= 10; }));
   EXPECT_GT(std::chrono::steady_clock::now() - start, milliseconds(200));
 }
@@ -126,10 +126,10 @@
     if (std::string(request.target()).find("index=41&") != std::string::npos) watched = true;
     wire.Answer(200, body);
   });
-  Node::Options options = With(nullptr);
+  SidecarProcess::Options options = With(nullptr);
   options.discovery = agent.address();
-  Node node(options);
-  ASSERT_TRUE(node.Listening());
+  SidecarProcess sidecar(options);
+  ASSERT_TRUE(sidecar.Listening());
   EXPECT_TRUE(Eventually([&] { return watched.load(); }));
   EXPECT_EQ(agent.requests().front().target(), "/discovery/hosts");
 }
--- a/tests/graceful_shutdown_test.cpp
+++ b/tests/graceful_shutdown_test.cpp
@@ -5,85 +5,75 @@
 #include <vector>
 
 #include "gtest/gtest.h"
+#include "tests/gated_upstream.h"
 #include "tests/peers.h"
 
 namespace lb::sidecar::testing {
 namespace {
 
 TEST(GracefulShutdown, ServesAcceptedAndLateRequests) {
-  Gate asked;
-  Gate go;
-  Upstream upstream([&](Wire& wire, const Request& request, int) {
-    if (request.target() == "/submit/held") {
-      asked.Open();
-      go.Pass();
-    }
-    wire.Answer(200, std::string(request.target()));
-  });
-  Node node(With(List({Target("u1", upstream.address())})));
-  ASSERT_TRUE(node.Listening());
-  Client idle(node.port());
+  GatedUpstream upstream(GatedUpstream::RespondWithTarget,
+                         [](const Request& request, int) { return request.target() == "/submit/held"; });
+  SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
+  ASSERT_TRUE(sidecar.Listening());
+  Client idle(sidecar.port());
   ASSERT_TRUE(idle.Get("/page/k", "i1"));
-  Client held(node.port());
+  Client held(sidecar.port());
   ASSERT_TRUE(held.Send(PostText("/submit/held", "h1", "x", 15000)));
-  asked.Pass();
-  node.Signal(SIGTERM);
+  upstream.WaitForHeldRequest();
+  sidecar.Signal(SIGTERM);
   EXPECT_TRUE(idle.wire.ReadsEnd());
-  Client late(node.port());
+  Client late(sidecar.port());
   const auto served = late.Get("/page/late", "l1");
   ASSERT_TRUE(served);
   EXPECT_EQ(served->body(), "/page/late");
   EXPECT_FALSE(served->keep_alive());
-  go.Open();
+  upstream.Release();
   const auto response = held.Read();
   ASSERT_TRUE(response);
   EXPECT_EQ(response->body(), "/submit/held");
   EXPECT_FALSE(response->keep_alive());
-  EXPECT_EQ(node.Wait(), 0);
+  EXPECT_EQ(sidecar.Wait(), 0);
 }
 
 TEST(GracefulShutdown, EndsThoughClientsStall) {
-  Node node(With(json::array()));
-  ASSERT_TRUE(node.Listening());
-  Client half(node.port());
+  SidecarProcess sidecar(With(json::array()));
+  ASSERT_TRUE(sidecar.Listening());
+  Client half(sidecar.port());
   ASSERT_TRUE(half.Send("GET /page/k HTTP/1.1\r\nX-"));
-  Client silent(node.port());
-  node.Signal(SIGTERM);
-  EXPECT_EQ(node.Wait(), 0);  // long before the test runner's limit
+  Client silent(sidecar.port());
+  sidecar.Signal(SIGTERM);
+  EXPECT_EQ(sidecar.Wait(), 0);  // long before the test runner's limit
 }
 
 TEST(GracefulShutdown, IgnoresFurtherSignals) {
-  Gate asked, go;
-  Upstream upstream([&](Wire& wire, const Request& request, int) {
-    asked.Open();
-    go.Pass();
-    wire.Answer(200, std::string(request.target()));
-  });
-  Node node(With(List({Target("u1", upstream.address())})));
-  ASSERT_TRUE(node.Listening());
-  Client held(node.port());
+  GatedUpstream upstream;
+  SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
+  ASSERT_TRUE(sidecar.Listening());
+  Client held(sidecar.port());
   ASSERT_TRUE(held.Send(PostText("/submit/held", "h1", "x", 15000)));
-  asked.Pass();
-  for (const int signal : {SIGTERM, SIGHUP, SIGTERM}) node.Signal(signal);
-  EXPECT_TRUE(Eventually([&] { return node.log().find("configuration read again") != std::string::npos; }));
-  go.Open();
+  upstream.WaitForHeldRequest();
+  for (const int signal : {SIGTERM, SIGHUP, SIGTERM}) sidecar.Signal(signal);
+  EXPECT_TRUE(
+      Eventually([&] { return sidecar.log().find("configuration read again") != std::string::npos; }));
+  upstream.Release();
   const auto response = held.Read();
   ASSERT_TRUE(response);
   EXPECT_EQ(response->body(), "/submit/held");
-  EXPECT_EQ(node.Wait(), 0);
+  EXPECT_EQ(sidecar.Wait(), 0);
 }
 
 // What crosses the end of one is not sent on, and meets no reset: its client sees the end.
 TEST(GracefulShutdown, DoesNotForwardWhatCrossesTheEndOfAnIdleConnection) {
   Upstream upstream(Upstream::Echo("u"));
-  Node node(With(List({Target("u1", upstream.address())})));
-  ASSERT_TRUE(node.Listening());
+  SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
+  ASSERT_TRUE(sidecar.Listening());
   std::vector<std::unique_ptr<Client>> resting;
   for (int i = 0; i < 20; ++i) {
-    resting.push_back(std::make_unique<Client>(node.port()));
+    resting.push_back(std::make_unique<Client>(sidecar.port()));
     ASSERT_TRUE(resting.back()->Get("/page/k", "r" + std::to_string(i)));
   }
-  node.Signal(SIGTERM);
+  sidecar.Signal(SIGTERM);
   int crossed = 0;
   for (const auto& client : resting) {
     char byte = 0;
@@ -95,7 +85,7 @@
     client->wire.socket.read_some(boost::asio::buffer(&byte, 1), error);
     EXPECT_EQ(error, boost::asio::error::eof) << error.message();
   }
-  EXPECT_EQ(node.Wait(), 0);
+  EXPECT_EQ(sidecar.Wait(), 0);
   EXPECT_EQ(upstream.requests().size(), resting.size());
 }
 
--- a/tests/half_close_test.cpp
+++ b/tests/half_close_test.cpp
@@ -8,6 +8,7 @@
 #include <vector>
 
 #include "gtest/gtest.h"
+#include "tests/gated_upstream.h"
 #include "tests/peers.h"
 #include "tests/sidecar_steps.h"
 
@@ -21,10 +22,10 @@
     asked.Open();
     ended.set_value(wire.ReadsEnd());
   });
-  Node node(With(List({Target("u1", upstream.address())})));
-  ASSERT_TRUE(node.Listening());
+  SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
+  ASSERT_TRUE(sidecar.Listening());
   {
-    Client client(node.port());
+    Client client(sidecar.port());
     ASSERT_TRUE(client.Send(GetText("/page/k", "a1", 15000)));
     asked.Pass();
   }
@@ -34,32 +35,30 @@
 // Whoever only ends its sending waits for the answer, also for one that takes an attempt after that end was
 // seen.
 TEST(HalfClose, WaitingClientIsServedAfterAProbe) {
-  Gate asked, go;
-  Upstream upstream([&](Wire& wire, const Request& request, int number) {
-    if (number == 0) {
-      asked.Open();
-      go.Pass();
+  GatedUpstream upstream([](Wire& wire, const Request& request, int number) {
+    if (GatedUpstream::IsFirst(request, number)) {
       wire.Answer(503, "", "X-Not-Processed: 1\r\n");
     } else {
-      wire.Answer(200, std::string(request.target()));
+      GatedUpstream::RespondWithTarget(wire, request, number);
     }
   });
   json settings = Settings();
   settings["Classes"][1]["Aim"] = 15000000;
-  Node node(With(List({Target("u1", upstream.address()), Target("u2", upstream.address())}), settings));
-  ASSERT_TRUE(node.Listening());
+  SidecarProcess sidecar(
+      With(List({Target("u1", upstream.address()), Target("u2", upstream.address())}), settings));
+  ASSERT_TRUE(sidecar.Listening());
   for (const char* id : {"in work", "at once"}) {
-    Client client(node.port());
+    Client client(sidecar.port());
     const std::string target = std::string("/submit/") + id[0];
     ASSERT_TRUE(client.Send(PostText(target, id[0] == 'i' ? "a1" : "a2", "x", 15000)));
-    if (id[0] == 'i') asked.Pass();
+    if (id[0] == 'i') upstream.WaitForHeldRequest();
     client.wire.socket.shutdown(tcp::socket::shutdown_send);
     if (id[0] == 'i') {
       // It has been asked whether it is there, and did not say no.
       const auto interim = client.Read();
       ASSERT_TRUE(interim);
       EXPECT_EQ(interim->result_int(), 102U);
-      go.Open();
+      upstream.Release();
     }
     const auto answer = ReadFinalResponse(client);
     ASSERT_TRUE(answer) << id;
@@ -87,8 +86,8 @@
   Upstream upstream([](Wire& wire, const Request& request, int) {
     wire.Answer(200, std::string(request.target()) + " " + std::to_string(request.body().size()));
   });
-  Node node(With(List({Target("u1", upstream.address())})));
-  ASSERT_TRUE(node.Listening());
+  SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
+  ASSERT_TRUE(sidecar.Listening());
   const auto get = [](const std::string& id) { return GetText("/page/" + id, id); };
   const auto post = [](const std::string& id, std::size_t size) {
     return PostText("/submit/" + id, id, std::string(size, 'x'));
@@ -104,7 +103,7 @@
       {get("f1") + post("f2", 300000) + get("f3"), {"/page/f1 0", "/submit/f2 300000", "/page/f3 0"}},
   };
   for (const auto& [requests, answers] : cases) {
-    Client client(node.port());
+    Client client(sidecar.port());
     ASSERT_TRUE(client.Send(requests));
     client.wire.socket.shutdown(tcp::socket::shutdown_send);
     EXPECT_EQ(ReadResponsesUntilClose(client), answers);
@@ -115,8 +114,8 @@
 // last of them isn't whole, which ends the connection behind the answers to the others.
 TEST(HalfClose, RequestsReadTogetherWithTheEndAreServed) {
   Upstream upstream(Upstream::Echo("u"));
-  Node node(With(List({Target("u1", upstream.address())})));
-  ASSERT_TRUE(node.Listening());
+  SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
+  ASSERT_TRUE(sidecar.Listening());
   const std::string first = GetText("/page/1", "a1");
   const std::string last = GetText("/page/2", "a2");
   const std::string post = PostText("/submit/2", "a3", "12345");
@@ -131,15 +130,15 @@
                                    {post.substr(0, post.size() - 1), 1},
                                    {"\r", 1}};
   for (std::size_t i = 0; i < cases.size(); ++i) {
-    Client client(node.port());
-    node.Pause();
+    Client client(sidecar.port());
+    sidecar.Pause();
     std::string requests = first + cases[i].second;
     for (std::size_t at = 0; (at = requests.find("ID: a", at)) != std::string::npos; ++at) {
       requests[at + 4] = static_cast<char>('b' + i);
     }
     ASSERT_TRUE(client.Send(requests));
     client.wire.socket.shutdown(tcp::socket::shutdown_send);
-    node.Signal(SIGCONT);
+    sidecar.Signal(SIGCONT);
     std::size_t answers = 0;
     while (const auto answer = ReadFinalResponse(client)) {
       EXPECT_EQ(answer->result_int(), 200U) << i;
@@ -151,27 +150,20 @@
 
 // It stayed neither for the answer to its first request nor for the one to the next, which isn't begun.
 TEST(ClientDisconnect, AfterAHalfCloseStartsNoFurtherRequest) {
-  Gate asked, go;
-  Upstream upstream([&](Wire& wire, const Request& request, int number) {
-    if (number == 0) {
-      asked.Open();
-      go.Pass();
-    }
-    wire.Answer(200, std::string(request.target()));
-  });
-  Node node(With(List({Target("u1", upstream.address())})));
-  ASSERT_TRUE(node.Listening());
+  GatedUpstream upstream;
+  SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
+  ASSERT_TRUE(sidecar.Listening());
   {
-    Client client(node.port());
+    Client client(sidecar.port());
     ASSERT_TRUE(client.Send(GetText("/page/1", "a1", 15000) + GetText("/page/2", "a2", 15000)));
-    asked.Pass();
+    upstream.WaitForHeldRequest();
     client.wire.socket.shutdown(tcp::socket::shutdown_send);
     const auto interim = client.Read();
     ASSERT_TRUE(interim);
     EXPECT_EQ(interim->result_int(), 102U);
   }
-  go.Open();
-  Client other(node.port());
+  upstream.Release();
+  Client other(sidecar.port());
   ASSERT_TRUE(other.Get("/page/3", "a3"));
   WaitForConnectionReuse();
   ASSERT_TRUE(other.Get("/page/4", "a4"));
@@ -184,9 +176,9 @@
   Upstream upstream([&](Wire& wire, const Request& request, int) {
     wire.Answer(200, request.target() == "/page/1" ? large : "small");
   });
-  Node node(With(List({Target("u1", upstream.address())})));
-  ASSERT_TRUE(node.Listening());
-  Client client(node.port());
+  SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
+  ASSERT_TRUE(sidecar.Listening());
+  Client client(sidecar.port());
   ASSERT_TRUE(client.Send(GetText("/page/1", "a1", 15000) + GetText("/page/2", "a2", 15000)));
   client.wire.socket.shutdown(tcp::socket::shutdown_send);
   const auto first = ReadFinalResponse(client);
@@ -204,9 +196,9 @@
         if (const auto request = wire.ReadRequest()) wire.Answer(200, std::to_string(request->body().size()));
       },
       true);
-  Node node(With(List({Target("u1", upstream.address())})));
-  ASSERT_TRUE(node.Listening());
-  Client client(node.port());
+  SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
+  ASSERT_TRUE(sidecar.Listening());
+  Client client(sidecar.port());
   ASSERT_TRUE(client.Send(PostText("/submit/k", "a1", std::string(300000, 'x'), 15000)));
   client.wire.socket.shutdown(tcp::socket::shutdown_send);
   EXPECT_EQ(ReadResponsesUntilClose(client), std::vector<std::string>{"300000"});
@@ -223,10 +215,10 @@
   });
   json settings = Settings();
   settings["Classes"][0]["Aim"] = 40000000;
-  Node node(With(List({Target("u1", upstream.address())}), settings));
-  ASSERT_TRUE(node.Listening());
+  SidecarProcess sidecar(With(List({Target("u1", upstream.address())}), settings));
+  ASSERT_TRUE(sidecar.Listening());
   {
-    Client client(node.port());
+    Client client(sidecar.port());
     ASSERT_TRUE(
         client.Send(GetText("/page/k", "a1", 40000) + PostText("/submit/k", "a2", std::string(60000, 'x'))));
     asked.Pass();
@@ -239,18 +231,18 @@
 // begins.
 TEST(ClientDisconnect, BeforeItsRequestIsReadStartsNothing) {
   Upstream upstream(Upstream::Echo("u"));
-  Node node(With(List({Target("u1", upstream.address())})));
-  ASSERT_TRUE(node.Listening());
-  Client before(node.port());
+  SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
+  ASSERT_TRUE(sidecar.Listening());
+  Client before(sidecar.port());
   ASSERT_TRUE(before.Get("/page/k", "a0"));
-  node.Pause();
+  sidecar.Pause();
   for (int i = 1; i <= 20; ++i) {
-    Client leaves(node.port());
+    Client leaves(sidecar.port());
     ASSERT_TRUE(leaves.Send(GetText("/page/k", "a" + std::to_string(i))));
   }
-  node.Signal(SIGCONT);
+  sidecar.Signal(SIGCONT);
   // They are ahead of this one in the listener's queue.
-  Client stays(node.port());
+  Client stays(sidecar.port());
   ASSERT_TRUE(stays.Get("/page/k", "b"));
   ASSERT_TRUE(stays.Get("/page/k", "c"));
   EXPECT_EQ(upstream.requests().size(), 3u);
--- a/tests/membership_updates_test.cpp
+++ b/tests/membership_updates_test.cpp
@@ -6,6 +6,7 @@
 
 #include "gtest/gtest.h"
 #include "sidecar/discovery.h"
+#include "tests/gated_upstream.h"
 #include "tests/peers.h"
 #include "tests/sidecar_steps.h"
 
@@ -14,9 +15,9 @@
 
 TEST(MembershipUpdates, StartFromKnownUpstreamsWhileDiscoveryIsDown) {
   Upstream upstream(Upstream::Echo("u"));
-  Node node(With(List({Target("u1", upstream.address())})));
-  ASSERT_TRUE(node.Listening());
-  Client client(node.port());
+  SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
+  ASSERT_TRUE(sidecar.Listening());
+  Client client(sidecar.port());
   const auto response = client.Get("/page/k", "a1");
   ASSERT_TRUE(response);
   EXPECT_EQ(response->result_int(), 200U);
@@ -27,47 +28,39 @@
   Upstream b(Upstream::Echo("b"));
   Upstream c(Upstream::Echo("c"));
   Discovery discovery(List({Target("u1", a.address())}));
-  Node::Options options = With(nullptr);
+  SidecarProcess::Options options = With(nullptr);
   options.discovery = discovery.address();
-  Node node(options);
-  ASSERT_TRUE(node.Listening());
-  EXPECT_TRUE(BecomesServedBy(node, "a /page/k"));
+  SidecarProcess sidecar(options);
+  ASSERT_TRUE(sidecar.Listening());
+  EXPECT_TRUE(BecomesServedBy(sidecar, "a /page/k"));
   discovery.Tell(List({Target("u2", b.address())}), true);  // u1 is missing: it is gone
-  EXPECT_TRUE(BecomesServedBy(node, "b /page/k"));
+  EXPECT_TRUE(BecomesServedBy(sidecar, "b /page/k"));
   discovery.Tell(List({Target("u2", c.address())}), false);  // moved
-  EXPECT_TRUE(BecomesServedBy(node, "c /page/k"));
+  EXPECT_TRUE(BecomesServedBy(sidecar, "c /page/k"));
   const std::size_t before = a.requests().size() + b.requests().size();
-  for (int i = 0; i < 10; ++i) EXPECT_TRUE(BecomesServedBy(node, "c /page/k"));
+  for (int i = 0; i < 10; ++i) EXPECT_TRUE(BecomesServedBy(sidecar, "c /page/k"));
   EXPECT_EQ(a.requests().size() + b.requests().size(), before);
   discovery.Tell(List({Target("u2", c.address(), "left"), Target("u1", a.address())}), false);
-  EXPECT_TRUE(BecomesServedBy(node, "a /page/k"));
+  EXPECT_TRUE(BecomesServedBy(sidecar, "a /page/k"));
 }
 
 TEST(MembershipUpdates, SendNothingNewToADrainingUpstream) {
-  Gate asked;
-  Gate go;
-  Upstream leaving([&](Wire& wire, const Request& request, int) {
-    if (request.target() == "/submit/held") {
-      asked.Open();
-      go.Pass();
-    }
-    wire.Answer(200, "old");
-  });
+  GatedUpstream leaving([](Wire& wire, const Request&, int) { wire.Answer(200, "old"); });
   Upstream staying(Upstream::Echo("new"));
   Discovery discovery(List({Target("u1", leaving.address())}));
-  Node::Options options = With(List({Target("u1", leaving.address())}));
+  SidecarProcess::Options options = With(List({Target("u1", leaving.address())}));
   options.discovery = discovery.address();
-  Node node(options);
-  ASSERT_TRUE(node.Listening());
-  Client held(node.port());
+  SidecarProcess sidecar(options);
+  ASSERT_TRUE(sidecar.Listening());
+  Client held(sidecar.port());
   ASSERT_TRUE(held.Send(PostText("/submit/held", "h1", "x", 15000)));
-  asked.Pass();
+  leaving.WaitForHeldRequest();
   discovery.Tell(List({Target("u1", leaving.address(), "leaving"), Target("u2", staying.address())}), false);
-  ASSERT_TRUE(BecomesServedBy(node, "new /page/k"));
+  ASSERT_TRUE(BecomesServedBy(sidecar, "new /page/k"));
   const std::size_t before = leaving.requests().size();
-  for (int i = 0; i < 20; ++i) EXPECT_TRUE(BecomesServedBy(node, "new /page/k"));
+  for (int i = 0; i < 20; ++i) EXPECT_TRUE(BecomesServedBy(sidecar, "new /page/k"));
   EXPECT_EQ(leaving.requests().size(), before);
-  go.Open();  // what it had is finished
+  leaving.Release();  // what it had is finished
   const auto response = held.Read();
   ASSERT_TRUE(response);
   EXPECT_EQ(response->body(), "old");
@@ -79,14 +72,14 @@
   Discovery discovery(List({Target("u1", hole.address())}));
   json settings = Settings();
   settings["Limits"]["ConnectTimeout"] = 60000000;
-  Node::Options options = With(List({Target("u1", hole.address())}), settings);
+  SidecarProcess::Options options = With(List({Target("u1", hole.address())}), settings);
   options.discovery = discovery.address();
-  Node node(options);
-  ASSERT_TRUE(node.Listening());
-  const int idle = node.descriptors();
-  Client client(node.port());
+  SidecarProcess sidecar(options);
+  ASSERT_TRUE(sidecar.Listening());
+  const int idle = sidecar.descriptors();
+  Client client(sidecar.port());
   ASSERT_TRUE(client.Send(PostText("/submit/k", "a1", "x", 15000)));
-  ASSERT_TRUE(Eventually([&] { return node.descriptors() >= idle + 2; }));  // the client and the attempt
+  ASSERT_TRUE(Eventually([&] { return sidecar.descriptors() >= idle + 2; }));  // the client and the attempt
   discovery.Tell(List({Target("u1", hole.address(), "leaving"), Target("u2", staying.address())}), false);
   const auto response = client.Read();
   ASSERT_TRUE(response);
@@ -137,18 +130,18 @@
         Target(uid, i < count - 1 ? old.address() : fresh.address(), i < count - 1 ? "leaving" : "active"));
   }
   Discovery discovery(whole);
-  Node::Options options = With(whole);
+  SidecarProcess::Options options = With(whole);
   options.discovery = discovery.address();
-  Node node(options);
-  ASSERT_TRUE(node.Listening());
-  ASSERT_TRUE(BecomesServedBy(node, "old /page/k"));
+  SidecarProcess sidecar(options);
+  ASSERT_TRUE(sidecar.Listening());
+  ASSERT_TRUE(BecomesServedBy(sidecar, "old /page/k"));
   discovery.Tell(drains, false);
-  ASSERT_TRUE(BecomesServedBy(node, "new /page/k"));
+  ASSERT_TRUE(BecomesServedBy(sidecar, "new /page/k"));
   const std::size_t before = old.requests().size();
-  for (int i = 0; i < 20; ++i) EXPECT_TRUE(BecomesServedBy(node, "new /page/k"));
+  for (int i = 0; i < 20; ++i) EXPECT_TRUE(BecomesServedBy(sidecar, "new /page/k"));
   EXPECT_EQ(old.requests().size(), before);
   discovery.Tell(whole, true);
-  EXPECT_TRUE(BecomesServedBy(node, "old /page/k"));
+  EXPECT_TRUE(BecomesServedBy(sidecar, "old /page/k"));
 }
 
 // What was counted elsewhere is no base for changes.
@@ -163,12 +156,12 @@
         200,
         json{{"rev", watch ? 3 : 41}, {"all", !watch}, {"targets", watch ? json::array() : list}}.dump());
   });
-  Node::Options options = With(nullptr);
+  SidecarProcess::Options options = With(nullptr);
   options.discovery = agent.address();
-  Node node(options);
-  ASSERT_TRUE(node.Listening());
+  SidecarProcess sidecar(options);
+  ASSERT_TRUE(sidecar.Listening());
   EXPECT_TRUE(Eventually([&] { return whole >= 3; }));
-  EXPECT_TRUE(BecomesServedBy(node, "a /page/k"));
+  EXPECT_TRUE(BecomesServedBy(sidecar, "a /page/k"));
 }
 
 }  // namespace
--- a/tests/peers.cpp
+++ b/tests/peers.cpp
@@ -273,7 +273,7 @@
             {"IdleClose", 15000000}}}};
 }
 
-Node::Node(const Options& options) {
+SidecarProcess::SidecarProcess(const Options& options) {
   static std::atomic<int> count{0};
   config_path_ = std::filesystem::temp_directory_path() /
                  ("lb-sidecar-test-" + std::to_string(::getpid()) + "-" + std::to_string(count++) + ".json");
@@ -314,7 +314,7 @@
   });
 }
 
-Node::~Node() {
+SidecarProcess::~SidecarProcess() {
   if (!status_) {
     ::kill(pid_, SIGKILL);
     Wait();
@@ -323,48 +323,48 @@
   std::filesystem::remove(config_path_);
 }
 
-bool Node::Listening() {
+bool SidecarProcess::Listening() {
   return Eventually([this] { return (port_ = PortBehind("listening on 127.0.0.1:")) != 0; });
 }
 
-std::uint16_t Node::PortBehind(const std::string& mark) const {
+std::uint16_t SidecarProcess::PortBehind(const std::string& mark) const {
   const std::string text = log();
   const auto at = text.find(mark);
   if (at == std::string::npos || text.find('\n', at) == std::string::npos) return 0;
   return static_cast<std::uint16_t>(std::stoi(text.substr(at + mark.size())));
 }
 
-std::uint16_t Node::admin_port() {
+std::uint16_t SidecarProcess::admin_port() {
   std::uint16_t port = 0;
   Eventually([&] { return (port = PortBehind("operators at 127.0.0.1:")) != 0; });
   return port;
 }
 
-std::optional<Response> Node::Operate(const std::string& method, const std::string& target) {
+std::optional<Response> SidecarProcess::Operate(const std::string& method, const std::string& target) {
   Client caller(admin_port());
   if (!caller.Send(method + " " + target + " HTTP/1.1\r\nHost: x\r\n\r\n")) return std::nullopt;
   return caller.Read();
 }
 
-unsigned Node::Status(const std::string& method, const std::string& target) {
+unsigned SidecarProcess::Status(const std::string& method, const std::string& target) {
   const auto answer = Operate(method, target);
   return answer ? answer->result_int() : 0;
 }
 
-void Node::Signal(int number) { ::kill(pid_, number); }
+void SidecarProcess::Signal(int number) { ::kill(pid_, number); }
 
-void Node::Pause() {
+void SidecarProcess::Pause() {
   Signal(SIGSTOP);
   ::waitpid(pid_, nullptr, WUNTRACED);
 }
 
-void Node::Reload(const std::string& config_text) {
+void SidecarProcess::Reload(const std::string& config_text) {
   std::ofstream(config_path_ + ".new") << config_text;
   std::filesystem::rename(config_path_ + ".new", config_path_);
   Signal(SIGHUP);
 }
 
-int Node::Wait() {
+int SidecarProcess::Wait() {
   if (!status_) {
     int status = 0;
     ::waitpid(pid_, &status, 0);
@@ -374,12 +374,12 @@
   return *status_;
 }
 
-std::string Node::log() const {
+std::string SidecarProcess::log() const {
   const std::lock_guard lock(mutex_);
   return log_;
 }
 
-int Node::descriptors() const {
+int SidecarProcess::descriptors() const {
   int count = 0;
   for ([[maybe_unused]] const auto& entry :
        std::filesystem::directory_iterator("/proc/" + std::to_string(pid_) + "/fd")) {
--- a/tests/peers.h
+++ b/tests/peers.h
@@ -1,5 +1,5 @@
-// Small scripted peers for tests of the node: the program itself, its application, upstreams and discovery,
-// all over loopback sockets on ports that the system picks.
+// Scripted peers for tests of the sidecar: the program itself as a process, its clients, upstreams and
+// discovery, all over loopback sockets on ports that the system picks.
 #pragma once
 
 #include <sys/types.h>
@@ -31,7 +31,7 @@
 using Request = boost::beast::http::request<boost::beast::http::string_body>;
 using Response = boost::beast::http::response<boost::beast::http::string_body>;
 
-// A door that a script waits at until the test opens it.
+// Blocks scripts until the test opens it, once. GatedUpstream is the usual use.
 class Gate {
  public:
   void Open() { promise_.set_value(); }
@@ -42,11 +42,12 @@
   std::shared_future<void> opened_ = promise_.get_future().share();
 };
 
-// Waits for a condition, far longer than it should take; false where it never came.
+// Waits for a condition, up to 20 s, which is far longer than it should take; false where it did not come
+// true.
 bool Eventually(const std::function<bool()>& condition);
 
-// A connection as a script sees it. Everything blocks (the test runner's time-out is the
-// bound); failures end what is under way.
+// A connection as a script sees it. Every call blocks; the test runner's timeout is the only limit. Reads
+// return nothing, and writes false, once the connection has failed.
 class Wire {
  public:
   explicit Wire(boost::asio::io_context& io) : socket(io) {}
@@ -54,7 +55,7 @@
   std::optional<Response> ReadResponse();
   bool Write(const std::string& bytes);
   bool Answer(unsigned status, const std::string& body, const std::string& headers = "");
-  bool ReadsEnd();  // waits for the other side's close
+  bool ReadsEnd();  // discards what comes until the other side closes or resets
   void Reset();     // closes with a reset
 
   tcp::socket socket;
@@ -63,7 +64,8 @@
   boost::beast::flat_buffer buffer_;
 };
 
-// Makes the system take little of a message that the other end does not read: small segments and buffer.
+// Bounds what the system accepts of a message that the other end does not read, by small segments and a small
+// receive buffer.
 void MakeNarrow(tcp::acceptor& acceptor);
 
 // Listens on a free port and plays a script for each connection, each in a thread of its own.
@@ -89,7 +91,7 @@
   std::thread accepting_;
 };
 
-// An upstream that answers each request by a function of it, and keeps what it was sent.
+// An upstream that answers each request by a function of it, and records the requests.
 class Upstream {
  public:
   using Handler = std::function<void(Wire&, const Request&, int request_number)>;
@@ -106,13 +108,13 @@
   Peer peer_;
 };
 
-// An address where connections do not come up while its backlog is full: from the start, or once filled.
+// An address where connects hang while its backlog is full: from the start, or after Fill().
 class BlackHole {
  public:
   explicit BlackHole(bool full = true);
   std::string address() const;
   void Fill();
-  // The next connection of somebody else. It lets those come up that were held up by the backlog.
+  // The next connection that this class did not open itself. Accepting frees the backlog for those that hang.
   std::unique_ptr<Wire> Accept();
 
  private:
@@ -170,8 +172,8 @@
 
 json Settings();
 
-// The program under test.
-class Node {
+// The program under test, lb-sidecar, as a process of its own; killed at the end of the test.
+class SidecarProcess {
  public:
   struct Options {
     std::string discovery = "127.0.0.1:1";
@@ -179,25 +181,25 @@
     json settings = Settings();
     int sockets = 256;
     std::string listen = "127.0.0.1:0";
-    std::string admin;   // the operators' address; empty: none
-    std::string tmpdir;  // empty: the test's own
+    std::string admin;   // the admin interface's address; empty: none
+    std::string tmpdir;  // empty: the test's own $TMPDIR
     std::vector<std::string> unset;
-    std::map<std::string, std::string> environment;  // what is set besides
+    std::map<std::string, std::string> environment;  // set in addition
     std::string config_text;                         // in place of the JSON made from the rest
   };
-  explicit Node(const Options& options);
-  ~Node();
-  bool Listening();  // waits until it is
+  explicit SidecarProcess(const Options& options);
+  ~SidecarProcess();
+  bool Listening();  // waits until it listens; false where it never does
   std::uint16_t port() const { return port_; }
-  // What the operators' door says to one call.
+  // The admin interface's response to one call.
   std::optional<Response> Operate(const std::string& method, const std::string& target);
-  unsigned Status(const std::string& method, const std::string& target);  // likewise; 0 where it says nothing
+  unsigned Status(const std::string& method, const std::string& target);  // its status; 0 without a response
   std::uint16_t admin_port();
   void Signal(int number);
-  void Pause();                                 // SIGSTOP, and waits until it has stopped; SIGCONT goes on
-  void Reload(const std::string& config_text);  // replaces the file and tells it
+  void Pause();                                 // SIGSTOP, and waits until it has stopped; SIGCONT resumes it
+  void Reload(const std::string& config_text);  // replaces the configuration file and sends SIGHUP
   json config() const { return config_; }
-  int Wait();  // its exit code; 128 and the signal where it was killed
+  int Wait();  // its exit code; 128 plus the signal where it was killed
   pid_t pid() const { return pid_; }
   std::string log() const;
   int descriptors() const;
@@ -214,14 +216,18 @@
   std::thread reading_;
 };
 
-inline Node::Options With(const json& known, json settings = Settings()) {
-  Node::Options options;
+// The name in the test files that have not moved to SidecarProcess yet.
+using Node = SidecarProcess;
+
+// Options for a sidecar whose configuration file names these upstreams.
+inline SidecarProcess::Options With(const json& known, json settings = Settings()) {
+  SidecarProcess::Options options;
   options.known = known;
   options.settings = std::move(settings);
   return options;
 }
 
-// A connection of the application.
+// A client of the sidecar, with one connection.
 class Client {
  public:
   explicit Client(std::uint16_t port);
@@ -235,7 +241,7 @@
   Wire wire{io};
 };
 
-// A folder of a test's own, that goes with it.
+// A temporary folder, removed with the object.
 class Folder {
  public:
   Folder();
@@ -246,7 +252,7 @@
   std::string path_;
 };
 
-// Where a sidecar with this $TMPDIR keeps what outlasts its process.
+// Where a sidecar with this $TMPDIR stores the operator state.
 inline std::string StateFolder(const Folder& tmpdir) { return tmpdir.path() + "/" + kStateFolder; }
 
 std::string GetText(const std::string& target, const std::string& id, int timeout_ms = 5000);
--- a/tests/polled_discovery_test.cpp
+++ b/tests/polled_discovery_test.cpp
@@ -28,12 +28,12 @@
   json settings = Settings();
   settings["MembershipMode"] = "on_request";
   settings["Rules"]["MustAskIn"] = 1000000;
-  Node::Options options = With(List({Target("u1", a.address())}), settings);
+  SidecarProcess::Options options = With(List({Target("u1", a.address())}), settings);
   options.discovery = service.address();
-  Node node(options);
-  ASSERT_TRUE(node.Listening());
-  EXPECT_TRUE(BecomesServedBy(node, "a /page/k"));
-  EXPECT_TRUE(BecomesServedBy(node, "b /page/k")) << "the change came";
+  SidecarProcess sidecar(options);
+  ASSERT_TRUE(sidecar.Listening());
+  EXPECT_TRUE(BecomesServedBy(sidecar, "a /page/k"));
+  EXPECT_TRUE(BecomesServedBy(sidecar, "b /page/k")) << "the change came";
   ASSERT_TRUE(Eventually([&] { return service.requests().size() > 3; }));
   const auto requests = service.requests();
   for (std::size_t i = 0; i < 3; ++i) {
@@ -61,14 +61,14 @@
   });
   json settings = Settings();
   settings["MembershipMode"] = "on_request";
-  Node::Options options = With(nullptr, settings);
+  SidecarProcess::Options options = With(nullptr, settings);
   options.discovery = service.address();
-  Node node(options);
-  ASSERT_TRUE(node.Listening());
+  SidecarProcess sidecar(options);
+  ASSERT_TRUE(sidecar.Listening());
   ASSERT_TRUE(Eventually([&] { return watches == 1; }));
   // The request's time-out is the clock, what is missed counts as told by then: with a longer wait, or a
   // module's pause behind it, the second list comes later.
-  Client client(node.port());
+  Client client(sidecar.port());
   ASSERT_TRUE(client.Post("/submit/k", "a1", "x", 6000));
   EXPECT_EQ(lists, 2);
 }
@@ -103,20 +103,20 @@
   json settings = Settings();
   settings["MembershipMode"] = "on_request";
   settings["Rules"]["MustAskIn"] = 60000000;
-  Node::Options options = With(List({Target("u1", a.address())}), settings);
+  SidecarProcess::Options options = With(List({Target("u1", a.address())}), settings);
   options.discovery = service.address();
-  Node node(options);
-  ASSERT_TRUE(node.Listening());
+  SidecarProcess sidecar(options);
+  ASSERT_TRUE(sidecar.Listening());
   EXPECT_TRUE(Eventually([&] {
     const std::lock_guard lock(mutex);
     return calls.size() > 6;
   }));
-  EXPECT_TRUE(BecomesServedBy(node, "b /page/k"));
+  EXPECT_TRUE(BecomesServedBy(sidecar, "b /page/k"));
   const std::lock_guard lock(mutex);
   // A watch is over the sooner the more is left for the next call; a call in vain leaves as much as it took.
   for (std::size_t i = 0; i + 1 < 7; ++i) EXPECT_LT(calls[i + 1] - calls[i], kTold) << i;
   const std::size_t sent = a.requests().size();
-  Client client(node.port());
+  Client client(sidecar.port());
   for (int i = 0; i < 5; ++i) ASSERT_TRUE(client.Get("/page/k", "z" + std::to_string(i)));
   EXPECT_EQ(a.requests().size(), sent);
 }
@@ -128,11 +128,11 @@
   settings["MembershipMode"] = "on_request";
   for (const json& known : {json(nullptr), json::array()}) {
     const int lists = discovery.lists();
-    Node::Options options = With(known, settings);
+    SidecarProcess::Options options = With(known, settings);
     options.discovery = discovery.address();
-    Node node(options);
-    ASSERT_TRUE(node.Listening());
-    EXPECT_TRUE(BecomesServedBy(node, "a /page/k"));
+    SidecarProcess sidecar(options);
+    ASSERT_TRUE(sidecar.Listening());
+    EXPECT_TRUE(BecomesServedBy(sidecar, "a /page/k"));
     EXPECT_GT(discovery.lists(), lists);
   }
 }
--- a/tests/request_forwarding_test.cpp
+++ b/tests/request_forwarding_test.cpp
@@ -2,6 +2,7 @@
 #include <string>
 
 #include "gtest/gtest.h"
+#include "tests/gated_upstream.h"
 #include "tests/peers.h"
 
 namespace lb::sidecar::testing {
@@ -11,9 +12,9 @@
   std::string body;
   for (int i = 0; i < 65536; ++i) body.push_back(static_cast<char>(i * 7));
   Upstream upstream([&](Wire& wire, const Request&, int) { wire.Answer(200, body); });
-  Node node(With(List({Target("u1", upstream.address())})));
-  ASSERT_TRUE(node.Listening());
-  Client client(node.port());
+  SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
+  ASSERT_TRUE(sidecar.Listening());
+  Client client(sidecar.port());
   const auto response = client.Post("/keyed/a%20b?x=1&y=/", "9b1f03aa5c7e2d41", body, 5000,
                                     "Idempotency-Key: 5c0f\r\nContent-Type: text/x\r\nTE: trailers\r\n");
   ASSERT_TRUE(response);
@@ -39,9 +40,9 @@
     for (const char c : request.body()) wire.Write(std::string("1\r\n") + c + "\r\n");
     wire.Write("0\r\n\r\n");
   });
-  Node node(With(List({Target("u1", upstream.address())})));
-  ASSERT_TRUE(node.Listening());
-  Client client(node.port());
+  SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
+  ASSERT_TRUE(sidecar.Listening());
+  Client client(sidecar.port());
   const std::string text = PostText("/submit/k", "p1", "hello");
   for (const char c : text) ASSERT_TRUE(client.Send(std::string(1, c)));
   const auto response = client.Read();
@@ -51,11 +52,11 @@
 
 TEST(RequestForwarding, RejectsRepeatedIdOfAnAnsweredRequest) {
   Upstream upstream(Upstream::Echo("u"));
-  Node node(With(List({Target("u1", upstream.address())})));
-  ASSERT_TRUE(node.Listening());
-  Client client(node.port());
+  SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
+  ASSERT_TRUE(sidecar.Listening());
+  Client client(sidecar.port());
   ASSERT_TRUE(client.Post("/submit/k", "same", "x"));
-  Client other(node.port());
+  Client other(sidecar.port());
   const auto refused = other.Post("/submit/k", "same", "x");
   ASSERT_TRUE(refused);
   EXPECT_EQ(refused->result_int(), 400U);
@@ -63,23 +64,17 @@
 }
 
 TEST(RequestForwarding, RejectsIdOfARequestInFlight) {
-  Gate asked;
-  Gate go;
-  Upstream upstream([&](Wire& wire, const Request&, int) {
-    asked.Open();
-    go.Pass();
-    wire.Answer(200, "x");
-  });
-  Node node(With(List({Target("u1", upstream.address())})));
-  ASSERT_TRUE(node.Listening());
-  Client first(node.port());
+  GatedUpstream upstream;
+  SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
+  ASSERT_TRUE(sidecar.Listening());
+  Client first(sidecar.port());
   ASSERT_TRUE(first.Send(PostText("/submit/k", "same", "x", 15000)));
-  asked.Pass();
-  Client second(node.port());
+  upstream.WaitForHeldRequest();
+  Client second(sidecar.port());
   const auto refused = second.Post("/submit/k", "same", "x");
   ASSERT_TRUE(refused);
   EXPECT_EQ(refused->result_int(), 400U);
-  go.Open();
+  upstream.Release();
   const auto response = first.Read();
   ASSERT_TRUE(response);
   EXPECT_EQ(response->result_int(), 200U);
@@ -88,9 +83,9 @@
 
 TEST(RequestForwarding, AnswersPipelinedRequestsInOrder) {
   Upstream upstream(Upstream::Echo("u"));
-  Node node(With(List({Target("u1", upstream.address())})));
-  ASSERT_TRUE(node.Listening());
-  Client client(node.port());
+  SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
+  ASSERT_TRUE(sidecar.Listening());
+  Client client(sidecar.port());
   ASSERT_TRUE(client.Send(GetText("/page/1", "a1") + GetText("/page/2", "a2")));
   for (const char* body : {"u /page/1", "u /page/2"}) {
     const auto response = client.Read();
@@ -101,9 +96,9 @@
 
 TEST(RequestForwarding, SendsInterimResponseToExpectContinue) {
   Upstream upstream(Upstream::Echo("u"));
-  Node node(With(List({Target("u1", upstream.address())})));
-  ASSERT_TRUE(node.Listening());
-  Client client(node.port());
+  SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
+  ASSERT_TRUE(sidecar.Listening());
+  Client client(sidecar.port());
   const std::string text = PostText("/submit/k", "a1", "x", 15000, "Expect: 100-continue\r\n");
   ASSERT_TRUE(client.Send(text.substr(0, text.size() - 1)));
   const auto interim = client.Read();
@@ -120,9 +115,9 @@
 TEST(RequestForwarding, NeedsNoSettingsButClasses) {
   Upstream upstream(Upstream::Echo("u"));
   const json cls = {{"Name", "only"}, {"Effect", "read_like"}, {"Aim", 400000}, {"HardLimit", 2000000}};
-  Node node(With(List({Target("u1", upstream.address())}), {{"Classes", {cls}}}));
-  ASSERT_TRUE(node.Listening());
-  Client client(node.port());
+  SidecarProcess sidecar(With(List({Target("u1", upstream.address())}), {{"Classes", {cls}}}));
+  ASSERT_TRUE(sidecar.Listening());
+  Client client(sidecar.port());
   const auto answer = client.Get("/only/k", "a1", 2000);
   ASSERT_TRUE(answer);
   EXPECT_EQ(answer->result_int(), 200U);
--- a/tests/request_framing_test.cpp
+++ b/tests/request_framing_test.cpp
@@ -16,8 +16,8 @@
 
 TEST(RequestFraming, RejectsMalformedRequests) {
   Upstream upstream(Upstream::Echo("u"));
-  Node node(With(List({Target("u1", upstream.address())})));
-  ASSERT_TRUE(node.Listening());
+  SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
+  ASSERT_TRUE(sidecar.Listening());
   const std::string id = "X-Request-ID: a1\r\n";
   const std::string time = "X-Timeout-Ms: 100\r\n";
   const auto get = [](const std::string& target, const std::string& headers) {
@@ -48,14 +48,14 @@
            std::string(0x11000, 'x') + "\r\n0\r\n\r\n",
        400}};
   for (const auto& [text, status] : cases) {
-    Client client(node.port());
+    Client client(sidecar.port());
     client.Send(text);
     const auto response = client.Read();
     ASSERT_TRUE(response) << text.substr(0, 200);
     EXPECT_EQ(response->result_int(), status) << text.substr(0, 200);
   }
   EXPECT_TRUE(upstream.requests().empty());
-  Client client(node.port());
+  Client client(sidecar.port());
   const auto response = client.Get("/page/k", "good");
   ASSERT_TRUE(response);
   EXPECT_EQ(response->result_int(), 200U);
@@ -63,8 +63,8 @@
 
 // Sends these bytes on a connection of its own; the status it is answered with, 0 where it is closed without
 // one. What is behind the answer is the end of the connection.
-unsigned StatusBeforeClose(Node& node, const std::string& bytes) {
-  Client client(node.port());
+unsigned StatusBeforeClose(SidecarProcess& sidecar, const std::string& bytes) {
+  Client client(sidecar.port());
   client.Send(bytes);
   const auto response = client.Read();
   EXPECT_FALSE(client.Read()) << bytes.substr(0, 200);
@@ -75,8 +75,8 @@
 // these is turned away, and what follows on its connection is not looked at.
 TEST(RequestFraming, RejectsAmbiguousRequestsAndClosesTheConnection) {
   Upstream upstream(Upstream::Echo("u"));
-  Node node(With(List({Target("u1", upstream.address())})));
-  ASSERT_TRUE(node.Listening());
+  SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
+  ASSERT_TRUE(sidecar.Listening());
   const std::string next = GetText("/page/hidden", "h1");
   const auto post = [&](const std::string& headers, const std::string& body,
                         const std::string& target = "/submit/k") {
@@ -137,21 +137,21 @@
       GetText("/page/k", "a1", 2000000000) + next,
   };
   for (const std::string& text : cases) {
-    EXPECT_EQ(StatusBeforeClose(node, text), 400U) << text.substr(0, 200);
+    EXPECT_EQ(StatusBeforeClose(sidecar, text), 400U) << text.substr(0, 200);
   }
   EXPECT_TRUE(upstream.requests().empty());
 }
 
 // The deployment's limit is 3 s from connecting, whatever trickles in the meantime.
 TEST(RequestFraming, ClosesSilentAndStalledClientsAtTheTimeLimit) {
-  Node node(With(json::array()));
-  ASSERT_TRUE(node.Listening());
-  Client silent(node.port());
-  Client half(node.port());
+  SidecarProcess sidecar(With(json::array()));
+  ASSERT_TRUE(sidecar.Listening());
+  Client silent(sidecar.port());
+  Client half(sidecar.port());
   ASSERT_TRUE(half.Send("GET /page/k HTTP/1.1\r\nX-"));
-  Client body(node.port());
+  Client body(sidecar.port());
   ASSERT_TRUE(body.Send("POST /submit/k HTTP/1.1\r\nX-Request-ID: b1\r\nContent-Length: 9\r\n\r\nx"));
-  Client trickling(node.port());
+  Client trickling(sidecar.port());
   ASSERT_TRUE(trickling.Send("GET /page/k HTTP/1.1\r\nX-Slow: "));
   std::atomic<bool> ended{false};
   std::thread feeding([&] {
@@ -168,9 +168,9 @@
 
 TEST(RequestFraming, AcceptsAbsoluteTargetAndOneLeadingEmptyLine) {
   Upstream upstream(Upstream::Echo("u"));
-  Node node(With(List({Target("u1", upstream.address())})));
-  ASSERT_TRUE(node.Listening());
-  Client client(node.port());
+  SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
+  ASSERT_TRUE(sidecar.Listening());
+  Client client(sidecar.port());
   ASSERT_TRUE(client.Send(PostText("HTTP://api.internal/submit/k?a=http://b/", "a1", "x") + "\r\n"));
   const auto first = client.Read();
   ASSERT_TRUE(first);
@@ -180,7 +180,7 @@
   const auto second = client.Read();
   ASSERT_TRUE(second);
   EXPECT_EQ(second->result_int(), 400U);
-  Client other(node.port());
+  Client other(sidecar.port());
   for (const char c : "\r\n" + GetText("/page/k", "a3")) ASSERT_TRUE(other.Send(std::string(1, c)));
   const auto third = other.Read();
   ASSERT_TRUE(third);
--- a/tests/response_framing_test.cpp
+++ b/tests/response_framing_test.cpp
@@ -83,9 +83,9 @@
         }
         strayed.Open();
       });
-      Node node(With(List({Target("u1", upstream.address())})));
-      ASSERT_TRUE(node.Listening());
-      Client client(node.port());
+      SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
+      ASSERT_TRUE(sidecar.Listening());
+      Client client(sidecar.port());
       const auto first = client.Post("/submit/k", "one", "x");
       ASSERT_TRUE(first);
       EXPECT_EQ(first->body(), "one");
@@ -117,9 +117,9 @@
       }
       wire.Answer(200, id);
     });
-    Node node(With(List({Target("u1", upstream.address())})));
-    ASSERT_TRUE(node.Listening());
-    Client client(node.port());
+    SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
+    ASSERT_TRUE(sidecar.Listening());
+    Client client(sidecar.port());
     ASSERT_TRUE(client.Send(PostText("/submit/k", "one", "x") + PostText("/submit/k", "two", "x")));
     ASSERT_TRUE(client.Read());
     const auto second = client.Read();
--- a/tests/sidecar_steps.cpp
+++ b/tests/sidecar_steps.cpp
@@ -10,9 +10,9 @@
 namespace lb::sidecar::testing {
 
 unsigned NonIdempotentStatus(const std::string& address, int timeout_ms, std::size_t body) {
-  Node node(With(List({Target("u1", address)})));
-  if (!node.Listening()) return 0;
-  Client client(node.port());
+  SidecarProcess sidecar(With(List({Target("u1", address)})));
+  if (!sidecar.Listening()) return 0;
+  Client client(sidecar.port());
   const auto response = client.Post("/submit/k", "a1", std::string(body, 'x'), timeout_ms);
   return response ? response->result_int() : 0;
 }
@@ -41,10 +41,10 @@
   return response;
 }
 
-bool BecomesServedBy(Node& node, const std::string& body) {
+bool BecomesServedBy(SidecarProcess& sidecar, const std::string& body) {
   static int number = 0;
   return Eventually([&] {
-    Client client(node.port());
+    Client client(sidecar.port());
     const auto response = client.Get("/page/k", "w" + std::to_string(number++));
     return response && response->body() == body;
   });
--- a/tests/sidecar_steps.h
+++ b/tests/sidecar_steps.h
@@ -24,6 +24,6 @@
 std::optional<Response> ReadFinalResponse(Client& client);
 
 // Sends requests until one is answered with this body; false where none is in time.
-bool BecomesServedBy(Node& node, const std::string& body);
+bool BecomesServedBy(SidecarProcess& sidecar, const std::string& body);
 
 }  // namespace lb::sidecar::testing
