--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -137,7 +137,7 @@
 std::string FailedStartLog(const SidecarProcess::Options& options) {
   SidecarProcess sidecar(options);
   EXPECT_NE(sidecar.Wait(), 0);
-  const std::string log = sidecar.log();
+  std::string log = sidecar.log();
   EXPECT_EQ(std::count(log.begin(), log.end(), '\n'), 1) << log;
   return log;
 }
