--- a/lab/model/client_model.h
+++ b/lab/model/client_model.h
@@ -9,10 +9,10 @@
 #include <vector>
 
 #include "lab/measure/metrics.h"
+#include "lab/model/scheduler.h"
 #include "lab/spec/deployment.h"
 #include "lab/spec/experiment.h"
 #include "lab/virtual/hollow_sidecar.h"
-#include "lab/virtual/scheduler.h"
 
 namespace lb::lab {
 
--- a/lab/virtual/scheduler.cpp
+++ b/lab/model/scheduler.cpp
@@ -1,4 +1,4 @@
-#include "lab/virtual/scheduler.h"
+#include "lab/model/scheduler.h"
 
 #include <algorithm>
 
--- a/lab/model/upstream_model.h
+++ b/lab/model/upstream_model.h
@@ -12,8 +12,8 @@
 #include <utility>
 #include <vector>
 
+#include "lab/model/scheduler.h"
 #include "lab/spec/deployment.h"
-#include "lab/virtual/scheduler.h"
 
 namespace lb::lab {
 
--- a/lab/real/http_load.h
+++ b/lab/real/http_load.h
@@ -10,8 +10,8 @@
 #include <vector>
 
 #include "lab/measure/metrics.h"
+#include "lab/model/scheduler.h"
 #include "lab/spec/experiment.h"
-#include "lab/virtual/scheduler.h"
 
 namespace lb::lab {
 
--- a/lab/real/http_upstream.h
+++ b/lab/real/http_upstream.h
@@ -16,10 +16,10 @@
 #include <string>
 #include <vector>
 
+#include "lab/model/scheduler.h"
 #include "lab/model/upstream_model.h"
 #include "lab/spec/deployment.h"
 #include "lab/spec/experiment.h"
-#include "lab/virtual/scheduler.h"
 
 namespace lb::lab {
 
--- a/lab/real/real_engine.cpp
+++ b/lab/real/real_engine.cpp
@@ -17,15 +17,15 @@
 
 #include "lab/engine.h"
 #include "lab/measure/fleet_rules.h"
+#include "lab/model/scheduler.h"
 #include "lab/real/cpu_clock.h"
 #include "lab/real/discovery_server.h"
-#include "lab/real/fault_player.h"
+#include "lab/real/real_fault_target.h"
 #include "lab/real/real_fleet.h"
 #include "lab/real/sidecar_operator.h"
 #include "lab/real/upstream_operator.h"
 #include "lab/real/worker_thread.h"
 #include "lab/virtual/hollow_fleet.h"
-#include "lab/virtual/scheduler.h"
 
 namespace lb::lab {
 namespace {
@@ -227,7 +227,8 @@
   HollowFleet hollow_;
   UpstreamOperator upstreams_;
   const std::unique_ptr<SidecarOperator> real_operator_;  // null without real sidecars
-  FaultPlayer faults_;
+  RealFaultTarget fault_target_;
+  FaultSchedule faults_;
 
   TimePoint start_;  // of the load and the faults' time
   TimePoint sample_start_;
@@ -266,7 +267,9 @@
       hollow_(hollow_thread_.io(), scheduler_, experiment, deployment, discovery_),
       upstreams_(deployment, first_registry_, scheduler_, discovery_, hollow_, real_.get()),
       real_operator_(MakeOperator()),
-      faults_(deployment, scheduler_, discovery_, hollow_, real_.get(), real_operator_.get(), upstreams_) {}
+      fault_target_(deployment, scheduler_, discovery_, hollow_, real_.get(), real_operator_.get(),
+                    upstreams_),
+      faults_(deployment, scheduler_, fault_target_) {}
 
 // Its handlers refer to all the rest.
 RealRun::~RealRun() { hollow_thread_.Stop(); }
--- a/lab/real/real_fleet.h
+++ b/lab/real/real_fleet.h
@@ -11,6 +11,7 @@
 
 #include "lab/measure/metrics.h"
 #include "lab/model/membership.h"
+#include "lab/model/scheduler.h"
 #include "lab/real/discovery_server.h"
 #include "lab/real/http_load.h"
 #include "lab/real/http_upstream.h"
@@ -19,7 +20,6 @@
 #include "lab/real/worker_thread.h"
 #include "lab/spec/deployment.h"
 #include "lab/spec/experiment.h"
-#include "lab/virtual/scheduler.h"
 
 namespace lb::lab {
 
--- a/lab/real/sidecar_operator.h
+++ b/lab/real/sidecar_operator.h
@@ -11,15 +11,13 @@
 #include <set>
 #include <vector>
 
+#include "lab/model/fault_schedule.h"
 #include "lab/real/discovery_server.h"
 #include "lab/real/real_fleet.h"
 #include "nlohmann/json.hpp"
 
 namespace lb::lab {
 
-// A sidecar that has ended takes so long to start anew.
-inline constexpr Duration kSidecarRestart = std::chrono::milliseconds(500);
-
 // From SIGTERM to SIGKILL, where the deployment's longest deadline is this: the deadline (3 s at most) and
 // 0.7 s more.
 Duration ShutdownTime(Duration longest_deadline);
--- a/lab/real/stalled_clients.h
+++ b/lab/real/stalled_clients.h
@@ -9,7 +9,7 @@
 #include <memory>
 #include <string>
 
-#include "lab/virtual/scheduler.h"
+#include "lab/model/scheduler.h"
 
 namespace lb::lab {
 
--- a/lab/real/upstream_operator.cpp
+++ b/lab/real/upstream_operator.cpp
@@ -4,17 +4,13 @@
 #include <stdexcept>
 #include <utility>
 
+#include "lab/model/fault_schedule.h"
+
 namespace lb::lab {
 namespace {
 
 using lb::UpstreamState;
 
-// Of a restart: from its draining being announced to its turning requests away, to its end, and to the start
-// of the next process. The same as on the virtual clock.
-constexpr Duration kDrainAnnounced = std::chrono::seconds(2);
-constexpr Duration kDrainEnds = std::chrono::seconds(3);
-constexpr Duration kRestarted = std::chrono::seconds(5);
-
 std::int64_t UnixMilliseconds() {
   const auto now = std::chrono::system_clock::now().time_since_epoch();
   return std::chrono::duration_cast<std::chrono::milliseconds>(now).count();
--- a/lab/real/upstream_operator.h
+++ b/lab/real/upstream_operator.h
@@ -6,11 +6,11 @@
 #include <optional>
 
 #include "lab/model/membership.h"
+#include "lab/model/scheduler.h"
 #include "lab/real/discovery_server.h"
 #include "lab/real/real_fleet.h"
 #include "lab/spec/deployment.h"
 #include "lab/virtual/hollow_fleet.h"
-#include "lab/virtual/scheduler.h"
 
 namespace lb::lab {
 
--- a/lab/virtual/hollow_fleet.h
+++ b/lab/virtual/hollow_fleet.h
@@ -15,13 +15,13 @@
 #include "lab/model/client_model.h"
 #include "lab/model/membership.h"
 #include "lab/model/network_model.h"
+#include "lab/model/scheduler.h"
 #include "lab/model/upstream_model.h"
 #include "lab/real/control_client.h"
 #include "lab/real/discovery_server.h"
 #include "lab/spec/deployment.h"
 #include "lab/spec/experiment.h"
 #include "lab/virtual/hollow_sidecar.h"
-#include "lab/virtual/scheduler.h"
 
 namespace lb::lab {
 
--- a/lab/virtual/hollow_sidecar.h
+++ b/lab/virtual/hollow_sidecar.h
@@ -17,9 +17,9 @@
 #include "balancer/balancer.h"
 #include "lab/measure/metrics.h"
 #include "lab/model/network_model.h"
+#include "lab/model/scheduler.h"
 #include "lab/model/upstream_model.h"
 #include "lab/spec/deployment.h"
-#include "lab/virtual/scheduler.h"
 
 namespace lb::lab {
 
--- a/lab/virtual/membership_notices.h
+++ b/lab/virtual/membership_notices.h
@@ -9,9 +9,9 @@
 #include <random>
 #include <vector>
 
+#include "lab/model/scheduler.h"
 #include "lab/spec/deployment.h"
 #include "lab/spec/experiment.h"
-#include "lab/virtual/scheduler.h"
 
 namespace lb::lab {
 
--- a/tests/lab_faults_test.cpp
+++ b/tests/lab_faults_test.cpp
@@ -27,7 +27,7 @@
 #include "lab/real/wall_clock.h"
 #include "lab/spec/deployment.h"
 #include "lab/spec/experiment.h"
-#include "lab/virtual/scheduler.h"
+#include "lab/model/scheduler.h"
 #include "sidecar/clock.h"
 
 namespace lb::lab {
--- a/tests/lab_models_test.cpp
+++ b/tests/lab_models_test.cpp
@@ -15,7 +15,7 @@
 #include "lab/model/upstream_model.h"
 #include "lab/virtual/hollow_sidecar.h"
 #include "lab/virtual/membership_notices.h"
-#include "lab/virtual/scheduler.h"
+#include "lab/model/scheduler.h"
 
 namespace lb::lab {
 namespace {
