--- a/sidecar/listener.cpp
+++ b/sidecar/listener.cpp
@@ -1,5 +1,3 @@
-#include "sidecar/listener.h"
-
 #include <linux/sockios.h>
 #include <poll.h>
 #include <sys/ioctl.h>
@@ -21,7 +19,9 @@
 #include <utility>
 #include <vector>
 
+#include "sidecar/listener.h"
 #include "sidecar/socket_io.h"
+#include "sidecar/socket_reader.h"
 #include "sidecar/write_stream.h"
 
 namespace lb::sidecar {
@@ -58,7 +58,6 @@
 // Whoever sends on for long after the last answer gets the reset: reading megabytes to the end is no service.
 constexpr std::size_t kMostLinger = 256 * 1024;
 constexpr std::size_t kReadSize = 8192;
-constexpr Duration kReadPause = milliseconds(5);  // where the system had no memory for a read
 // Clients go on opening connections for a moment after a planned stop began.
 constexpr Duration kAcceptWhileDraining = milliseconds(800);
 // And where accepting fails just then, for so long more: the process may be killed soon after.
@@ -92,6 +91,7 @@
       : owner_(&owner),
         slot_(std::in_place, owner.descriptors_, Descriptors::Side::kClient),
         socket_(std::move(socket)),
+        reader_(socket_),
         writer_(socket_),
         look_(owner.io_) {
     buffer_.max_size(kMostRead);
@@ -246,38 +246,14 @@
     if (buffer_.size() == 0) buffer_.shrink_to_fit();  // most connections are idle most of the time
   }
 
-  // Waits without a buffer: hundreds of connections may be idle.
   void Read() {
-    if (reading_ || closed_ || ended_) return;
+    if (reader_.IsReading() || closed_ || ended_) return;
     if (buffer_.size() == buffer_.max_size()) return LookAgain();
-    reading_ = true;
-    socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code error) {
-      self->reading_ = false;
+    reader_.Read(buffer_, kReadSize, [self = shared_from_this()](const IoResult& result) {
       if (self->closed_ || self->owner_ == nullptr) return;
-      if (error) return self->Close();
-      self->Receive();
-    });
-  }
-
-  void Receive() {
-    const std::size_t room = std::min(buffer_.max_size() - buffer_.size(), kReadSize);
-    const auto into = buffer_.prepare(room);
-    const IoResult read = ReadSome(socket_.native_handle(), into.data(), into.size());
-    if (read.status == IoStatus::kWouldBlock) return Read();
-    if (read.status == IoStatus::kShortage) return ReadLater();
-    if (read.status == IoStatus::kEnd) return Ended();
-    if (read.status == IoStatus::kBroken) return Close();
-    buffer_.commit(read.size);
-    Progress();
-  }
-
-  // Not at once: the machine is short of memory, and the bytes are there still.
-  void ReadLater() {
-    reading_ = true;
-    const auto timer = std::make_shared<boost::asio::steady_timer>(owner_->io_, kReadPause);
-    timer->async_wait([self = shared_from_this(), timer](error_code stopped) {
-      self->reading_ = false;
-      if (!stopped && !self->closed_ && self->owner_ != nullptr) self->Read();
+      if (result.status == IoStatus::kEnd) return self->Ended();
+      if (result.status == IoStatus::kBroken) return self->Close();
+      self->Progress();
     });
   }
 
@@ -701,6 +677,7 @@
   Listener* owner_;
   std::optional<Descriptors::Slot> slot_;
   tcp::socket socket_;
+  SocketReader reader_;
   WriteStream writer_;
   boost::asio::steady_timer look_;
   std::optional<std::pair<HttpRequest, Body>> waiting_;  // until it is known whether its client is there
@@ -736,7 +713,6 @@
   std::size_t scanned_ = 0;   // of a head that is still to come whole
   std::size_t lingered_ = 0;  // bytes read since the last answer
   bool close_after_ = false;
-  bool reading_ = false;
   bool closed_ = false;
 };
 
