--- /dev/null
+++ b/sidecar/response_framing.cpp
@@ -0,0 +1,60 @@
+#include "sidecar/response_framing.h"
+
+#include <utility>
+
+namespace lb::sidecar {
+namespace {
+
+// Interim responses ahead of the final one; no honest upstream sends more.
+constexpr int kMaxInterimResponses = 8;
+
+// Whether the head says in one way only where the body ends. To end with the connection is one way, too.
+bool IsFramedOnce(const http::response_header<>& head) {
+  const auto codings = head.count(http::field::transfer_encoding);
+  const auto lengths = head.count(http::field::content_length);
+  if (codings == 0) return lengths <= 1;
+  return codings == 1 && lengths == 0 &&
+         boost::beast::iequals(head[http::field::transfer_encoding], "chunked");
+}
+
+}  // namespace
+
+lb::Outcome ClassifyResponse(const http::response_header<>& head) {
+  const unsigned status = head.result_int();
+  if (status == 200) return lb::Outcome::kServed;
+  if ((status == 503 || status == 504) && head["X-Not-Processed"] == "1") return lb::Outcome::kRejected;
+  return lb::Outcome::kError;
+}
+
+ResponseFraming::Parser& ResponseFraming::ExpectHead() {
+  parser_.emplace();
+  parser_->body_limit(kMostPassing);
+  parser_->header_limit(kMostHeader);
+  return *parser_;
+}
+
+ResponseFraming::HeadAction ResponseFraming::ExamineHead(RequestProgress progress) {
+  const unsigned status = parser_->get().result_int();
+  if (status / 100 == 1) {
+    // No request asks to switch protocols.
+    if (status == static_cast<unsigned>(http::status::switching_protocols)) return HeadAction::kFail;
+    ++interim_responses_;
+    return interim_responses_ > kMaxInterimResponses ? HeadAction::kFail : HeadAction::kReadNextHead;
+  }
+  if (status != 200) return HeadAction::kCollectBody;
+  if (progress == RequestProgress::kIncomplete || !IsFramedOnce(head())) return HeadAction::kFail;
+  if (!content_length()) return HeadAction::kHoldBackBody;
+  return *content_length() > kMostBody ? HeadAction::kStreamBody : HeadAction::kCollectBody;
+}
+
+void ResponseFraming::SetBodyBuffer(char* bytes, std::size_t size) {
+  parser_->get().body() = {bytes, size, true};
+}
+
+HttpResponse ResponseFraming::TakeHead() {
+  HttpResponse response;
+  response.base() = std::move(parser_->get().base());
+  return response;
+}
+
+}  // namespace lb::sidecar
--- a/sidecar/upstreams.cpp
+++ b/sidecar/upstreams.cpp
@@ -6,19 +6,18 @@
 #include <boost/asio/post.hpp>
 #include <boost/asio/write.hpp>
 #include <boost/beast/core/flat_buffer.hpp>
-#include <boost/beast/http/buffer_body.hpp>
 #include <boost/beast/http/chunk_encode.hpp>
 #include <boost/beast/http/error.hpp>
-#include <boost/beast/http/parser.hpp>
 #include <boost/beast/http/read.hpp>
 #include <boost/beast/http/serializer.hpp>
 #include <boost/beast/http/write.hpp>
-#include <charconv>
 #include <chrono>
 #include <iterator>
 #include <utility>
 
 #include "sidecar/connect.h"
+#include "sidecar/load_report.h"
+#include "sidecar/response_framing.h"
 #include "sidecar/socket_io.h"
 #include "sidecar/write_stream.h"
 
@@ -27,7 +26,6 @@
 
 using boost::asio::ip::tcp;
 using boost::system::error_code;
-using lb::LoadReport;
 using lb::Outcome;
 using lb::UpstreamState;
 using std::chrono::milliseconds;
@@ -49,67 +47,12 @@
 // The system must not take megabytes for a client that reads slowly.
 constexpr int kReceiveBuffer = 128 * 1024;
 
-// Interim answers ahead of the one answer; more are no honest upstream's.
-constexpr int kMostInterim = 8;
 // What an upstream that is gone is told to be.
 const Location kNowhere{UpstreamState::kGone, {}, 0};
-// No load is beyond this, whatever its unit.
-constexpr double kMostLoad = 1e6;
-
 Duration TrustedIdle(Duration limit) {
   return std::max(limit / 2, limit - std::max(limit / kIdleShare, kIdleMargin));
 }
 
-std::optional<double> Number(boost::beast::string_view text) {
-  double value = 0;
-  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (error != std::errc() || end != text.data() + text.size()) return std::nullopt;
-  if (!(value >= 0 && value <= kMostLoad)) return std::nullopt;  // from_chars takes "nan" and "inf", too
-  return value;
-}
-
-// `inflight=7,queue=2,util=0.61`, under the names of the protocol or of the settings. A report of which a
-// part can't be read is none: the rest of it is no more to be trusted.
-LoadReport ParseLoad(boost::beast::string_view text) {
-  LoadReport load;
-  while (!text.empty()) {
-    const auto comma = text.find(',');
-    auto field = text.substr(0, comma);
-    text = comma == boost::beast::string_view::npos ? boost::beast::string_view() : text.substr(comma + 1);
-    while (!field.empty() && field.front() == ' ') field.remove_prefix(1);
-    while (!field.empty() && (field.back() == ' ' || field.back() == '\n' || field.back() == '\r')) {
-      field.remove_suffix(1);
-    }
-    const auto equals = field.find('=');
-    if (equals == boost::beast::string_view::npos) continue;
-    const auto name = field.substr(0, equals);
-    const auto value = Number(field.substr(equals + 1));
-    if (!value) return {};
-    if (name == "inflight" || name == "rif") load.in_flight = value;
-    if (name == "queue" || name == "q") load.queued = value;
-    if (name == "util" || name == "busy") load.utilization = value;
-    if (name == "qps" || name == "rate") load.rate = value;
-  }
-  return load;
-}
-
-// Does the head tell in one way where a served answer ends? With its connection is one, too.
-bool TellsItsEnd(const http::response_header<>& header) {
-  const auto codings = header.count(http::field::transfer_encoding);
-  const auto lengths = header.count(http::field::content_length);
-  if (codings == 0) return lengths <= 1;
-  return codings == 1 && lengths == 0 &&
-         boost::beast::iequals(header[http::field::transfer_encoding], "chunked");
-}
-
-Outcome Classify(const http::response_header<>& header) {
-  const unsigned status = header.result_int();
-  if (status == 200) return Outcome::kServed;
-  // Only this header proves that nothing ran: a bare 503 may come from behind the work.
-  if ((status == 503 || status == 504) && header["X-Not-Processed"] == "1") return Outcome::kRejected;
-  return Outcome::kError;
-}
-
 }  // namespace
 
 // One connection and what it carries. While it is idle it is only watched: whatever comes then, a close or
@@ -155,7 +98,7 @@
     const bool usable = Usable();
     phase_ = usable ? Phase::kWriting : Phase::kConnecting;
     ++use_;
-    interim_ = 0;
+    framing_.StartExchange();
     if (usable) return BeginRequest();
     if (connected_) return ArmTimer(std::min({gives_up_, usable_from_, begin_by_}));
     ArmTimer(std::min({gives_up_, sent_ + owner_.connect_timeout_, begin_by_}));
@@ -363,33 +306,31 @@
   }
 
   void Read() {
-    parser_.emplace();
-    parser_->body_limit(kMostPassing);
-    parser_->header_limit(kMostHeader);
-    // The header on its own first: Beast 1.74 forgets that the body is beyond the bound where the first of
-    // the body comes along with the header, and would take all of it.
-    http::async_read_header(socket_, buffer_, *parser_,
+    http::async_read_header(socket_, buffer_, framing_.ExpectHead(),
                             [self = shared_from_this()](error_code error, std::size_t) {
                               if (!self->closed_) self->OnHeader(error);
                             });
   }
 
   void OnHeader(error_code error) {
+    using HeadAction = ResponseFraming::HeadAction;
+    using RequestProgress = ResponseFraming::RequestProgress;
     if (error) return End(Cause::kBroken, error);
-    const unsigned status = parser_->get().result_int();
-    if (status / 100 == 1) {
-      const bool odd = status == static_cast<unsigned>(http::status::switching_protocols);
-      if (odd || ++interim_ > kMostInterim) return End(Cause::kBroken);
-      return Read();
-    }
-    // Nor does an upstream have an answer before it has the whole request.
     const bool early = write_pending_ || (call_.body && !whole_);
-    if (status == 200 && (early || !TellsItsEnd(parser_->get()))) return End(Cause::kBroken);
-    if (status == 200 && parser_->content_length().value_or(0) > kMostBody) {
-      Begin();
-    } else if (status == 200 && !parser_->content_length()) {
-      holds_back_ = true;
-      ArmTimer(EndOfHoldBack());
+    switch (framing_.ExamineHead(early ? RequestProgress::kIncomplete : RequestProgress::kComplete)) {
+      case HeadAction::kReadNextHead:
+        return Read();
+      case HeadAction::kFail:
+        return End(Cause::kBroken);
+      case HeadAction::kCollectBody:
+        break;
+      case HeadAction::kHoldBackBody:
+        holds_back_ = true;
+        ArmTimer(EndOfHoldBack());
+        break;
+      case HeadAction::kStreamBody:
+        Begin();
+        break;
     }
     if (!closed_) ReadBody();
   }
@@ -398,7 +339,7 @@
   void Begin() {
     holds_back_ = false;
     if (!call_.on_response_started) return End(Cause::kBroken, http::error::body_limit);
-    passing_ = std::make_shared<BodyStream>(owner_.io_, owner_.pipe_, parser_->content_length());
+    passing_ = std::make_shared<BodyStream>(owner_.io_, owner_.pipe_, framing_.content_length());
     passing_->on_capacity = [weak = weak_from_this()] {
       const auto self = weak.lock();
       if (!self || self->closed_ || !self->passing_) return;
@@ -411,7 +352,7 @@
     held_ = {};
     ArmTimer(Now() + kSilentPeer);
     HttpResponse head;
-    head.base() = parser_->get().base();
+    head.base() = framing_.head();
     call_.on_response_started(std::move(head), passing_);
   }
 
@@ -429,28 +370,28 @@
   }
 
   void ReadBody() {
-    if (parser_->is_done()) return OnWhole();
+    if (framing_.IsComplete()) return OnWhole();
     if (passing_ && !passing_->HasCapacity()) {
       paused_ = true;
       return DisarmTimer();
     }
     if (passing_) ArmTimer(Now() + kSilentPeer);
     piece_.resize(kPiece);
-    parser_->get().body() = {piece_.data(), piece_.size(), true};
-    http::async_read_some(socket_, buffer_, *parser_,
+    framing_.SetBodyBuffer(piece_.data(), piece_.size());
+    http::async_read_some(socket_, buffer_, framing_.parser(),
                           [self = shared_from_this()](error_code error, std::size_t) {
                             if (!self->closed_) self->OnPiece(error);
                           });
   }
 
   void OnPiece(error_code error) {
-    const std::size_t size = piece_.size() - parser_->get().body().size;
+    const std::size_t size = piece_.size() - framing_.body_buffer_left();
     if (error && error != http::error::need_buffer) return End(Cause::kBroken, error);
     if (passing_) {
       passing_->Write(piece_.data(), size);
     } else {
       held_.append(piece_, 0, size);
-      const bool served = parser_->get().result_int() == 200;
+      const bool served = framing_.IsServed();
       if (held_.size() > kMostBody && !served) return End(Cause::kBroken, http::error::body_limit);
       if (held_.size() > kMostBody) Begin();
     }
@@ -458,14 +399,13 @@
   }
 
   void OnWhole() {
-    HttpResponse response;
-    response.base() = std::move(parser_->get().base());
+    const bool connection_stays = framing_.KeepsConnection();
+    HttpResponse response = framing_.TakeHead();
     response.body() = std::move(held_);
-    ExchangeResult result = Result(Classify(response));
-    result.load = ParseLoad(response["X-Server-Load"]);
+    ExchangeResult result = Result(ClassifyResponse(response));
+    result.load = ParseLoadReport(response["X-Server-Load"]);
     // An answer before the request was written out leaves the connection between messages.
-    const bool keep = response.keep_alive() && !parser_->need_eof() && !write_pending_ &&
-                      (!call_.body || whole_) && buffer_.size() == 0;
+    const bool keep = connection_stays && !write_pending_ && (!call_.body || whole_) && buffer_.size() == 0;
     result.response = std::move(response);
     timer_.cancel();
     holds_back_ = false;
@@ -516,7 +456,7 @@
     outgoing_ = {};
     serializer_.reset();
     message_.reset();
-    parser_.reset();
+    framing_.Clear();
     buffer_.clear();
     buffer_.shrink_to_fit();
   }
@@ -554,7 +494,7 @@
   WriteStream writer_;
   boost::asio::steady_timer timer_;
   boost::beast::flat_buffer buffer_;
-  std::optional<http::response_parser<http::buffer_body>> parser_;
+  ResponseFraming framing_;
   std::optional<http::request<http::span_body<const char>>> message_;
   std::optional<http::request_serializer<http::span_body<const char>>> serializer_;
   Phase phase_ = Phase::kIdle;
@@ -564,7 +504,6 @@
   bool write_pending_ = false;
   std::optional<Cause> ending_;
   std::uint64_t use_ = 0;  // counts the exchanges: a watch that one outran is void
-  int interim_ = 0;
   ExchangeId id_{};
   ExchangeRequest call_;
   bool wanted_ = true;    // by the request
@@ -685,12 +624,15 @@
   request->set(http::field::host, uid);
   auto ended = [by_body = probe_target_ != "/alive",
                 on_finished = std::move(on_finished)](ExchangeResult result) {
-    if (by_body && result.outcome == Outcome::kServed) result.load = ParseLoad(result.response.body());
+    if (by_body && result.outcome == Outcome::kServed) result.load = ParseLoadReport(result.response.body());
     on_finished(std::move(result));
   };
-  StartExchange(id, uid,
-                {request, nullptr, connect_timeout_, max_connection_idle, Duration::max(), nullptr, nullptr,
-                 Duration::max(), nullptr, std::move(ended)});
+  ExchangeRequest probe;
+  probe.request = request;
+  probe.timeout = connect_timeout_;
+  probe.max_connection_idle = max_connection_idle;
+  probe.on_finished = std::move(ended);
+  StartExchange(id, uid, std::move(probe));
 }
 
 void Upstreams::Cancel(ExchangeId id) {
--- a/sidecar/upstreams.h
+++ b/sidecar/upstreams.h
@@ -4,7 +4,6 @@
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
 #include <cstdint>
-#include <functional>
 #include <list>
 #include <map>
 #include <memory>
@@ -14,11 +13,10 @@
 #include <vector>
 
 #include "balancer/balancer.h"
-#include "settings/config.h"
-#include "sidecar/body_stream.h"
 #include "sidecar/clock.h"
 #include "sidecar/descriptors.h"
-#include "sidecar/http.h"
+#include "sidecar/exchange.h"
+#include "sidecar/upstream_location.h"
 
 namespace lb::sidecar {
 
@@ -26,49 +24,11 @@
 // that connection, or the next request would be answered with those bytes.
 constexpr Duration kSecondAnswer = std::chrono::milliseconds(20);
 
-// Where an upstream listens, and whether it may be sent anything new.
-struct Location {
-  lb::UpstreamState state = lb::UpstreamState::kServing;
-  Endpoint endpoint;
-  std::int64_t boot_ms = 0;
-};
-
-struct ExchangeResult {
-  lb::Outcome outcome = lb::Outcome::kServed;
-  Duration elapsed{};
-  lb::LoadReport load;
-  HttpResponse response;  // of a served one
-  // Of the connection: why it broke, how many exchanges it has carried, and for how long it had been open,
-  // and idle, when this one began.
-  boost::system::error_code why{};
-  std::uint64_t use = 0;
-  Duration open{};
-  Duration idle{};
-};
-
 class Upstreams {
  public:
-  // An answer that passes through has begun.
-  using OnResponseStarted = std::function<void(HttpResponse head, Body body)>;
-  using OnFinished = std::function<void(ExchangeResult)>;
-  struct ExchangeRequest {
-    std::shared_ptr<const HttpRequest> request;
-    Body body;                                // of a request that passes through
-    Duration timeout{};                       // from now; where the body passes through, from its last byte
-    Duration max_connection_idle{};           // of the connection
-    Duration begin_within = Duration::max();  // where nothing of it is written by then it ends as not sent
-    // Asked right before its first byte is written, with nothing but the write behind it: where it says no,
-    // nothing is written and it ends as not sent.
-    std::function<bool()> client_is_waiting;
-    // What the client will still wait, at a time: the upstream is told no more, and waited for no longer.
-    // Null: no client waits.
-    std::function<Duration(TimePoint)> time_left;
-    Duration body_stall_timeout =
-        Duration::max();  // an upstream that takes nothing of a body for so long has failed
-    OnResponseStarted on_response_started;
-    OnFinished on_finished;
-  };
-  enum class ExchangeId : std::uint64_t {};
+  using ExchangeId = sidecar::ExchangeId;
+  using ExchangeRequest = sidecar::ExchangeRequest;
+  using OnFinished = ExchangeRequest::OnFinished;
 
   // `pipe`: how much of a body that passes through is held.
   Upstreams(boost::asio::io_context& io, const lb::Limits& limits, bool load_by_probe, std::size_t pipe,
