--- a/lab/real/real_engine.cpp
+++ b/lab/real/real_engine.cpp
@@ -17,15 +17,15 @@
 
 #include "lab/engine.h"
 #include "lab/measure/fleet_rules.h"
+#include "lab/model/scheduler.h"
 #include "lab/real/cpu_clock.h"
 #include "lab/real/discovery_server.h"
-#include "lab/real/fault_player.h"
+#include "lab/real/real_fault_target.h"
 #include "lab/real/real_fleet.h"
 #include "lab/real/sidecar_operator.h"
 #include "lab/real/upstream_operator.h"
 #include "lab/real/worker_thread.h"
 #include "lab/virtual/hollow_fleet.h"
-#include "lab/virtual/scheduler.h"
 
 namespace lb::lab {
 namespace {
@@ -78,9 +78,9 @@
 }
 
 double ReckonedMemoryMb(const Experiment& experiment, const Deployment& deployment) {
-  const double upstreams = static_cast<double>(deployment.upstreams.size());
-  const double real = static_cast<double>(RealSidecars(deployment));
-  const double hollow = static_cast<double>(HollowSidecars(experiment, deployment));
+  const auto upstreams = static_cast<double>(deployment.upstreams.size());
+  const auto real = static_cast<double>(RealSidecars(deployment));
+  const auto hollow = static_cast<double>(HollowSidecars(experiment, deployment));
   const double services =
       experiment.list == ListScope::kService ? static_cast<double>(experiment.services) : 1;
   return kProgramMb + hollow * (kHollowSidecarMb + upstreams / services * kListLineMb) +
@@ -227,7 +227,8 @@
   HollowFleet hollow_;
   UpstreamOperator upstreams_;
   const std::unique_ptr<SidecarOperator> real_operator_;  // null without real sidecars
-  FaultPlayer faults_;
+  RealFaultTarget fault_target_;
+  FaultSchedule faults_;
 
   TimePoint start_;  // of the load and the faults' time
   TimePoint sample_start_;
@@ -266,7 +267,9 @@
       hollow_(hollow_thread_.io(), scheduler_, experiment, deployment, discovery_),
       upstreams_(deployment, first_registry_, scheduler_, discovery_, hollow_, real_.get()),
       real_operator_(MakeOperator()),
-      faults_(deployment, scheduler_, discovery_, hollow_, real_.get(), real_operator_.get(), upstreams_) {}
+      fault_target_(deployment, scheduler_, discovery_, hollow_, real_.get(), real_operator_.get(),
+                    upstreams_),
+      faults_(deployment, scheduler_, fault_target_) {}
 
 // Its handlers refer to all the rest.
 RealRun::~RealRun() { hollow_thread_.Stop(); }
@@ -475,7 +478,7 @@
 }
 
 void RealRun::AddHollow(const HollowWindow& window, double passed_s, Sample& sample) const {
-  const double sidecars = static_cast<double>(hollow_.sidecars());
+  const auto sidecars = static_cast<double>(hollow_.sidecars());
   sample.traffic += window.results.counters;
   sample.traffic += window.traffic;
   sample.notice_p50_ms = window.notice_delays_ms.Percentile(0.5);
@@ -523,7 +526,7 @@
 
 Metrics RealRun::Totals() {
   const double length_s = Seconds(experiment_.length);
-  const double hollow = static_cast<double>(hollow_.sidecars());
+  const auto hollow = static_cast<double>(hollow_.sidecars());
   Metrics metrics;
   metrics.upstreams = static_cast<double>(deployment_.upstreams.size());
   metrics.sidecars = static_cast<double>(PlayedSidecars());
