--- a/lab/virtual/hollow_sidecar.cpp
+++ b/lab/virtual/hollow_sidecar.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 #include <chrono>
+#include <utility>
 #include <variant>
 
 namespace lb::lab {
@@ -32,18 +33,6 @@
   return wait >= TimePoint::max() - from ? TimePoint::max() : from + wait;
 }
 
-// Set for as long as events are only queued.
-class Busy {
- public:
-  explicit Busy(bool& flag) : flag_(flag) { flag_ = true; }
-  ~Busy() { flag_ = false; }
-  Busy(const Busy&) = delete;
-  Busy& operator=(const Busy&) = delete;
-
- private:
-  bool& flag_;
-};
-
 }  // namespace
 
 // ---- The upstreams ----
@@ -79,17 +68,17 @@
 void HollowSidecar::Start(std::uint64_t seed, std::vector<UpstreamInfo> known) {
   if (running()) Kill();
   ++process_;
-  balancer_ = std::make_unique<lb::Balancer>(settings_, seed);
+  sidecar::BalancerClock& clock = *this;
+  sidecar::ActionHandler& handler = *this;
+  host_.emplace(settings_, seed, clock, handler, &module_time_);
   listed_.assign(upstreams_.size(), {});
   Apply({MembershipUpdate::Kind::kRestored, std::move(known)});
 }
 
 void HollowSidecar::Kill() {
   if (!running()) return;
-  balancer_.reset();
+  host_.reset();
   ++process_;
-  events_.clear();
-  timers_ = {};
   armed_for_ = TimePoint::max();
   sweeping_ = false;
   for (const auto& [id, exchange] : std::exchange(exchanges_, {})) {
@@ -122,7 +111,7 @@
   requests_.emplace(event.request, Pending{request.work, std::move(on_answer), {}, 0});
   CountUnanswered(now);
   answer_by_.emplace_back(event.deadline + settings_.fleet_limits.answer_grace, event.request);
-  Deliver(event);
+  host_->Deliver(event);
 }
 
 // The module hears of the list before it hears of attempts that the list ended, and acts on it only when the
@@ -130,13 +119,11 @@
 void HollowSidecar::Apply(MembershipUpdate update) {
   if (!running()) return;
   {
-    const Busy busy(delivering_);
-    events_.emplace_back(std::move(update));
-    // Events that are queued meanwhile leave this one in its place.
-    const auto& told = std::get<MembershipUpdate>(events_.back());
+    const sidecar::BalancerHost::EventHold hold(*host_);
+    const auto& told = std::get<MembershipUpdate>(host_->Enqueue(std::move(update)));
     if (told.kind != MembershipUpdate::Kind::kFailed) FollowList(told);
   }
-  Pump();
+  host_->HandleQueuedEvents();
 }
 
 void HollowSidecar::FollowList(const MembershipUpdate& update) {
@@ -197,48 +184,21 @@
   }
 }
 
-// ---- Events and timers ----
-
-// handle() is never re-entered: an action that ends something at once queues its event here.
-void HollowSidecar::Deliver(lb::Event event) {
-  events_.push_back(std::move(event));
-  if (!delivering_) Pump();
-}
+// ---- Timers ----
 
-void HollowSidecar::Pump() {
-  const Busy busy(delivering_);
-  while (!events_.empty()) {
-    const lb::Event next = std::move(events_.front());
-    events_.pop_front();
-    actions_.clear();
-    const auto begun = std::chrono::steady_clock::now();
-    balancer_->Handle(scheduler_.Now(), next, actions_);
-    module_time_ += std::chrono::steady_clock::now() - begun;
-    for (const auto& action : actions_) {
-      std::visit([this](const auto& a) { CarryOut(a); }, action);
-    }
-  }
-  ArmTimer();
-}
-
-void HollowSidecar::ArmTimer() {
-  if (timers_.empty() || timers_.top().first >= armed_for_) return;
-  armed_for_ = timers_.top().first;
+// A task that was scheduled can't be called off: only an earlier time is scheduled anew.
+void HollowSidecar::ArmTimer(TimePoint next) {
+  if (next >= armed_for_) return;
+  armed_for_ = next;
   scheduler_.At(armed_for_, [this, process = process_] {
     if (process == process_) FireTimers();
   });
 }
 
 void HollowSidecar::FireTimers() {
-  const TimePoint now = scheduler_.Now();
-  if (now < armed_for_) return;  // an earlier one came in between; this one is armed again
+  if (scheduler_.Now() < armed_for_) return;  // an earlier one came in between; this one is armed again
   armed_for_ = TimePoint::max();
-  while (!timers_.empty() && timers_.top().first <= now) {
-    const std::uint64_t token = timers_.top().second;
-    timers_.pop();
-    Deliver(lb::TimerFired{token});
-  }
-  ArmTimer();
+  host_->FireDueTimers();
 }
 
 // ---- Exchanges ----
@@ -381,7 +341,7 @@
   const Duration elapsed = scheduler_.Now() - exchange.sent;
   if (!exchange.request) {
     const std::string& id = upstreams_.model(exchange.upstream).instance().id;
-    return Deliver(lb::LoadProbeFinished{{id}, outcome, elapsed, load});
+    return host_->Deliver(lb::LoadProbeFinished{{id}, outcome, elapsed, load});
   }
   const RequestId request = *exchange.request;
   const auto it = requests_.find(request);
@@ -390,8 +350,8 @@
   --pending.out;
   if (outcome == Outcome::kServed && pending.on_answer) AnswerClient(pending, {AnswerKind::kServed, {}});
   const bool finished = !pending.on_answer;
-  Deliver(AttemptFinished{request, exchange.attempt, outcome, elapsed, finished, load,
-                          exchange.connection.idle_for, false});
+  host_->Deliver(AttemptFinished{request, exchange.attempt, outcome, elapsed, finished, load,
+                                 exchange.connection.idle_for, false});
   ForgetIfDone(request);
 }
 
@@ -492,7 +452,7 @@
 
 // ---- Actions ----
 
-void HollowSidecar::CarryOut(const lb::SendAttempt& action) {
+void HollowSidecar::StartAttempt(const lb::SendAttempt& action) {
   const auto it = requests_.find(action.request);
   if (it == requests_.end()) return;
   Pending& pending = it->second;
@@ -512,14 +472,14 @@
   Begin(id, exchange, action.max_connection_idle);
 }
 
-void HollowSidecar::CarryOut(const lb::CancelAttempt& action) {
+void HollowSidecar::CancelAttempt(const lb::CancelAttempt& action) {
   const auto it = requests_.find(action.request);
   const auto attempt = static_cast<std::size_t>(action.attempt);
   if (it == requests_.end() || attempt >= it->second.attempts.size()) return;
   EndExchange(it->second.attempts[attempt], Outcome::kCancelled, false);
 }
 
-void HollowSidecar::CarryOut(const lb::RejectRequest& action) {
+void HollowSidecar::RejectRequest(const lb::RejectRequest& action) {
   const auto it = requests_.find(action.request);
   if (it == requests_.end()) {
     ++lost_;
@@ -529,7 +489,7 @@
   ForgetIfDone(action.request);
 }
 
-void HollowSidecar::CarryOut(const lb::FailRequest& action) {
+void HollowSidecar::FailRequest(const lb::FailRequest& action) {
   const auto it = requests_.find(action.request);
   if (it == requests_.end()) {
     ++lost_;
@@ -539,11 +499,9 @@
   ForgetIfDone(action.request);
 }
 
-void HollowSidecar::CarryOut(const lb::SetTimer& action) { timers_.emplace(action.at, action.token); }
-
-void HollowSidecar::CarryOut(const lb::SendLoadProbe& action) {
+void HollowSidecar::StartLoadProbe(const lb::SendLoadProbe& action) {
   const auto place = upstreams_.Find(action.upstream.value);
-  if (!place) return Deliver(lb::LoadProbeFinished{action.upstream, Outcome::kNotSent, {}, {}});
+  if (!place) return host_->Deliver(lb::LoadProbeFinished{action.upstream, Outcome::kNotSent, {}, {}});
   Exchange exchange;
   exchange.upstream = *place;
   exchange.sent = scheduler_.Now();
@@ -552,11 +510,11 @@
   Begin(++last_exchange_, exchange, action.max_connection_idle);
 }
 
-void HollowSidecar::CarryOut(const lb::CloseIdleConnections& action) {
+void HollowSidecar::CloseIdleConnections(const lb::CloseIdleConnections& action) {
   if (const auto place = upstreams_.Find(action.upstream.value)) CloseIdleOf(*place);
 }
 
-void HollowSidecar::CarryOut(const lb::Subscribe&) {
+void HollowSidecar::Subscribe(const lb::Subscribe&) {
   if (on_subscribe_) on_subscribe_();
 }
 
--- a/lab/virtual/hollow_sidecar.h
+++ b/lab/virtual/hollow_sidecar.h
@@ -2,13 +2,13 @@
 // upstreams as the real sidecar carries them out on sockets (sidecar/sidecar.cpp, sidecar/upstreams.cpp).
 #pragma once
 
+#include <chrono>
 #include <cstddef>
 #include <cstdint>
 #include <deque>
 #include <functional>
 #include <memory>
 #include <optional>
-#include <queue>
 #include <string>
 #include <unordered_map>
 #include <utility>
@@ -20,6 +20,7 @@
 #include "lab/model/upstream_model.h"
 #include "lab/spec/deployment.h"
 #include "lab/virtual/scheduler.h"
+#include "sidecar/balancer_host.h"
 
 namespace lb::lab {
 
@@ -63,7 +64,7 @@
   Duration retry_after{};  // of a refusal; zero: no advice
 };
 
-class HollowSidecar {
+class HollowSidecar : private sidecar::ActionHandler, private sidecar::BalancerClock {
  public:
   using OnAnswer = std::function<void(const Answer&)>;
   // The module asks for membership changes.
@@ -74,7 +75,7 @@
   HollowSidecar(const SidecarInstance& instance, lb::Settings settings, const UpstreamDirectory& upstreams,
                 NetworkModel& network, Scheduler& scheduler, TrafficCounters& counters,
                 OnSubscribe on_subscribe);
-  ~HollowSidecar();
+  ~HollowSidecar() override;
   HollowSidecar(const HollowSidecar&) = delete;
   HollowSidecar& operator=(const HollowSidecar&) = delete;
 
@@ -82,7 +83,7 @@
   void Start(std::uint64_t seed, std::vector<lb::UpstreamInfo> known);
   // The process dies: the requests that it holds end as kLost, its connections are closed.
   void Kill();
-  bool running() const { return balancer_ != nullptr; }
+  bool running() const { return host_.has_value(); }
 
   // `on_answer` is called once, by the deadline; kLost at once where the sidecar is down.
   void Offer(const OfferedRequest& request, OnAnswer on_answer);
@@ -100,7 +101,6 @@
 
  private:
   using ExchangeId = std::uint64_t;
-  using Timer = std::pair<TimePoint, std::uint64_t>;
 
   // What is known of one upstream by the list.
   struct Listed {
@@ -137,9 +137,8 @@
     std::size_t out = 0;  // attempts that have not ended
   };
 
-  void Deliver(lb::Event event);
-  void Pump();
-  void ArmTimer();
+  TimePoint Now() const override { return scheduler_.Now(); }
+  void ArmTimer(TimePoint next) override;
   void FireTimers();
   void FollowList(const lb::MembershipUpdate& update);
   void FollowListed(std::size_t upstream, const lb::UpstreamInfo& info);
@@ -170,15 +169,14 @@
   void ForgetIfDone(lb::RequestId id);
   void CountUnanswered(TimePoint now);
 
-  void CarryOut(const lb::SendAttempt& action);
-  void CarryOut(const lb::CancelAttempt& action);
-  void CarryOut(const lb::RejectRequest& action);
-  void CarryOut(const lb::FailRequest& action);
-  void CarryOut(const lb::SetTimer& action);
-  void CarryOut(const lb::SendLoadProbe& action);
-  void CarryOut(const lb::CloseIdleConnections& action);
-  void CarryOut(const lb::Subscribe& action);
-  void CarryOut(const lb::LogLine&) {}
+  void StartAttempt(const lb::SendAttempt& action) override;
+  void CancelAttempt(const lb::CancelAttempt& action) override;
+  void RejectRequest(const lb::RejectRequest& action) override;
+  void FailRequest(const lb::FailRequest& action) override;
+  void StartLoadProbe(const lb::SendLoadProbe& action) override;
+  void CloseIdleConnections(const lb::CloseIdleConnections& action) override;
+  void Subscribe(const lb::Subscribe& action) override;
+  void WriteLogLine(const lb::LogLine&) override {}
 
   const SidecarInstance& instance_;
   const lb::Settings settings_;
@@ -190,24 +188,20 @@
   TrafficCounters& counters_;
   const OnSubscribe on_subscribe_;
 
-  std::unique_ptr<lb::Balancer> balancer_;  // null while it is down
-  std::uint64_t process_ = 0;               // what was scheduled by an earlier one is void
-  std::deque<lb::Event> events_;
-  std::vector<lb::Action> actions_;
-  bool delivering_ = false;
+  std::chrono::nanoseconds module_time_{};
+  std::optional<sidecar::BalancerHost> host_;  // absent while it is down
+  std::uint64_t process_ = 0;                  // what was scheduled by an earlier one is void
   std::unordered_map<lb::RequestId, Pending> requests_;
   std::deque<std::pair<TimePoint, lb::RequestId>> answer_by_;  // about in order of time
   std::unordered_map<ExchangeId, Exchange> exchanges_;
   std::uint64_t last_request_ = 0;
   ExchangeId last_exchange_ = 0;
-  std::priority_queue<Timer, std::vector<Timer>, std::greater<>> timers_;
   TimePoint armed_for_ = TimePoint::max();
   std::vector<Listed> listed_;                                     // by the upstream's place
   std::unordered_map<std::size_t, std::vector<Connection>> idle_;  // the most recently used one last
   std::size_t idle_connections_ = 0;
   bool sweeping_ = false;
   std::uint64_t lost_ = 0;
-  std::chrono::nanoseconds module_time_{};
 };
 
 }  // namespace lb::lab
--- a/sidecar/sidecar.cpp
+++ b/sidecar/sidecar.cpp
@@ -103,19 +103,6 @@
   return nullptr;
 }
 
-// Set for as long as events are only queued. Guards the queue against an exception on the way: a flag that
-// stays set would stop the whole node.
-class Busy {
- public:
-  explicit Busy(bool& flag) : flag_(flag) { flag_ = true; }
-  ~Busy() { flag_ = false; }
-  Busy(const Busy&) = delete;
-  Busy& operator=(const Busy&) = delete;
-
- private:
-  bool& flag_;
-};
-
 // How long after SIGTERM the last answer has to be out.
 Duration TimeToStop(const lb::Settings& settings) {
   Duration longest{};
@@ -161,7 +148,8 @@
                           [this](const std::string& word, bool set) { hot_restart_.TellNext(word, set); });
                     },
                     [this](const std::string& word, bool set) { operator_state_->Heard(word, set); }}),
-      balancer_(config.settings, config.seed),
+      balancer_clock_(io, [this] { host_.FireDueTimers(); }),
+      host_(config.settings, config.seed, balancer_clock_, *this),
       upstreams_(io, config.settings.limits, config.settings.load_by_probe, config.pipe, descriptors_),
       discovery_(
           io, config.discovery, config.settings.polled_membership, config.settings.fleet_limits.drain_grace,
@@ -172,9 +160,9 @@
             Serve();
           },
           [this] {
-            Deliver(MembershipUpdate{MembershipUpdate::Kind::kFailed, {}});
+            host_.Deliver(MembershipUpdate{MembershipUpdate::Kind::kFailed, {}});
           }),
-      timer_(io),
+      io_(io),
       patience_(io),
       listener_(
           io, config.listen, config.admin.has_value(), Listening(hot_restart_, config.listen), config.pipe,
@@ -305,8 +293,8 @@
 void Sidecar::Follow(const OperatorState& state) {
   const auto say = [this](const std::string& upstream, bool disabled) {
     log_.Line(upstream + (disabled ? " is taken out" : " is put back") + " by the operators");
-    const Busy busy(delivering_);
-    events_.push_back(lb::OperatorOverride{{upstream}, disabled});
+    const BalancerHost::EventHold hold(host_);
+    host_.Enqueue(lb::OperatorOverride{{upstream}, disabled});
     upstreams_.SetDisabled(upstream, disabled);
   };
   const std::set<std::string> before = std::exchange(disabled_, state.disabled);
@@ -314,46 +302,24 @@
     if (!before.contains(upstream)) say(upstream, true);
   for (const auto& upstream : before)
     if (!disabled_.contains(upstream)) say(upstream, false);
-  if (!delivering_) Pump();
+  host_.HandleQueuedEvents();
   listener_.SetConnectionDraining(state.drained);
 }
 
-// handle() is never re-entered: an action that ends something at once queues its event here.
-void Sidecar::Deliver(lb::Event event) {
-  events_.push_back(std::move(event));
-  if (!delivering_) Pump();
-}
-
-void Sidecar::Pump() {
-  const Busy busy(delivering_);
-  std::vector<lb::Action> actions;
-  while (!events_.empty()) {
-    const lb::Event next = std::move(events_.front());
-    events_.pop_front();
-    actions.clear();
-    handled_at_ = Now();
-    balancer_.Handle(handled_at_, next, actions);
-    for (const auto& action : actions) {
-      std::visit([this](const auto& a) { CarryOut(a); }, action);
-    }
-  }
-  ArmTimer();
-}
-
 // The module hears of the list before it hears of attempts that the list ended, and acts on it only when the
 // sockets know it too: else it would send again to what drains, or to what is not known yet.
 void Sidecar::Apply(MembershipList list) {
   const bool ask_for_all = JudgeStarts(list);
   {
-    const Busy busy(delivering_);
+    const BalancerHost::EventHold hold(host_);
     const bool whole = list.update.kind != MembershipUpdate::Kind::kChanges;
-    events_.push_back(std::move(list.update));
+    host_.Enqueue(std::move(list.update));
     if (whole) upstreams_.ReplaceAll(list.locations);
     if (!whole)
       for (const auto& [uid, location] : list.locations) upstreams_.Update(uid, location);
   }
   upstream_told_ = upstream_told_ || !upstreams_.empty();
-  Pump();
+  host_.HandleQueuedEvents();
   if (ask_for_all) discovery_.AskForAll();
 }
 
@@ -419,7 +385,7 @@
     pending.body = std::move(body);
   }
   requests_.emplace(id, std::move(pending));
-  Deliver(event);
+  host_.Deliver(event);
   return [this, id] { Gone(id); };
 }
 
@@ -432,7 +398,7 @@
   if (it == requests_.end() || !it->second.reply) return;
   Pending& pending = it->second;
   pending.deadline = DeadlineOf(*pending.body->sent_at(), pending.timeout);
-  Deliver(lb::RequestCompleted{id, pending.deadline});
+  host_.Deliver(lb::RequestCompleted{id, pending.deadline});
 }
 
 Duration Sidecar::LeftToClient(RequestId id, TimePoint now) const {
@@ -450,7 +416,7 @@
   RemoveHopByHop(head);
   it->second.answering = attempt;
   Answer(it->second, std::move(head), std::move(body));
-  Deliver(lb::ResponseStarted{id, attempt});
+  host_.Deliver(lb::ResponseStarted{id, attempt});
 }
 
 void Sidecar::Gone(RequestId id) {
@@ -458,7 +424,7 @@
   if (it == requests_.end() || !it->second.reply) return;
   it->second.reply = nullptr;
   SendNoMore(it->second);
-  Deliver(lb::RequestCancelled{id});
+  host_.Deliver(lb::RequestCancelled{id});
   ForgetIfDone(id);
 }
 
@@ -478,9 +444,9 @@
   }
   // While an answer passes through, the end of another attempt is not the request's.
   const bool finished = !pending.reply && pending.answering.value_or(attempt) == attempt;
-  Deliver(AttemptFinished{id, attempt, result.outcome, result.elapsed, finished, result.load,
-                          result.use > 1 ? std::optional(result.idle) : std::nullopt,
-                          pending.body && pending.body->consumed()});
+  host_.Deliver(AttemptFinished{id, attempt, result.outcome, result.elapsed, finished, result.load,
+                                result.use > 1 ? std::optional(result.idle) : std::nullopt,
+                                pending.body && pending.body->consumed()});
   ForgetIfDone(id);
 }
 
@@ -527,14 +493,14 @@
   }
 }
 
-void Sidecar::CarryOut(const lb::SendAttempt& action) {
+void Sidecar::StartAttempt(const lb::SendAttempt& action) {
   const auto it = requests_.find(action.request);
   if (it == requests_.end()) return;
   Pending& pending = it->second;
   const AttemptId attempt{pending.attempts.size()};
   pending.attempts.push_back(Upstreams::ExchangeId{++last_exchange_});
   ++pending.out;
-  Launch(action, attempt, handled_at_);
+  Launch(action, attempt, host_.handled_at());
 }
 
 // Once its request has its answer nobody waits for more.
@@ -580,20 +546,20 @@
 }
 
 void Sidecar::LaunchLater(const lb::SendAttempt& action, AttemptId attempt, TimePoint decided) {
-  const auto timer = std::make_shared<boost::asio::steady_timer>(timer_.get_executor(), kLookAgain);
+  const auto timer = std::make_shared<boost::asio::steady_timer>(io_, kLookAgain);
   timer->async_wait([this, timer, action, attempt, decided](error_code error) {
     if (!error) Launch(action, attempt, decided);
   });
 }
 
-void Sidecar::CarryOut(const lb::CancelAttempt& action) {
+void Sidecar::CancelAttempt(const lb::CancelAttempt& action) {
   const auto it = requests_.find(action.request);
   const auto attempt = static_cast<std::size_t>(action.attempt);
   if (it == requests_.end() || attempt >= it->second.attempts.size()) return;
   upstreams_.Cancel(it->second.attempts[attempt]);
 }
 
-void Sidecar::CarryOut(const lb::RejectRequest& action) {
+void Sidecar::RejectRequest(const lb::RejectRequest& action) {
   const auto it = requests_.find(action.request);
   if (it == requests_.end()) return;
   auto response = PlainResponse(http::status::service_unavailable, "refused: trying again is harmless");
@@ -606,7 +572,7 @@
   ForgetIfDone(action.request);
 }
 
-void Sidecar::CarryOut(const lb::FailRequest& action) {
+void Sidecar::FailRequest(const lb::FailRequest& action) {
   const auto it = requests_.find(action.request);
   if (it == requests_.end()) return;
   const bool late = Now() >= it->second.deadline;
@@ -615,41 +581,20 @@
   ForgetIfDone(action.request);
 }
 
-void Sidecar::CarryOut(const lb::SetTimer& action) { timers_.emplace(action.at, action.token); }
-
-void Sidecar::CarryOut(const lb::SendLoadProbe& action) {
+void Sidecar::StartLoadProbe(const lb::SendLoadProbe& action) {
   upstreams_.SendLoadProbe(
       Upstreams::ExchangeId{++last_exchange_}, action.upstream.value, action.max_connection_idle,
       [this, upstream = action.upstream](ExchangeResult result) {
-        Deliver(lb::LoadProbeFinished{upstream, result.outcome, result.elapsed, result.load});
+        host_.Deliver(lb::LoadProbeFinished{upstream, result.outcome, result.elapsed, result.load});
       });
 }
 
-void Sidecar::CarryOut(const lb::CloseIdleConnections& action) {
+void Sidecar::CloseIdleConnections(const lb::CloseIdleConnections& action) {
   upstreams_.CloseIdleConnections(action.upstream.value);
 }
 
-void Sidecar::CarryOut(const lb::Subscribe&) { discovery_.Ask(std::exchange(known_, std::nullopt)); }
-
-void Sidecar::CarryOut(const lb::LogLine& action) { log_.Line(action.text); }
-
-void Sidecar::ArmTimer() {
-  const TimePoint next = timers_.empty() ? TimePoint::max() : timers_.top().first;
-  if (next == armed_for_) return;
-  armed_for_ = next;
-  if (timers_.empty()) return;
-  timer_.expires_at(ToSteady(next));
-  timer_.async_wait([this](error_code error) {
-    if (error) return;
-    armed_for_ = TimePoint::max();
-    const TimePoint now = Now();
-    while (!timers_.empty() && timers_.top().first <= now) {
-      const std::uint64_t token = timers_.top().second;
-      timers_.pop();
-      Deliver(lb::TimerFired{token});
-    }
-    ArmTimer();
-  });
-}
+void Sidecar::Subscribe(const lb::Subscribe&) { discovery_.Ask(std::exchange(known_, std::nullopt)); }
+
+void Sidecar::WriteLogLine(const lb::LogLine& action) { log_.Line(action.text); }
 
 }  // namespace lb::sidecar
--- a/sidecar/sidecar.h
+++ b/sidecar/sidecar.h
@@ -10,7 +10,6 @@
 #include <map>
 #include <memory>
 #include <optional>
-#include <queue>
 #include <set>
 #include <string>
 #include <unordered_map>
@@ -20,6 +19,7 @@
 #include "balancer/balancer.h"
 #include "settings/config.h"
 #include "sidecar/admin.h"
+#include "sidecar/balancer_host.h"
 #include "sidecar/clock.h"
 #include "sidecar/descriptors.h"
 #include "sidecar/discovery.h"
@@ -27,12 +27,13 @@
 #include "sidecar/listener.h"
 #include "sidecar/log.h"
 #include "sidecar/operator_state.h"
+#include "sidecar/steady_balancer_clock.h"
 #include "sidecar/upstreams.h"
 #include "sidecar/wall_clock.h"
 
 namespace lb::sidecar {
 
-class Sidecar {
+class Sidecar : private ActionHandler {
  public:
   // Starts at once: binds, hands the module the known list and asks discovery. Throws where it cannot.
   Sidecar(boost::asio::io_context& io, const Config& config);
@@ -60,8 +61,6 @@
     std::optional<lb::AttemptId> answering;  // the one whose answer passes through
   };
 
-  void Deliver(lb::Event event);
-  void Pump();
   void Apply(MembershipList list);
   bool JudgeStarts(MembershipList& list);  // true: the whole list is needed
   Listener::OnDisconnected Take(HttpRequest request, Body body, Listener::SendResponse reply,
@@ -86,7 +85,6 @@
   void SendNoMore(const Pending& pending);
   void ForgetOldIds(TimePoint now);
   void ForgetIfDone(lb::RequestId id);
-  void ArmTimer();
   // What operators say, and what they are told.
   HttpResponse Operate(http::verb method, const std::string& target);
   HttpResponse SetDisabled(const std::string& upstream, bool disabled);
@@ -97,17 +95,14 @@
   void FollowOther();              // the other process of an upgrade came, serves or went
   void Follow(const OperatorState& state);
 
-  void CarryOut(const lb::SendAttempt& action);
-  void CarryOut(const lb::CancelAttempt& action);
-  void CarryOut(const lb::RejectRequest& action);
-  void CarryOut(const lb::FailRequest& action);
-  void CarryOut(const lb::SetTimer& action);
-  void CarryOut(const lb::SendLoadProbe& action);
-  void CarryOut(const lb::CloseIdleConnections& action);
-  void CarryOut(const lb::Subscribe& action);
-  void CarryOut(const lb::LogLine& action);
-
-  using Timer = std::pair<TimePoint, std::uint64_t>;
+  void StartAttempt(const lb::SendAttempt& action) override;
+  void CancelAttempt(const lb::CancelAttempt& action) override;
+  void RejectRequest(const lb::RejectRequest& action) override;
+  void FailRequest(const lb::FailRequest& action) override;
+  void StartLoadProbe(const lb::SendLoadProbe& action) override;
+  void CloseIdleConnections(const lb::CloseIdleConnections& action) override;
+  void Subscribe(const lb::Subscribe& action) override;
+  void WriteLogLine(const lb::LogLine& action) override;
 
   const lb::Settings settings_;
   std::map<std::string, lb::ClassId, std::less<>> classes_;
@@ -117,22 +112,18 @@
   Logger log_;
   Descriptors descriptors_;
   HotRestart hot_restart_;
-  lb::Balancer balancer_;
+  SteadyBalancerClock balancer_clock_;
+  BalancerHost host_;
   Upstreams upstreams_;
   Discovery discovery_;
   std::optional<std::uint64_t> known_;  // the version of the list it was started with, until that was used
-  std::deque<lb::Event> events_;
-  bool delivering_ = false;
-  TimePoint handled_at_;  // the time that the module was last told
   std::unordered_map<lb::RequestId, Pending> requests_;
   // Ids as the clients gave them, of requests that are open or have ended a short while ago.
   std::set<std::string, std::less<>> taken_ids_;
   std::deque<std::pair<TimePoint, std::string>> ended_ids_;
   std::uint64_t last_request_ = 0;
   std::uint64_t last_exchange_ = 0;
-  std::priority_queue<Timer, std::vector<Timer>, std::greater<>> timers_;
-  boost::asio::steady_timer timer_;
-  TimePoint armed_for_ = TimePoint::max();
+  boost::asio::io_context& io_;
   std::set<std::string> disabled_;  // upstreams that the module and the sockets know to be disabled
   bool list_told_ = false;          // discovery has told a list since the start
   bool upstream_told_ = false;      // by discovery or as known: there has been one to serve with
