--- a/sidecar/admin.h
+++ b/sidecar/admin.h
@@ -1,5 +1,5 @@
-// The operators' door: takes one call a connection, has it answered, and closes. What a call means is said
-// elsewhere.
+// The admin interface's sockets: reads one request a connection, has it handled, sends the response and
+// closes. What a request asks for is in admin_commands.h.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,31 +17,36 @@
 
 namespace lb::sidecar {
 
-class Admin {
+// A few connections at a time, each with its own timeout: an operator is served however many callers send
+// nothing.
+class AdminInterface {
  public:
-  // The descriptors it needs at most: its own and those of callers.
-  static constexpr std::size_t kMostCallers = 11;
-  static constexpr std::size_t kDescriptors = kMostCallers + 1;
+  // The connections that are open at a time, and the descriptors that the interface needs for them and
+  // itself.
+  static constexpr std::size_t kMostConnections = 11;
+  static constexpr std::size_t kDescriptors = kMostConnections + 1;
 
-  // Answers one call at once.
-  using OnCall = std::function<HttpResponse(http::verb method, const std::string& target)>;
+  // Handles one request, at once.
+  using OnRequest = std::function<HttpResponse(http::verb method, const std::string& target)>;
 
-  // Binds and listens; throws boost::system::system_error.
-  Admin(boost::asio::io_context& io, const Endpoint& endpoint, Logger& log, OnCall on_call);
-  ~Admin();
+  // Binds and listens; throws boost::system::system_error. `log` has to outlive the interface.
+  AdminInterface(boost::asio::io_context& io, const Endpoint& endpoint, Logger& log, OnRequest on_request);
+  ~AdminInterface();
 
   Endpoint local() const { return acceptor_.local_endpoint(); }
 
  private:
-  class Caller;
+  class Connection;
 
+  // Connections that send nothing must keep nobody out: the one that has waited longest without a whole
+  // request makes room. A request comes with its connection, so a new one is soon handled.
   bool EnsureCapacity();
   void Admit(boost::asio::ip::tcp::socket socket);
 
-  const OnCall on_call_;
+  const OnRequest on_request_;
   boost::asio::ip::tcp::acceptor acceptor_;
   AcceptLoop<boost::asio::ip::tcp> accept_loop_;
-  std::list<std::shared_ptr<Caller>> callers_;  // the oldest first
+  std::list<std::shared_ptr<Connection>> connections_;  // the oldest first
 };
 
 }  // namespace lb::sidecar
--- /dev/null
+++ b/sidecar/attempt_launcher.cpp
@@ -0,0 +1,212 @@
+#include "sidecar/attempt_launcher.h"
+
+#include <algorithm>
+#include <boost/asio/steady_timer.hpp>
+#include <boost/system/error_code.hpp>
+#include <chrono>
+#include <cstddef>
+#include <memory>
+#include <optional>
+#include <utility>
+
+namespace lb::sidecar {
+namespace {
+
+using std::chrono::milliseconds;
+
+// How long an attempt waits before it checks again a client whose presence is unknown. A half-close probe
+// takes about as long on one machine.
+constexpr Duration kPresenceRecheck = milliseconds(2);
+// An attempt is never sent with less time than this: X-Timeout-Ms counts whole milliseconds.
+constexpr Duration kLeastTimeout = milliseconds(1);
+
+// What the log calls an outcome that is an upstream's or this machine's fault; null for the others.
+const char* FaultText(Outcome outcome) {
+  switch (outcome) {
+    case Outcome::kError:
+      return "error";
+    case Outcome::kTimeout:
+      return "timed out";
+    case Outcome::kConnectFailed:
+      return "could not connect";
+    case Outcome::kReset:
+      return "reset";
+    case Outcome::kLocalFailure:
+      return "failed on this machine";
+    default:
+      return nullptr;
+  }
+}
+
+HttpResponse CompleteResponse(HttpResponse& received) {
+  HttpResponse response(http::status::ok, 11);
+  response.base() = std::move(received.base());
+  response.body() = std::move(received.body());
+  response.version(11);
+  RemoveHopByHop(response);
+  return response;
+}
+
+}  // namespace
+
+AttemptLauncher::AttemptLauncher(boost::asio::io_context& io, BalancerHost& host, RequestTable& requests,
+                                 Upstreams& upstreams, Logger& log)
+    : io_(io), host_(host), requests_(requests), upstreams_(upstreams), log_(log) {}
+
+void AttemptLauncher::StartAttempt(const lb::SendAttempt& action) {
+  InFlightRequest* request = requests_.Find(action.request);
+  if (!request) return;
+  const AttemptId attempt{request->attempts.size()};
+  ++last_exchange_;
+  request->attempts.push_back(Upstreams::ExchangeId{last_exchange_});
+  ++request->unfinished_attempts;
+  Launch({action, attempt, host_.handled_at()});
+}
+
+void AttemptLauncher::CancelAttempt(const lb::CancelAttempt& action) {
+  const InFlightRequest* request = requests_.Find(action.request);
+  const auto attempt = static_cast<std::size_t>(action.attempt);
+  if (!request || attempt >= request->attempts.size()) return;
+  upstreams_.Cancel(request->attempts[attempt]);
+}
+
+void AttemptLauncher::StartLoadProbe(const lb::SendLoadProbe& action) {
+  ++last_exchange_;
+  upstreams_.SendLoadProbe(
+      Upstreams::ExchangeId{last_exchange_}, action.upstream.value, action.max_connection_idle,
+      [this, upstream = action.upstream](const ExchangeResult& result) {
+        host_.Deliver(lb::LoadProbeFinished{upstream, result.outcome, result.elapsed, result.load});
+      });
+}
+
+void AttemptLauncher::Respond(InFlightRequest& request, HttpResponse response, Body body) {
+  const Listener::SendResponse send_response = std::move(request.send_response);
+  request.send_response = nullptr;
+  if (send_response) send_response(std::move(response), std::move(body));
+  AbandonUnsent(request);
+}
+
+void AttemptLauncher::AbandonUnsent(const InFlightRequest& request) {
+  for (const auto exchange : request.attempts) upstreams_.AbandonUnsent(exchange);
+}
+
+// Once its request has its response no client waits for the attempt.
+Listener::ClientPresence AttemptLauncher::CheckClient(RequestId id) const {
+  const InFlightRequest* request = requests_.Find(id);
+  return request && request->AwaitsResponse() ? request->check_client() : Listener::ClientPresence::kGone;
+}
+
+Duration AttemptLauncher::TimeLeft(RequestId id, TimePoint now) const {
+  const InFlightRequest* request = requests_.Find(id);
+  if (!request) return Duration::zero();
+  if (request->deadline != TimePoint::max()) return request->deadline - now;
+  return request->body->LastByteNotBefore() + request->timeout - now;
+}
+
+void AttemptLauncher::Launch(const DecidedAttempt& decided) {
+  const InFlightRequest* request = requests_.Find(decided.action.request);
+  if (!request) return;
+  const auto client = CheckClient(decided.action.request);
+  if (client == Listener::ClientPresence::kUnknown) return LaunchLater(decided);
+  if (client == Listener::ClientPresence::kGone) {
+    return HandleExchangeFinished(decided, {Outcome::kNotSent, {}, {}, {}});
+  }
+  upstreams_.StartExchange(request->attempts[static_cast<std::size_t>(decided.attempt)],
+                           decided.action.upstream.value, MakeExchange(decided, *request));
+}
+
+void AttemptLauncher::LaunchLater(const DecidedAttempt& decided) {
+  const auto timer = std::make_shared<boost::asio::steady_timer>(io_, kPresenceRecheck);
+  timer->async_wait([this, timer, decided](boost::system::error_code error) {
+    if (!error) Launch(decided);
+  });
+}
+
+Upstreams::ExchangeRequest AttemptLauncher::MakeExchange(const DecidedAttempt& decided,
+                                                         const InFlightRequest& request) {
+  const lb::SendAttempt& action = decided.action;
+  const RequestId id = action.request;
+  const Duration spent = Now() - decided.decided_at;
+  Upstreams::ExchangeRequest exchange;
+  exchange.request = request.message;
+  exchange.body = request.body;
+  exchange.timeout = action.timeout;
+  // The time for a streamed body starts with its last byte: nothing of it is spent yet.
+  if (request.deadline != TimePoint::max()) {
+    exchange.timeout = std::max<Duration>(exchange.timeout - spent, kLeastTimeout);
+  }
+  exchange.max_connection_idle = action.max_connection_idle;
+  if (action.begin_within != Duration::max()) exchange.begin_within = action.begin_within - spent;
+  exchange.client_is_waiting = [this, id] { return CheckClient(id) == Listener::ClientPresence::kConnected; };
+  exchange.time_left = [this, id](TimePoint now) { return TimeLeft(id, now); };
+  exchange.body_stall_timeout = request.timeout;
+  exchange.on_response_started = [this, id, attempt = decided.attempt](HttpResponse head, Body body) {
+    HandleResponseStarted(id, attempt, std::move(head), std::move(body));
+  };
+  exchange.on_finished = [this, decided](ExchangeResult result) {
+    HandleExchangeFinished(decided, std::move(result));
+  };
+  return exchange;
+}
+
+void AttemptLauncher::HandleResponseStarted(RequestId id, AttemptId attempt, HttpResponse head, Body body) {
+  InFlightRequest* request = requests_.Find(id);
+  if (!request || !request->AwaitsResponse()) return body->AbandonByReader();
+  head.version(11);
+  RemoveHopByHop(head);
+  request->responding_attempt = attempt;
+  Respond(*request, std::move(head), std::move(body));
+  host_.Deliver(lb::ResponseStarted{id, attempt});
+}
+
+// The client may half-close its connection, or leave, while a connection to the upstream comes up.
+void AttemptLauncher::HandleExchangeFinished(const DecidedAttempt& decided, ExchangeResult result) {
+  if (result.outcome == Outcome::kNotSent &&
+      CheckClient(decided.action.request) == Listener::ClientPresence::kUnknown) {
+    return LaunchLater(decided);
+  }
+  FinishAttempt(decided, std::move(result));
+}
+
+void AttemptLauncher::FinishAttempt(const DecidedAttempt& decided, ExchangeResult result) {
+  const RequestId id = decided.action.request;
+  InFlightRequest* request = requests_.Find(id);
+  if (!request) return;
+  --request->unfinished_attempts;
+  LogFailedAttempt(*request, decided, result);
+  if (result.outcome == Outcome::kServed && request->AwaitsResponse()) {
+    Respond(*request, CompleteResponse(result.response));
+  }
+
+  AttemptFinished event;
+  event.request = id;
+  event.attempt = decided.attempt;
+  event.outcome = result.outcome;
+  event.elapsed = result.elapsed;
+  // While a response is streamed, the end of another attempt is not the end of the request.
+  event.response_delivered =
+      !request->AwaitsResponse() && request->responding_attempt.value_or(decided.attempt) == decided.attempt;
+  event.load = result.load;
+  if (result.use > 1) event.connection_idle_for = result.idle;
+  event.body_consumed = request->body && request->body->consumed();
+  host_.Deliver(event);
+  requests_.RemoveIfEnded(id, Now());
+}
+
+// One line for each attempt that failed, so that a request can be followed by its id.
+void AttemptLauncher::LogFailedAttempt(const InFlightRequest& request, const DecidedAttempt& decided,
+                                       const ExchangeResult& result) {
+  const bool is_streaming = request.responding_attempt == decided.attempt;
+  const char* fault = FaultText(result.outcome);
+  if (is_streaming && result.outcome == Outcome::kCancelled) fault = "called off, its client left";
+  if (fault == nullptr) return;
+  const auto us = [](Duration duration) { return std::to_string(duration.count()) + " us"; };
+  log_.Line(request.wire_id + " " + std::string(request.message->target()) + " to " +
+            decided.action.upstream.value + " attempt " +
+            std::to_string(static_cast<std::size_t>(decided.attempt)) +
+            (is_streaming ? " passing through " : " ") + fault + " after " + us(result.elapsed) +
+            " as exchange " + std::to_string(result.use) + " of a connection open for " + us(result.open) +
+            ", idle for " + us(result.idle) + (result.why ? ": " + result.why.message() : ""));
+}
+
+}  // namespace lb::sidecar
--- /dev/null
+++ b/sidecar/membership_follower.cpp
@@ -0,0 +1,45 @@
+#include "sidecar/membership_follower.h"
+
+#include <cstdlib>
+#include <string>
+#include <utility>
+
+namespace lb::sidecar {
+
+MembershipFollower::MembershipFollower(Duration slow_start_duration, BalancerHost& host, Upstreams& upstreams,
+                                       Logger& log)
+    : wall_clock_(slow_start_duration), host_(host), upstreams_(upstreams), log_(log) {}
+
+// The balancer hears of the list before it hears of attempts that the list ended, and acts on it only when
+// the connections have followed: else it would forward again to an upstream that drains, or to one not known
+// yet.
+NextList MembershipFollower::Apply(MembershipList list) {
+  const NextList next = JudgeStartTimes(list);
+  {
+    const BalancerHost::EventHold hold(host_);
+    const bool is_whole = list.update.kind != MembershipUpdate::Kind::kChanges;
+    host_.Enqueue(std::move(list.update));
+    if (is_whole) {
+      upstreams_.ReplaceAll(list.locations);
+    } else {
+      for (const auto& [uid, location] : list.locations) upstreams_.Update(uid, location);
+    }
+  }
+  has_known_upstream_ = has_known_upstream_ || !upstreams_.empty();
+  host_.HandleQueuedEvents();
+  return next;
+}
+
+NextList MembershipFollower::JudgeStartTimes(MembershipList& list) {
+  const bool was_trusted = !wall_clock_.ahead();
+  const bool needs_whole_list = wall_clock_.Judge(list.update, Now());
+  const auto ahead = wall_clock_.ahead();
+  if (was_trusted && ahead) {
+    log_.Line("the wall clock was " + std::to_string(std::abs(ahead->count()) / 1000) + " ms " +
+              (*ahead < Duration::zero() ? "behind" : "ahead") +
+              " at the start, by the start times of upstreams; these are judged without it");
+  }
+  return needs_whole_list ? NextList::kWhole : NextList::kChanges;
+}
+
+}  // namespace lb::sidecar
--- /dev/null
+++ b/sidecar/request_intake.cpp
@@ -0,0 +1,102 @@
+#include "sidecar/request_intake.h"
+
+#include <algorithm>
+#include <chrono>
+#include <memory>
+#include <utility>
+#include <variant>
+
+#include "sidecar/local_responses.h"
+
+namespace lb::sidecar {
+namespace {
+
+using std::chrono::milliseconds;
+
+// The client's clock started when it sent the request, at least this much before the request was read here.
+constexpr Duration kClientHop = milliseconds(2);
+constexpr Duration kLeastTimeout = milliseconds(1);
+
+}  // namespace
+
+RequestIntake::RequestIntake(const Settings& settings, BalancerHost& host, RequestTable& requests,
+                             AttemptLauncher& launcher)
+    : validator_(settings), host_(host), requests_(requests), launcher_(launcher) {}
+
+Listener::OnDisconnected RequestIntake::AcceptRequest(HttpRequest message, Body body,
+                                                      Listener::SendResponse send_response,
+                                                      Listener::CheckClient check_client) {
+  const TimePoint now = Now();
+  const auto refuse = [&send_response](RequestError error) {
+    send_response(BadRequestResponse(error), nullptr);
+    return nullptr;
+  };
+  RemoveHopByHop(message);
+  const auto verdict = validator_.Validate(message, body ? BodyDelivery::kStreamed : BodyDelivery::kComplete);
+  if (const auto* error = std::get_if<RequestError>(&verdict)) return refuse(*error);
+  const auto& valid = std::get<ValidRequest>(verdict);
+  if (!requests_.ReserveWireId(valid.wire_id, now)) return refuse(RequestError::kDuplicateRequestId);
+
+  lb::RequestArrived event;
+  event.request = requests_.NextId();
+  event.request_class = valid.request_class;
+  event.deadline = DeadlineOf(now, std::max<Duration>(valid.timeout - kClientHop, kLeastTimeout));
+  event.tenant = valid.tenant;
+  event.work = valid.work;
+  event.client_retry = valid.client_retry;
+  event.body_pending = body != nullptr;
+
+  InFlightRequest request;
+  request.wire_id = valid.wire_id;
+  request.message = std::make_shared<const HttpRequest>(std::move(message));
+  request.deadline = event.deadline;
+  request.timeout = event.deadline - now;
+  request.send_response = std::move(send_response);
+  request.check_client = std::move(check_client);
+  const RequestId id = event.request;
+  if (body) {
+    request.deadline = TimePoint::max();
+    body->NotifyWhenSent([this, id] { HandleBodySent(id); });
+    request.body = std::move(body);
+  }
+  requests_.Add(id, std::move(request));
+  host_.Deliver(event);
+  return [this, id] { HandleClientDisconnected(id); };
+}
+
+TimePoint RequestIntake::DeadlineOf(TimePoint complete, Duration timeout) const {
+  return std::max(complete, std::min(complete + timeout, latest_deadline_));
+}
+
+void RequestIntake::HandleBodySent(RequestId id) {
+  InFlightRequest* request = requests_.Find(id);
+  if (!request || !request->AwaitsResponse()) return;
+  request->deadline = DeadlineOf(*request->body->sent_at(), request->timeout);
+  host_.Deliver(lb::RequestCompleted{id, request->deadline});
+}
+
+void RequestIntake::HandleClientDisconnected(RequestId id) {
+  InFlightRequest* request = requests_.Find(id);
+  if (!request || !request->AwaitsResponse()) return;
+  request->send_response = nullptr;
+  launcher_.AbandonUnsent(*request);
+  host_.Deliver(lb::RequestCancelled{id});
+  requests_.RemoveIfEnded(id, Now());
+}
+
+void RequestIntake::RejectRequest(const lb::RejectRequest& action) {
+  InFlightRequest* request = requests_.Find(action.request);
+  if (!request) return;
+  launcher_.Respond(*request, RejectedResponse(action.retry_after));
+  requests_.RemoveIfEnded(action.request, Now());
+}
+
+void RequestIntake::FailRequest(const lb::FailRequest& action) {
+  InFlightRequest* request = requests_.Find(action.request);
+  if (!request) return;
+  const bool deadline_exceeded = Now() >= request->deadline;
+  launcher_.Respond(*request, deadline_exceeded ? DeadlineExceededResponse() : UpstreamFailedResponse());
+  requests_.RemoveIfEnded(action.request, Now());
+}
+
+}  // namespace lb::sidecar
