--- a/sidecar/attempt_launcher.cpp
+++ b/sidecar/attempt_launcher.cpp
@@ -58,7 +58,7 @@
   if (!request) return;
   const AttemptId attempt{request->attempts.size()};
   ++last_exchange_;
-  request->attempts.push_back(Upstreams::ExchangeId{last_exchange_});
+  request->attempts.push_back(ExchangeId{last_exchange_});
   ++request->unfinished_attempts;
   Launch({action, attempt, host_.handled_at()});
 }
@@ -73,7 +73,7 @@
 void AttemptLauncher::StartLoadProbe(const lb::SendLoadProbe& action) {
   ++last_exchange_;
   upstreams_.SendLoadProbe(
-      Upstreams::ExchangeId{last_exchange_}, action.upstream.value, action.max_connection_idle,
+      ExchangeId{last_exchange_}, action.upstream.value, action.max_connection_idle,
       [this, upstream = action.upstream](const ExchangeResult& result) {
         host_.Deliver(lb::LoadProbeFinished{upstream, result.outcome, result.elapsed, result.load});
       });
@@ -122,12 +122,11 @@
   });
 }
 
-Upstreams::ExchangeRequest AttemptLauncher::MakeExchange(const DecidedAttempt& decided,
-                                                         const InFlightRequest& request) {
+ExchangeRequest AttemptLauncher::MakeExchange(const DecidedAttempt& decided, const InFlightRequest& request) {
   const lb::SendAttempt& action = decided.action;
   const RequestId id = action.request;
   const Duration spent = Now() - decided.decided_at;
-  Upstreams::ExchangeRequest exchange;
+  ExchangeRequest exchange;
   exchange.request = request.message;
   exchange.body = request.body;
   exchange.timeout = action.timeout;
--- a/sidecar/attempt_launcher.h
+++ b/sidecar/attempt_launcher.h
@@ -10,6 +10,7 @@
 #include "balancer/balancer.h"
 #include "sidecar/balancer_host.h"
 #include "sidecar/clock.h"
+#include "sidecar/exchange.h"
 #include "sidecar/http.h"
 #include "sidecar/listener.h"
 #include "sidecar/log.h"
@@ -50,7 +51,7 @@
   // that is gone.
   void Launch(const DecidedAttempt& decided);
   void LaunchLater(const DecidedAttempt& decided);
-  Upstreams::ExchangeRequest MakeExchange(const DecidedAttempt& decided, const InFlightRequest& request);
+  ExchangeRequest MakeExchange(const DecidedAttempt& decided, const InFlightRequest& request);
   Listener::ClientPresence CheckClient(RequestId id) const;
   // How long the client will still wait, at least.
   Duration TimeLeft(RequestId id, TimePoint now) const;
--- a/sidecar/request_table.h
+++ b/sidecar/request_table.h
@@ -20,9 +20,9 @@
 #include "balancer/balancer.h"
 #include "sidecar/body_stream.h"
 #include "sidecar/clock.h"
+#include "sidecar/exchange.h"
 #include "sidecar/http.h"
 #include "sidecar/listener.h"
-#include "sidecar/upstreams.h"
 
 namespace lb::sidecar {
 
@@ -34,7 +34,7 @@
   Duration timeout{};  // how long the client waits, from the last byte of its request
   Listener::SendResponse send_response;  // empty once the request has its response or its client disconnected
   Listener::CheckClient check_client;
-  std::vector<Upstreams::ExchangeId> attempts;  // by AttemptId
+  std::vector<ExchangeId> attempts;  // by AttemptId
   std::size_t unfinished_attempts = 0;
   std::optional<AttemptId> responding_attempt;  // the one whose response is streamed to the client
 
