--- a/sidecar/hot_restart.cpp
+++ b/sidecar/hot_restart.cpp
@@ -1,12 +1,9 @@
 #include "sidecar/hot_restart.h"
 
-#include <poll.h>
 #include <sys/socket.h>
 #include <unistd.h>
 
 #include <algorithm>
-#include <boost/asio/buffer.hpp>
-#include <boost/asio/write.hpp>
 #include <cerrno>
 #include <chrono>
 #include <cstring>
@@ -14,6 +11,10 @@
 #include <system_error>
 #include <thread>
 #include <utility>
+#include <variant>
+
+#include "sidecar/descriptor_passing.h"
+#include "sidecar/stored_override.h"
 
 namespace lb::sidecar {
 namespace {
@@ -22,79 +23,18 @@
 using boost::system::error_code;
 using std::chrono::milliseconds;
 
-const std::string kSocketName = "handover";  // in the folder; the operator state store knows it, too
-// The process before answers at once unless it is starved; without its answer this one listens on its own.
-constexpr Duration kAskPatience = std::chrono::seconds(1);
-constexpr milliseconds kAskAgain{10};
-constexpr Duration kPause = milliseconds(20);
-constexpr Duration kMostPause = milliseconds(1000);
-constexpr int kSendTries = 40;  // with kPause in between: as long as the next process waits
-constexpr std::size_t kMostUnsent = 1024 * 1024;
-constexpr std::size_t kLongestLine = 128 * 1024;
-
-// One byte and a descriptor beside it, as sendmsg() and recvmsg() take them.
-struct DescriptorMessage {
-  DescriptorMessage() {
-    message.msg_iov = &part;
-    message.msg_iovlen = 1;
-    message.msg_control = ancillary;
-    message.msg_controllen = sizeof ancillary;
-  }
-  DescriptorMessage(const DescriptorMessage&) = delete;
-  DescriptorMessage& operator=(const DescriptorMessage&) = delete;
-
-  char byte = 'l';
-  iovec part{&byte, 1};
-  msghdr message{};
-  alignas(cmsghdr) char ancillary[CMSG_SPACE(sizeof(int))] = {};
-};
-
-bool SendDescriptor(int to, int descriptor) {
-  DescriptorMessage out;
-  cmsghdr* header = CMSG_FIRSTHDR(&out.message);
-  header->cmsg_level = SOL_SOCKET;
-  header->cmsg_type = SCM_RIGHTS;
-  header->cmsg_len = CMSG_LEN(sizeof descriptor);
-  std::memcpy(CMSG_DATA(header), &descriptor, sizeof descriptor);
-  ssize_t sent = 0;
-  do {
-    sent = ::sendmsg(to, &out.message, MSG_NOSIGNAL | MSG_DONTWAIT);
-  } while (sent < 0 && errno == EINTR);
-  return sent == 1;
-}
-
-// Short of something that is soon there again, or interrupted.
-bool IsMomentary(int error) {
-  return error == EINTR || error == EAGAIN || error == ENOBUFS || error == ENOMEM || error == ENFILE ||
-         error == EMFILE;
-}
-
-// Waits up to `until`; signals don't end the wait.
-std::optional<int> ReceiveDescriptor(int from, TimePoint until) {
-  while (Now() < until) {
-    pollfd waited{from, POLLIN, 0};
-    const auto left = std::chrono::ceil<milliseconds>(until - Now());
-    if (::poll(&waited, 1, static_cast<int>(std::max(left, milliseconds(0)).count())) <= 0) continue;
-    DescriptorMessage in;
-    const auto received = ::recvmsg(from, &in.message, MSG_CMSG_CLOEXEC | MSG_DONTWAIT);
-    if (received < 0 && IsMomentary(errno)) {
-      std::this_thread::sleep_for(milliseconds(1));
-      continue;
-    }
-    if (received != 1) return std::nullopt;
-    const cmsghdr* header = CMSG_FIRSTHDR(&in.message);
-    if (header == nullptr || header->cmsg_level != SOL_SOCKET || header->cmsg_type != SCM_RIGHTS ||
-        header->cmsg_len != CMSG_LEN(sizeof(int))) {
-      return std::nullopt;
-    }
-    int descriptor = -1;
-    std::memcpy(&descriptor, CMSG_DATA(header), sizeof descriptor);
-    return descriptor;
-  }
-  return std::nullopt;
-}
-
-// A connected socket; none where nobody listens at `path`, or nobody took it by `until`.
+// The previous process responds at once unless it is starved. Without its response this one listens on its
+// own.
+constexpr Duration kInheritTimeout = std::chrono::seconds(1);
+constexpr milliseconds kConnectRetryPause{10};
+constexpr Duration kRetryPause = milliseconds(20);
+constexpr Duration kMostListenBackoff = milliseconds(1000);
+// With kRetryPause in between: about as long as the next process waits (kInheritTimeout).
+constexpr int kSendTries = 40;
+// There is one next process; a platform that gave one up may start another at once.
+constexpr int kListenBacklog = 4;
+
+// A connected socket; nothing where nobody listens at `path`, or nobody accepted it by `until`.
 std::optional<int> Connect(const boost::asio::local::stream_protocol::endpoint& path, TimePoint until) {
   while (Now() < until) {
     const int descriptor = ::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
@@ -103,206 +43,146 @@
     }
     const int error = errno;
     if (descriptor >= 0) ::close(descriptor);
-    if (!IsMomentary(error)) return std::nullopt;
-    std::this_thread::sleep_for(kAskAgain);
+    if (!IsTransientError(error)) return std::nullopt;
+    std::this_thread::sleep_for(kConnectRetryPause);
   }
   return std::nullopt;
 }
 
-std::string Line(const std::string& word, bool set) { return (set ? "+" : "-") + word + "\n"; }
-
 }  // namespace
 
-// The connection to the process before or the next one: bytes that come, and lines that wait to be sent.
-class HotRestart::Neighbour : public std::enable_shared_from_this<Neighbour> {
- public:
-  explicit Neighbour(Socket connected) : socket(std::move(connected)) {}
-
-  // Calls `on_byte` with 'r', or `on_line` with each line, and `on_end` once at the end.
-  void Watch(std::function<void()> on_ready, std::function<void(const std::string&)> on_line,
-             std::function<void()> on_end) {
-    on_ready_ = std::move(on_ready);
-    on_line_ = std::move(on_line);
-    on_end_ = std::move(on_end);
-    Read();
-  }
-
-  void Send(const std::string& text) {
-    if (closed_ || unsent_.size() + text.size() > kMostUnsent) return;  // it stands still
-    unsent_ += text;
-    if (sending_.empty()) Write();
-  }
-
-  void Close() {
-    closed_ = true;
-    error_code ignored;
-    socket.close(ignored);
-  }
-
-  Socket socket;
-
- private:
-  void Read() {
-    socket.async_read_some(boost::asio::buffer(part_),
-                           [self = shared_from_this()](error_code error, std::size_t size) {
-                             if (self->closed_) return;
-                             if (error) return self->on_end_();
-                             self->Take(size);
-                             if (!self->closed_) self->Read();
-                           });
-  }
-
-  void Take(std::size_t size) {
-    for (std::size_t i = 0; i < size && !closed_; ++i) {
-      const char c = part_[i];
-      if (line_.empty() && c == 'r') {
-        on_ready_();
-      } else if (c == '\n') {
-        on_line_(std::exchange(line_, {}));
-      } else if (line_.size() < kLongestLine) {
-        line_ += c;
-      }
-    }
-  }
-
-  void Write() {
-    sending_ = std::exchange(unsent_, {});
-    boost::asio::async_write(socket, boost::asio::buffer(sending_),
-                             [self = shared_from_this()](error_code error, std::size_t) {
-                               self->sending_.clear();
-                               if (!error && !self->closed_ && !self->unsent_.empty()) self->Write();
-                             });
-  }
-
-  std::function<void()> on_ready_;
-  std::function<void(const std::string&)> on_line_;
-  std::function<void()> on_end_;
-  char part_[4096];
-  std::string line_;
-  std::string unsent_;
-  std::string sending_;
-  bool closed_ = false;
-};
-
 HotRestart::HotRestart(boost::asio::io_context& io, std::string folder, Logger& log, Handlers handlers)
     : io_(io),
       folder_(std::move(folder)),
       log_(log),
       handlers_(std::move(handlers)),
       acceptor_(io),
-      pause_(io),
-      send_pause_(io) {}
+      listen_retry_(io),
+      send_retry_(io) {}
 
 HotRestart::~HotRestart() {
-  for (const auto& neighbour : {before_, next_})
-    if (neighbour) neighbour->Close();
+  if (previous_) previous_->Close();
+  if (next_) next_->Close();
 }
 
-// Nothing where there is no folder, or where its name is too long for a socket.
 std::optional<HotRestart::SocketAddress> HotRestart::SocketPath() {
   if (folder_.empty()) return std::nullopt;
   try {
-    return SocketAddress(folder_ + "/" + kSocketName);
+    return SocketAddress(folder_ + "/" + std::string(kHotRestartSocketName));
   } catch (const boost::system::system_error& e) {
     log_.Line("handover: " + folder_ + ": " + e.what());
     return std::nullopt;
   }
 }
 
-// Blocks, but for so long only: there is nothing to serve yet.
 std::optional<int> HotRestart::InheritListener() {
   const auto path = SocketPath();
   if (!path) return std::nullopt;
-  const TimePoint until = Now() + kAskPatience;
+  const TimePoint until = Now() + kInheritTimeout;
   const auto connected = Connect(*path, until);
-  if (!connected && Now() < until) return std::nullopt;  // nobody is there
-  std::optional<int> listening;
-  if (connected) listening = ReceiveDescriptor(*connected, until);
-  if (!listening) {
+  if (!connected && Now() < until) return std::nullopt;  // no process is there
+  std::optional<int> inherited;
+  if (connected) inherited = ReceiveDescriptor(*connected, until);
+  if (!inherited) {
     if (connected) ::close(*connected);
     log_.Line("handover: the process before does not hand over");
     return std::nullopt;
   }
-  before_ = std::make_shared<Neighbour>(Socket(io_, Local(), *connected));
-  WatchBefore();
-  return listening;
-}
-
-void HotRestart::WatchBefore() {
-  before_->Watch([] {},
-                 [this](const std::string& line) {
-                   if (line.size() < 2 || (line[0] != '+' && line[0] != '-')) return;
-                   if (next_) next_->Send(line + "\n");
-                   handlers_.on_word(line.substr(1), line[0] == '+');
-                 },
-                 [this] {
-                   before_ = nullptr;
-                   handlers_.on_change();
-                 });
+  previous_ = std::make_shared<NeighbourProcess>(Socket(io_, Local(), *connected));
+  WatchPrevious();
+  return inherited;
+}
+
+void HotRestart::WatchPrevious() {
+  NeighbourProcess::Handlers handlers;
+  handlers.on_serves = [] {};
+  handlers.on_line = [this](const std::string& line) {
+    HandleOverrideLine(line, [this](const std::string& text) {
+      if (next_) next_->Send(text);
+    });
+  };
+  handlers.on_closed = [this] {
+    previous_ = nullptr;
+    handlers_.on_change();
+  };
+  previous_->Watch(std::move(handlers));
 }
 
 void HotRestart::WatchNext() {
-  next_->Watch(
-      [this] {
-        next_serves_ = true;
-        handlers_.on_change();
-      },
-      [this](const std::string& line) {
-        if (line.size() < 2 || (line[0] != '+' && line[0] != '-')) return;
-        TellBefore(line + "\n");
-        handlers_.on_word(line.substr(1), line[0] == '+');
-      },
-      [this] {
-        next_ = nullptr;
-        next_serves_ = false;
-        handlers_.on_change();
-      });
+  NeighbourProcess::Handlers handlers;
+  handlers.on_serves = [this] {
+    next_serves_ = true;
+    handlers_.on_change();
+  };
+  handlers.on_line = [this](const std::string& line) {
+    HandleOverrideLine(line, [this](const std::string& text) { NotifyPrevious(text); });
+  };
+  handlers.on_closed = [this] {
+    next_ = nullptr;
+    next_serves_ = false;
+    handlers_.on_change();
+  };
+  next_->Watch(std::move(handlers));
+}
+
+// What one neighbour says is passed on to the other as it came, also where a later release says what this one
+// does not know.
+void HotRestart::HandleOverrideLine(const std::string& line,
+                                    const std::function<void(const std::string&)>& pass_on) {
+  const auto parsed = ParseLine(line);
+  if (!parsed) return;
+  pass_on(line + "\n");
+  if (const auto* unknown = std::get_if<UnknownOverride>(&*parsed)) {
+    return log_.Line("operator state: the other process says " + unknown->text);
+  }
+  handlers_.on_override(std::get<OverrideMessage>(*parsed));
 }
 
-void HotRestart::Tell(const std::string& word, bool set) {
-  TellBefore(Line(word, set));
-  TellNext(word, set);
+void HotRestart::Notify(const OverrideMessage& message) {
+  NotifyPrevious(ToLine(message));
+  NotifyNext(message);
 }
 
-void HotRestart::TellNext(const std::string& word, bool set) {
-  if (next_) next_->Send(Line(word, set));
+void HotRestart::NotifyNext(const OverrideMessage& message) {
+  if (next_) next_->Send(ToLine(message));
 }
 
-// An earlier version would take any byte for the word that this process serves.
-void HotRestart::TellBefore(const std::string& line) {
-  if (!before_) return;
-  if (offered_) return before_->Send(line);
-  if (untold_.size() + line.size() <= kMostUnsent) untold_ += line;
+// The first release takes any byte for the one that says that this process serves.
+void HotRestart::NotifyPrevious(const std::string& line) {
+  if (!previous_) return;
+  if (offered_) return previous_->Send(line);
+  if (held_back_.size() + line.size() <= NeighbourProcess::kMostUnsent) held_back_ += line;
 }
 
-void HotRestart::OfferListener(int listening) {
+void HotRestart::OfferListener(int listener) {
   if (!SocketPath()) return;
-  listening_ = listening;
+  listener_ = listener;
   Listen();
   offered_ = true;
-  if (before_) before_->Send("r" + std::exchange(untold_, {}));
+  if (previous_) previous_->Send(kServesByte + held_back_);
+  held_back_.clear();
 }
 
-// Until it listens the next process would listen on its own.
+// Until this process listens, the next one would bind a socket of its own.
 void HotRestart::Listen() {
   const auto path = SocketPath();
   const auto error = Open(*path);
   if (!error) {
-    if (listen_pause_ > Duration::zero()) log_.Line("handover: listens now");
+    if (listen_backoff_ > Duration::zero()) log_.Line("handover: listens now");
     accept_loop_.emplace(
         io_, acceptor_, log_, "handover: accept", Local(),
         AcceptLoop<Local>::Owner{.ensure_capacity = nullptr,
                                  .has_capacity = nullptr,
-                                 .on_taken = [this](Socket next) { FollowNext(std::move(next)); },
+                                 .on_taken = [this](Socket next) { HandleNextConnected(std::move(next)); },
                                  .on_process_shortage = nullptr});
     return accept_loop_->Start();
   }
-  if (listen_pause_ == Duration::zero()) {
+  if (listen_backoff_ == Duration::zero()) {
     log_.Line("handover: " + error.message() + "; the next process listens on its own until this is over");
   }
-  listen_pause_ = std::clamp<Duration>(2 * listen_pause_, kPause, kMostPause);
-  pause_.expires_after(listen_pause_);
-  pause_.async_wait([this](error_code stopped) {
+  listen_backoff_ = std::clamp<Duration>(2 * listen_backoff_, kRetryPause, kMostListenBackoff);
+  listen_retry_.expires_after(listen_backoff_);
+  listen_retry_.async_wait([this](error_code stopped) {
     if (!stopped) Listen();
   });
 }
@@ -311,37 +191,39 @@
   std::error_code failed;
   fs::create_directories(folder_, failed);
   ::unlink(path.path().c_str());
-  error_code error, ignored;
+  error_code error;
   acceptor_.open({}, error);
   if (!error) acceptor_.bind(path, error);
-  if (!error) acceptor_.listen(4, error);
+  if (!error) acceptor_.listen(kListenBacklog, error);
+  error_code ignored;
   if (error) acceptor_.close(ignored);
   return error;
 }
 
-// The newest is the one that counts: one before it that never served has been given up by the platform.
-void HotRestart::FollowNext(Socket socket) {
+// The newest process counts: one before it that never served has been given up by the platform.
+void HotRestart::HandleNextConnected(Socket socket) {
   if (next_) next_->Close();
-  next_ = std::make_shared<Neighbour>(std::move(socket));
+  next_ = std::make_shared<NeighbourProcess>(std::move(socket));
   next_serves_ = false;
   SendListener(kSendTries);
 }
 
+// `tries`: those that are left. Another process may connect before the next try; the try is void then.
 void HotRestart::SendListener(int tries) {
-  send_pause_.cancel();
-  if (SendDescriptor(next_->socket.native_handle(), listening_)) {
+  send_retry_.cancel();
+  if (SendDescriptor(next_->native_handle(), listener_)) {
     WatchNext();
-    handlers_.on_next();
+    handlers_.on_next_connected();
     return handlers_.on_change();
   }
-  if (tries <= 1 || !(IsMomentary(errno) || errno == ETOOMANYREFS)) {
+  if (tries <= 1 || !(IsTransientError(errno) || errno == ETOOMANYREFS)) {
     log_.Line(std::string("handover: ") + std::strerror(errno));
     next_->Close();
     next_ = nullptr;
     return handlers_.on_change();
   }
-  send_pause_.expires_after(kPause);
-  send_pause_.async_wait([this, tries, next = next_](error_code stopped) {
+  send_retry_.expires_after(kRetryPause);
+  send_retry_.async_wait([this, tries, next = next_](error_code stopped) {
     if (!stopped && next == next_) SendListener(tries - 1);
   });
 }
--- a/sidecar/operator_control.cpp
+++ b/sidecar/operator_control.cpp
@@ -9,12 +9,13 @@
 
 OperatorControl::OperatorControl(boost::asio::io_context& io, const Endpoint& endpoint,
                                  const std::string& folder, const Targets& targets,
-                                 GetServingState get_serving_state, OperatorStateStore::OnSaid on_said)
+                                 GetServingState get_serving_state,
+                                 OperatorStateStore::OnOverride on_override)
     : targets_(targets),
       get_serving_state_(std::move(get_serving_state)),
       store_(
           io, folder, targets.log, [this](const OperatorState& state) { ApplyOperatorState(state); },
-          std::move(on_said)) {
+          std::move(on_override)) {
   try {
     admin_.emplace(io, endpoint, targets.log, [this](http::verb method, const std::string& target) {
       return HandleAdminRequest(method, target);
@@ -50,22 +51,22 @@
 }
 
 AdminReply OperatorControl::Execute(const StartDraining& /*command*/) {
-  store_.Drain(true);
+  store_.StartDraining();
   return DrainingReply();
 }
 
 AdminReply OperatorControl::Execute(const StopDraining& /*command*/) {
-  store_.Drain(false);
+  store_.StopDraining();
   return DrainingReply();
 }
 
 AdminReply OperatorControl::DrainingReply() const {
-  return Reply(AdminStatus::kDone, store_.state().drained ? "clients are sent away" : "clients are taken");
+  return Reply(AdminStatus::kDone, store_.state().draining ? "clients are sent away" : "clients are taken");
 }
 
 AdminReply OperatorControl::Execute(const QueryReadiness& /*command*/) const {
   ServingState state = get_serving_state_();
-  state.draining = store_.state().drained;
+  state.draining = store_.state().draining;
   const auto reason = WhyNotReady(state);
   if (!reason) return Reply(AdminStatus::kDone, "ready");
   return Reply(AdminStatus::kNotReady, "not ready: " + std::string(ToString(*reason)));
@@ -85,7 +86,7 @@
     if (!disabled_.contains(upstream)) ApplyOverride(upstream, false);
   }
   targets_.host.HandleQueuedEvents();
-  targets_.listener.SetConnectionDraining(state.drained);
+  targets_.listener.SetConnectionDraining(state.draining);
 }
 
 // The balancer hears of the override before it hears of attempts that the override ended.
--- a/sidecar/operator_control.h
+++ b/sidecar/operator_control.h
@@ -35,10 +35,11 @@
   using GetServingState = std::function<ServingState()>;
 
   // Applies what is stored in `folder` (empty: nothing is stored), then binds and listens at `endpoint`;
-  // throws ConfigError where that fails. `on_said` hears what operators say to this process.
+  // throws ConfigError where that fails. `on_override` hears of each override that operators tell this
+  // process.
   OperatorControl(boost::asio::io_context& io, const Endpoint& endpoint, const std::string& folder,
                   const Targets& targets, GetServingState get_serving_state,
-                  OperatorStateStore::OnSaid on_said);
+                  OperatorStateStore::OnOverride on_override);
 
   Endpoint local() const { return admin_->local(); }
   OperatorStateStore& store() { return store_; }
--- a/sidecar/operator_state.cpp
+++ b/sidecar/operator_state.cpp
@@ -1,155 +1,123 @@
 #include "sidecar/operator_state.h"
 
 #include <algorithm>
-#include <cstdint>
-#include <cstdio>
-#include <optional>
+#include <array>
+#include <chrono>
 #include <thread>
 #include <utility>
-#include <vector>
 
 namespace lb::sidecar {
 namespace {
 
 using std::chrono::milliseconds;
 
-// The other process has to act on a call well within the second that the operators allow.
-constexpr Duration kLook = milliseconds(100);
-// What another process was told it is likely to have stored by then: the next look sees it.
-constexpr Duration kHeard = milliseconds(250);
-constexpr Duration kMostPause = milliseconds(1000);
+// How often the folder is read. The other process has to act on a command well within the second that
+// operators allow.
+constexpr Duration kReadInterval = milliseconds(100);
+// An override that another process was told is likely to be stored by it within this time, so that the next
+// read finds it there.
+constexpr Duration kNeighbourWriteTime = milliseconds(250);
+constexpr Duration kMostBackoff = milliseconds(1000);
 // At the start a folder that fails for a moment is waited for: there is nothing to serve yet.
-constexpr milliseconds kFirstLooks[] = {milliseconds(20), milliseconds(40), milliseconds(80),
+constexpr std::array kStartupRetries = {milliseconds(20), milliseconds(40), milliseconds(80),
                                         milliseconds(160)};
-// So many words are stored at a time: each may take two syncs.
-constexpr int kMostAtOnce = 8;
-const std::string kDrained = "drained";
-const std::string kOut = "out-";
-const std::string kLong = "long-";
-const std::string kHotRestart = "handover";  // the socket of hot_restart.cpp
-// Names of files end at 255 bytes; earlier versions stop here, too.
-constexpr std::size_t kLongestName = 244;
-constexpr std::size_t kLongestWord = 64 * 1024;
-constexpr std::size_t kMostForeign = 16;
+// How many overrides are stored at a time: each may take two syncs, which block.
+constexpr int kMostWritesAtOnce = 8;
 
-// Ids are opaque: any byte may be in them.
-std::string Hex(const std::string& id) {
-  std::string hex;
-  for (const char c : id) {
-    char digits[3];
-    std::snprintf(digits, sizeof digits, "%02x", static_cast<unsigned char>(c));
-    hex += digits;
-  }
-  return hex;
-}
-
-std::optional<std::string> FromHex(const std::string& hex) {
-  const auto digit = [](char c) {
-    return c >= '0' && c <= '9' ? c - '0' : c >= 'a' && c <= 'f' ? c - 'a' + 10 : -1;
-  };
-  if (hex.empty() || hex.size() % 2 != 0) return std::nullopt;
-  std::string id;
-  for (std::size_t i = 0; i < hex.size(); i += 2) {
-    const int high = digit(hex[i]), low = digit(hex[i + 1]);
-    if (high < 0 || low < 0) return std::nullopt;
-    id.push_back(static_cast<char>(high * 16 + low));
-  }
-  return id;
+Duration NextBackoff(Duration backoff) {
+  return std::clamp<Duration>(2 * backoff, kReadInterval, kMostBackoff);
 }
 
-std::optional<std::string> DisabledId(const std::string& word) {
-  return word.starts_with(kOut) ? FromHex(word.substr(kOut.size())) : std::nullopt;
-}
-
-bool IsWord(const std::string& text) { return text == kDrained || DisabledId(text); }
-
-// FNV-1a. Two of them from different starts keep apart whatever ids a fleet has.
-std::uint64_t Hash(const std::string& text, std::uint64_t hash) {
-  for (const char c : text) hash = (hash ^ static_cast<unsigned char>(c)) * 1099511628211U;
-  return hash;
-}
+}  // namespace
 
-// The file of a word. Always the same, so that each process finds it without a list.
-std::string FileName(const std::string& word) {
-  if (word.size() <= kLongestName) return word;
-  char digits[33];
-  std::snprintf(digits, sizeof digits, "%016llx%016llx",
-                static_cast<unsigned long long>(Hash(word, 14695981039346656037U)),
-                static_cast<unsigned long long>(Hash(word, 1469598103934665603U)));
-  return kLong + digits;
+void OperatorStateStore::RepeatedTask::CountResult(bool failed) {
+  backoff = failed ? NextBackoff(backoff) : Duration::zero();
 }
 
-std::string Contents(const std::string& word) { return word.size() <= kLongestName ? std::string() : word; }
-
-Duration Longer(Duration pause) { return std::clamp<Duration>(2 * pause, kLook, kMostPause); }
-
-}  // namespace
-
 OperatorStateStore::OperatorStateStore(boost::asio::io_context& io, const std::string& folder, Logger& log,
-                                       OnChange on_change, OnSaid on_said)
-    : folder_(folder),
+                                       OnChange on_change, OnOverride on_override)
+    : folder_(folder, log),
       log_(log),
       on_change_(std::move(on_change)),
-      on_said_(std::move(on_said)),
-      look_timer_(io),
-      store_timer_(io),
+      on_override_(std::move(on_override)),
+      read_(io),
+      write_(io),
       finish_timer_(io) {
-  if (folder.empty()) return;
-  std::error_code error = Look();
-  for (const auto pause : kFirstLooks) {
+  if (!folder_.exists()) return;
+  std::error_code error = ReadFolder();
+  for (const auto pause : kStartupRetries) {
     if (!error || error == std::errc::not_a_directory || error == std::errc::permission_denied) break;
     std::this_thread::sleep_for(pause);
-    error = Look();
+    error = ReadFolder();
   }
-  LookIn(kLook);
+  ScheduleRead(kReadInterval);
+}
+
+void OperatorStateStore::Disable(const std::string& upstream) {
+  SetOverride(StoredOverride::UpstreamDisabled(upstream), OverrideAction::kSet);
 }
 
-std::string OperatorStateStore::Word(const std::string& upstream) { return kOut + Hex(upstream); }
+void OperatorStateStore::Enable(const std::string& upstream) {
+  SetOverride(StoredOverride::UpstreamDisabled(upstream), OverrideAction::kWithdraw);
+}
 
-void OperatorStateStore::Drain(bool drained) { Say(kDrained, drained); }
+void OperatorStateStore::StartDraining() { SetOverride(StoredOverride::Draining(), OverrideAction::kSet); }
 
-bool OperatorStateStore::Holds(const std::string& word) const {
-  const auto owed = owed_.find(word);
-  return owed != owed_.end() ? owed->second.set : stored_.contains(word);
+void OperatorStateStore::StopDraining() {
+  SetOverride(StoredOverride::Draining(), OverrideAction::kWithdraw);
 }
 
-// The words that hold count at once, whatever becomes of the folder.
-void OperatorStateStore::Say(const std::string& word, bool set) {
-  // What another process changed since the last look is not in `stored_` yet.
-  if (Holds(word) == set && !folder_.path().empty()) Look();
-  if (Holds(word) == set && !look_error_) return;
-  owed_[word] = {set, false};
+bool OperatorStateStore::Holds(const StoredOverride& stored) const {
+  const auto pending = pending_.find(stored);
+  if (pending != pending_.end()) return pending->second.action == OverrideAction::kSet;
+  return stored_.contains(stored);
+}
+
+// The override holds at once, whatever becomes of the folder.
+void OperatorStateStore::SetOverride(const StoredOverride& stored, OverrideAction action) {
+  const bool set = action == OverrideAction::kSet;
+  // What another process changed since the last read is not in `stored_` yet.
+  if (Holds(stored) == set && folder_.exists()) ReadFolder();
+  if (Holds(stored) == set && !read_.error) return;
+  pending_[stored] = {action, false};
   Publish();
-  on_said_(word, set);
-  if (!Store(word, set)) StoreOwedIn(store_pause_ = Longer(store_pause_));
+  on_override_(stored, action);
+  if (TryWrite(stored, action)) return;
+  write_.backoff = NextBackoff(write_.backoff);
+  ScheduleWrite(write_.backoff);
 }
 
-void OperatorStateStore::Heard(const std::string& word, bool set) {
-  if (!IsWord(word)) return log_.Line("operator state: the other process says " + word);
-  owed_.erase(word);
-  if (look_error_ || stored_.contains(word) != set) {
-    owed_[word] = {set, true};
-    StoreOwedIn(kHeard);
+void OperatorStateStore::HandleOverrideFromNeighbour(const StoredOverride& stored, OverrideAction action) {
+  pending_.erase(stored);
+  if (read_.error || stored_.contains(stored) != (action == OverrideAction::kSet)) {
+    pending_[stored] = {action, true};
+    ScheduleWrite(kNeighbourWriteTime);
   }
   Publish();
 }
 
-void OperatorStateStore::TellAll(const OnSaid& tell) const {
-  for (const auto& word : stored_)
-    if (!owed_.contains(word)) tell(word, true);
-  for (const auto& [word, owed] : owed_) tell(word, owed.set);
+void OperatorStateStore::NotifyAll(const OnOverride& notify) const {
+  for (const auto& stored : stored_) {
+    if (!pending_.contains(stored)) notify(stored, OverrideAction::kSet);
+  }
+  for (const auto& [stored, write] : pending_) notify(stored, write.action);
 }
 
 void OperatorStateStore::Publish() {
   OperatorState state;
-  const auto add = [&state](const std::string& word) {
-    if (const auto id = DisabledId(word)) state.disabled.insert(*id);
-    if (word == kDrained) state.drained = true;
+  const auto add = [&state](const StoredOverride& stored) {
+    if (stored.kind() == StoredOverride::Kind::kDraining) {
+      state.draining = true;
+    } else {
+      state.disabled.insert(stored.upstream());
+    }
   };
-  for (const auto& word : stored_)
-    if (!owed_.contains(word)) add(word);
-  for (const auto& [word, owed] : owed_)
-    if (owed.set) add(word);
+  for (const auto& stored : stored_) {
+    if (!pending_.contains(stored)) add(stored);
+  }
+  for (const auto& [stored, write] : pending_) {
+    if (write.action == OverrideAction::kSet) add(stored);
+  }
   if (state == state_) return;
   state_ = std::move(state);
   on_change_(state_);
@@ -157,151 +125,126 @@
 
 // ---- Writing ----
 
-bool OperatorStateStore::Store(const std::string& word, bool set) {
-  if (folder_.path().empty()) return false;
-  const std::string name = FileName(word);
-  const auto error = set ? folder_.Write(name, Contents(word)) : folder_.Remove(name);
+bool OperatorStateStore::TryWrite(const StoredOverride& stored, OverrideAction action) {
+  if (!folder_.exists()) return false;
+  const bool set = action == OverrideAction::kSet;
+  const auto error = set ? folder_.Store(stored) : folder_.Remove(stored);
   if (error) {
-    owed_[word] = {set, false};
-    if (std::exchange(store_error_, error) != error) {
+    pending_[stored] = {action, false};
+    if (write_.error != error) {
       log_.Line("operator state: " + folder_.path() + ": " + error.message() +
                 "; what operators say will not outlast this process until it is stored");
     }
+    write_.error = error;
     return false;
   }
-  owed_.erase(word);
-  if (set) stored_.insert(word);
-  if (!set) stored_.erase(word);
-  if (owed_.empty() && std::exchange(store_error_, {})) log_.Line("operator state: all is stored again");
+  pending_.erase(stored);
+  if (set) {
+    stored_.insert(stored);
+  } else {
+    stored_.erase(stored);
+  }
+  if (pending_.empty() && write_.error) {
+    write_.error.clear();
+    log_.Line("operator state: all is stored again");
+  }
   return true;
 }
 
-// One after the other, from where the last turn ended: a word that can't be stored must not hold up the
+// Overrides are tried in turn, from where the last round ended: one that can't be stored must not hold up the
 // others.
-void OperatorStateStore::StoreOwed() {
+void OperatorStateStore::WritePending() {
   bool failed = false;
-  for (int i = 0; i < kMostAtOnce && !owed_.empty() && !failed; ++i) {
-    auto next = owed_.upper_bound(last_tried_);
-    if (next == owed_.end()) next = owed_.begin();
-    last_tried_ = next->first;
-    failed = !Store(last_tried_, next->second.set);
+  for (int i = 0; i < kMostWritesAtOnce && !pending_.empty() && !failed; ++i) {
+    auto next = last_tried_ ? pending_.upper_bound(*last_tried_) : pending_.begin();
+    if (next == pending_.end()) next = pending_.begin();
+    // Copies: TryWrite() removes the entry.
+    const StoredOverride stored = next->first;
+    const OverrideAction action = next->second.action;
+    last_tried_ = stored;
+    failed = !TryWrite(stored, action);
   }
-  store_pause_ = failed ? Longer(store_pause_) : Duration::zero();
-  if (!owed_.empty()) return StoreOwedIn(std::max(store_pause_, kLook));
-  if (const auto finished = std::exchange(finished_, nullptr)) finished();
-}
-
-void OperatorStateStore::StoreOwedIn(Duration wait) {
-  if (folder_.path().empty()) return;
-  store_timer_.expires_after(wait);
-  store_timer_.async_wait([this](boost::system::error_code error) {
-    if (!error) StoreOwed();
+  write_.CountResult(failed);
+  if (!pending_.empty()) return ScheduleWrite(std::max(write_.backoff, kReadInterval));
+  const auto on_finished = std::move(on_finished_);
+  on_finished_ = nullptr;
+  if (on_finished) on_finished();
+}
+
+void OperatorStateStore::ScheduleWrite(Duration wait) {
+  if (!folder_.exists()) return;
+  write_.timer.expires_after(wait);
+  write_.timer.async_wait([this](boost::system::error_code error) {
+    if (!error) WritePending();
   });
 }
 
-// What another process stores as well is not told before it was tried here.
+// What another process stores as well is not reported before it was tried here.
 std::string OperatorStateStore::StorageFault() const {
-  const auto changes = std::ranges::count_if(owed_, [](const auto& owed) { return !owed.second.heard; });
-  if (folder_.path().empty()) return changes == 0 ? "" : "not stored: there is no folder for it";
+  const auto changes =
+      std::ranges::count_if(pending_, [](const auto& pending) { return !pending.second.from_neighbour; });
+  if (!folder_.exists()) return changes == 0 ? "" : "not stored: there is no folder for it";
   if (changes > 0) {
     return "not stored yet: " + std::to_string(changes) + (changes == 1 ? " change" : " changes") +
-           (store_error_ ? " (" + store_error_.message() + ")" : "");
+           (write_.error ? " (" + write_.error.message() + ")" : "");
   }
-  return look_error_ ? "what is stored can't be read (" + look_error_.message() + ")" : "";
+  return read_.error ? "what is stored can't be read (" + read_.error.message() + ")" : "";
 }
 
-void OperatorStateStore::Finish(Duration patience, std::function<void()> done) {
-  if (folder_.path().empty() || owed_.empty()) return done();
-  finished_ = std::move(done);
-  finish_timer_.expires_after(patience);
+void OperatorStateStore::Finish(Duration timeout, std::function<void()> done) {
+  if (!folder_.exists() || pending_.empty()) return done();
+  on_finished_ = std::move(done);
+  finish_timer_.expires_after(timeout);
   finish_timer_.async_wait([this](boost::system::error_code error) {
-    if (error || !finished_) return;
+    if (error || !on_finished_) return;
     log_.Line("operator state: " + StorageFault() + "; lost at this end");
-    std::exchange(finished_, nullptr)();
+    const auto on_finished = std::move(on_finished_);
+    on_finished_ = nullptr;
+    on_finished();
   });
-  StoreOwed();
+  WritePending();
 }
 
 // ---- Reading ----
 
 // What was last read stands until the folder is read whole again.
-std::error_code OperatorStateStore::Look() {
-  std::set<std::string> words;
-  auto error = ReadFolder(words);
+std::error_code OperatorStateStore::ReadFolder() {
+  std::set<StoredOverride> overrides;
+  auto error = folder_.ReadAll(overrides);
   if (error == std::errc::no_such_file_or_directory) {
-    FolderIsGone();
+    RestoreVanishedFolder();
     error.clear();
   } else if (!error) {
-    stored_ = std::move(words);
-    std::erase_if(owed_, [this](const auto& owed) {
-      return owed.second.heard && owed.second.set == stored_.contains(owed.first);
+    stored_ = std::move(overrides);
+    std::erase_if(pending_, [this](const auto& pending) {
+      const bool set = pending.second.action == OverrideAction::kSet;
+      return pending.second.from_neighbour && set == stored_.contains(pending.first);
     });
     Publish();
   }
-  if (std::exchange(look_error_, error) != error) {
+  if (read_.error != error) {
     log_.Line("operator state: " + folder_.path() + ": " +
               (error ? error.message() + "; what other processes store is not seen" : "read again"));
   }
+  read_.error = error;
   return error;
 }
 
-// Nobody withdrew what was in it: it is stored anew. At the start there was nothing.
-void OperatorStateStore::FolderIsGone() {
+// Nobody withdrew what was in the folder: it is stored anew. At the start there was nothing in it.
+void OperatorStateStore::RestoreVanishedFolder() {
   if (stored_.empty()) return;
   log_.Line("operator state: " + folder_.path() + " is gone; what operators said is stored anew");
-  for (const auto& word : std::exchange(stored_, {})) owed_.emplace(word, Owed{true, false});
-  StoreOwedIn(kLook);
-}
-
-std::error_code OperatorStateStore::ReadFolder(std::set<std::string>& words) {
-  std::vector<std::string> names;
-  if (const auto error = folder_.List(names)) return error;
-  for (const auto& name : names) {
-    if (name == kHotRestart) continue;
-    if (IsWord(name)) {
-      words.insert(name);
-    } else if (name.starts_with(kLong)) {
-      if (const auto error = ReadLong(name, words)) return error;
-    } else {
-      LogForeign(name);
-    }
-  }
-  return {};
-}
-
-// The name tells whether the contents are its own, so each is read once.
-std::error_code OperatorStateStore::ReadLong(const std::string& name, std::set<std::string>& words) {
-  const auto known = long_words_.find(name);
-  if (known != long_words_.end()) {
-    words.insert(known->second);
-    return {};
-  }
-  if (foreign_.contains(name)) return {};
-  std::string word;
-  const auto error = folder_.Read(name, kLongestWord, word);
-  if (error == std::errc::no_such_file_or_directory) return {};  // removed just now
-  if (error && error != std::errc::file_too_large) return error;
-  if (error || FileName(word) != name || !IsWord(word)) {
-    LogForeign(name);
-    return {};
-  }
-  words.insert(word);
-  long_words_.emplace(name, std::move(word));
-  return {};
-}
-
-void OperatorStateStore::LogForeign(const std::string& name) {
-  if (foreign_.size() < kMostForeign && foreign_.insert(name).second) {
-    log_.Line("operator state: not ours: " + name);
-  }
+  for (const auto& stored : stored_) pending_.emplace(stored, PendingWrite{OverrideAction::kSet, false});
+  stored_.clear();
+  ScheduleWrite(kReadInterval);
 }
 
-void OperatorStateStore::LookIn(Duration wait) {
-  look_timer_.expires_after(wait);
-  look_timer_.async_wait([this](boost::system::error_code error) {
+void OperatorStateStore::ScheduleRead(Duration wait) {
+  read_.timer.expires_after(wait);
+  read_.timer.async_wait([this](boost::system::error_code error) {
     if (error) return;
-    look_pause_ = Look() ? Longer(look_pause_) : Duration::zero();
-    LookIn(std::max(look_pause_, kLook));
+    read_.CountResult(static_cast<bool>(ReadFolder()));
+    ScheduleRead(std::max(read_.backoff, kReadInterval));
   });
 }
 
--- a/sidecar/operator_state.h
+++ b/sidecar/operator_state.h
@@ -1,97 +1,103 @@
-// What operators said, in a folder under $TMPDIR that all processes of a sidecar share: it is for the sidecar
-// and not for one process of it, and survives an upgrade. What can't be stored at once holds in this process
-// all the same, and is tried again until it is stored.
-//
-// A file is a word that holds: `out-HEX` a disabled upstream, by its id in hexadecimal, `drained` that
-// clients are sent away; both are empty. `long-HASH` has the word as its contents, where that is too long for
-// a name.
+// The operator state store: which upstreams operators have disabled, and whether they asked for connection
+// draining. The state is the sidecar's and not one process's: it is stored in a folder under $TMPDIR that all
+// its processes share, and survives a hot restart. What can't be stored at once holds in this process all the
+// same, and is tried again until it is stored.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
-#include <chrono>
 #include <functional>
 #include <map>
+#include <optional>
 #include <set>
 #include <string>
 #include <system_error>
 
-#include "sidecar/durable_folder.h"
+#include "sidecar/clock.h"
 #include "sidecar/log.h"
+#include "sidecar/operator_state_folder.h"
+#include "sidecar/stored_override.h"
 
 namespace lb::sidecar {
 
 struct OperatorState {
   std::set<std::string> disabled;  // ids of upstreams
-  bool drained = false;            // clients are sent away
+  bool draining = false;           // connection draining
   bool operator==(const OperatorState&) const = default;
 };
 
+// Whether an override holds from now on, or no more.
+enum class OverrideAction { kSet, kWithdraw };
+
 class OperatorStateStore {
  public:
   using OnChange = std::function<void(const OperatorState&)>;
-  using OnSaid = std::function<void(const std::string& word, bool set)>;
+  using OnOverride = std::function<void(const StoredOverride&, OverrideAction)>;
 
-  // `folder`: where to keep it; empty where nothing can be kept. `on_change` hears of each change, whoever
-  // made it, at once or from the next look on. `on_said`: of each word that was said here, for the other
-  // processes.
+  // `folder`: where to store; empty where nothing can be stored. Reads what is stored, and may block for some
+  // hundred milliseconds while the folder fails. `on_change` hears of each change of the state, whichever
+  // process it comes from, also during construction. `on_override` hears of each override that this process
+  // was told by operators, for the other processes.
   OperatorStateStore(boost::asio::io_context& io, const std::string& folder, Logger& log, OnChange on_change,
-                     OnSaid on_said);
+                     OnOverride on_override);
 
   const OperatorState& state() const { return state_; }
-  void Disable(const std::string& upstream) { Say(Word(upstream), true); }
-  void Enable(const std::string& upstream) { Say(Word(upstream), false); }
-  void Drain(bool drained);
 
-  // Another process says so, perhaps before it can store it, or in vain.
-  void Heard(const std::string& word, bool set);
-  // Calls `tell` with each word that holds, and each that is withdrawn and not yet removed from the folder.
-  void TellAll(const OnSaid& tell) const;
+  // What operators say to this process. Holds at once.
+  void Disable(const std::string& upstream);
+  void Enable(const std::string& upstream);
+  void StartDraining();
+  void StopDraining();
+
+  // What operators said to another process, which may not have stored it yet, or not be able to.
+  void HandleOverrideFromNeighbour(const StoredOverride& stored, OverrideAction action);
+  // Calls `notify` with each override that holds, and each that is withdrawn but not yet removed from the
+  // folder.
+  void NotifyAll(const OnOverride& notify) const;
 
-  // For the operators: what is not stored, and why; empty where all is.
+  // What is not stored, and why, for operators; empty where all is.
   std::string StorageFault() const;
-  // Calls `done` once all is stored, or after `patience`.
-  void Finish(Duration patience, std::function<void()> done);
+  // Calls `done` once all is stored, or after `timeout`.
+  void Finish(Duration timeout, std::function<void()> done);
 
  private:
-  struct Owed {
-    bool set = false;
-    bool heard = false;  // another process says so, and stores it as well
+  // An override that the folder does not hold yet, or still holds.
+  struct PendingWrite {
+    OverrideAction action = OverrideAction::kSet;
+    bool from_neighbour = false;  // another process stores it as well
   };
+  // Something that is done again and again, with a backoff while it fails.
+  struct RepeatedTask {
+    explicit RepeatedTask(boost::asio::io_context& io) : timer(io) {}
+    void CountResult(bool failed);
 
-  static std::string Word(const std::string& upstream);
+    boost::asio::steady_timer timer;
+    Duration backoff{};     // zero after a success
+    std::error_code error;  // the last one; none once it succeeded
+  };
 
-  bool Holds(const std::string& word) const;
-  void Say(const std::string& word, bool set);
+  bool Holds(const StoredOverride& stored) const;
+  void SetOverride(const StoredOverride& stored, OverrideAction action);
   void Publish();
-  bool Store(const std::string& word, bool set);
-  void StoreOwed();
-  void StoreOwedIn(Duration wait);
-  std::error_code Look();
-  void LookIn(Duration wait);
-  std::error_code ReadFolder(std::set<std::string>& words);
-  std::error_code ReadLong(const std::string& name, std::set<std::string>& words);
-  void FolderIsGone();
-  void LogForeign(const std::string& name);
-
-  DurableFolder folder_;
+  bool TryWrite(const StoredOverride& stored, OverrideAction action);
+  void WritePending();
+  void ScheduleWrite(Duration wait);
+  std::error_code ReadFolder();
+  void ScheduleRead(Duration wait);
+  void RestoreVanishedFolder();
+
+  OperatorStateFolder folder_;
   Logger& log_;
   const OnChange on_change_;
-  const OnSaid on_said_;
-  boost::asio::steady_timer look_timer_;
-  boost::asio::steady_timer store_timer_;
+  const OnOverride on_override_;
+  RepeatedTask read_;
+  RepeatedTask write_;
   boost::asio::steady_timer finish_timer_;
-  std::set<std::string> stored_;      // the words in the folder, as last read
-  std::map<std::string, Owed> owed_;  // what the folder does not hold yet; goes before what was read
-  OperatorState state_;               // of both
-  std::error_code store_error_;       // of the last try, while something is owed
-  std::error_code look_error_;        // of the last look
-  Duration store_pause_{};            // grows from failure to failure
-  Duration look_pause_{};             // likewise
-  std::string last_tried_;            // of what is owed
-  std::map<std::string, std::string> long_words_;  // by the name of the file
-  std::set<std::string> foreign_;                  // names that were logged
-  std::function<void()> finished_;
+  std::set<StoredOverride> stored_;                 // the contents of the folder, as last read
+  std::map<StoredOverride, PendingWrite> pending_;  // goes before what was read
+  OperatorState state_;                             // of both
+  std::optional<StoredOverride> last_tried_;        // of `pending_`
+  std::function<void()> on_finished_;               // of Finish()
 };
 
 }  // namespace lb::sidecar
--- a/sidecar/sidecar.cpp
+++ b/sidecar/sidecar.cpp
@@ -46,13 +46,17 @@
     : settings_(config.settings),
       log_(config.name),
       descriptors_(config.sockets, FixedDescriptors(config)),
-      hot_restart_(io, config.keep, log_,
-                   {[this] { HandleNeighbourChange(); },
-                    [this] {
-                      operators_->store().TellAll(
-                          [this](const std::string& word, bool set) { hot_restart_.TellNext(word, set); });
-                    },
-                    [this](const std::string& word, bool set) { operators_->store().Heard(word, set); }}),
+      hot_restart_(
+          io, config.keep, log_,
+          {[this] { HandleNeighbourChange(); },
+           [this] {
+             operators_->store().NotifyAll([this](const StoredOverride& stored, OverrideAction action) {
+               hot_restart_.NotifyNext({stored, action});
+             });
+           },
+           [this](const OverrideMessage& message) {
+             operators_->store().HandleOverrideFromNeighbour(message.stored, message.action);
+           }}),
       balancer_clock_(io, [this] { host_.FireDueTimers(); }),
       host_(config.settings, config.seed, balancer_clock_, *this),
       upstreams_(io, config.settings.limits, config.settings.load_by_probe, config.pipe, descriptors_),
@@ -88,7 +92,9 @@
   operators_.emplace(
       io, *config.admin, config.keep, OperatorControl::Targets{host_, upstreams_, listener_, log_},
       [this] { return GetServingState(); },
-      [this](const std::string& word, bool set) { hot_restart_.Tell(word, set); });
+      [this](const StoredOverride& stored, OverrideAction action) {
+        hot_restart_.Notify({stored, action});
+      });
   descriptors_.Share(hot_restart_.after_another());
   first_list_timer_.expires_after(kFirstListTimeout);
   first_list_timer_.async_wait([this](boost::system::error_code error) {
--- a/tests/operator_state_fixture.h
+++ b/tests/operator_state_fixture.h
@@ -28,7 +28,9 @@
   explicit Process(const std::string& folder)
       : store(
             io, folder, log, [](const OperatorState&) {},
-            [this](const std::string& word, bool set) { said.emplace_back(word, set); }) {}
+            [this](const StoredOverride& stored, OverrideAction action) {
+              said.emplace_back(ToStoredForm(stored), action == OverrideAction::kSet);
+            }) {}
 
   const Ids& disabled() const { return store.state().disabled; }
   // Lets it run until `condition` holds, far longer than that should take.
--- a/tests/operator_state_test.cpp
+++ b/tests/operator_state_test.cpp
@@ -9,8 +9,10 @@
 #include <set>
 #include <string>
 #include <utility>
+#include <variant>
 #include <vector>
 
+#include "sidecar/hot_restart_messages.h"
 #include "tests/operator_state_fixture.h"
 
 namespace lb::sidecar::testing {
@@ -54,24 +56,24 @@
 TEST_F(OperatorStateTest, WhatWasSaidWhileTheFolderFailsIsStoredOnceItCan) {
   Process process(path_);
   process.store.Disable("before");
-  process.store.Drain(true);
+  process.store.StartDraining();
   Break();
   process.store.Disable("during");
   process.store.Enable("before");
-  process.store.Drain(false);
-  process.store.Drain(true);
+  process.store.StopDraining();
+  process.store.StartDraining();
   EXPECT_EQ(process.disabled(), Ids{"during"}) << "it holds here all the same";
   EXPECT_NE(process.store.StorageFault().find("not stored yet: 3 changes"), std::string::npos)
       << process.store.StorageFault();
   EXPECT_TRUE(
       process.Eventually([&] { return process.text.str().find("is not seen") != std::string::npos; }));
   EXPECT_EQ(process.disabled(), Ids{"during"}) << "a failed look changes nothing";
-  EXPECT_TRUE(process.store.state().drained);
+  EXPECT_TRUE(process.store.state().draining);
   Mend();
   ASSERT_TRUE(process.Stores()) << process.store.StorageFault();
   const Process next(path_);
   EXPECT_EQ(next.disabled(), Ids{"during"}) << "what was withdrawn does not come back";
-  EXPECT_TRUE(next.store.state().drained);
+  EXPECT_TRUE(next.store.state().draining);
 }
 
 TEST_F(OperatorStateTest, AFolderThatDisappearsIsMadeAnewWithWhatItHeld) {
@@ -91,8 +93,8 @@
   other.store.Enable("u1");
   EXPECT_TRUE(Files().empty());
   EXPECT_TRUE(first.Eventually([&] { return first.disabled().empty(); }));
-  other.store.Drain(true);
-  first.store.Drain(false);
+  other.store.StartDraining();
+  first.store.StopDraining();
   EXPECT_TRUE(Files().empty());
 }
 
@@ -109,10 +111,12 @@
   Touch("out-7531");
   Touch("drained");
   Process process(path_);
-  process.store.Heard("out-7531", false);
-  process.store.Heard("out-7532", true);
-  process.store.Heard("drained", true);
-  process.store.Heard("nonsense", true);
+  for (const char* line : {"-out-7531", "+out-7532", "+drained"}) {
+    const auto message = ParseLine(line);
+    ASSERT_TRUE(message);
+    const auto& told = std::get<OverrideMessage>(*message);
+    process.store.HandleOverrideFromNeighbour(told.stored, told.action);
+  }
   EXPECT_EQ(process.disabled(), Ids{"u2"});
   const std::set<std::string> stored = {"out-7532", "drained"};
   EXPECT_TRUE(process.Eventually([&] { return Files() == stored; })) << "if the other could not";
@@ -123,9 +127,11 @@
   EXPECT_EQ(process.said, (std::vector<std::pair<std::string, bool>>{{"out-7532", false}}));
   std::set<std::string> told;
   Break();
-  process.store.Drain(false);
-  process.store.TellAll([&](const std::string& word, bool set) { told.insert((set ? "+" : "-") + word); });
-  EXPECT_EQ(told, std::set<std::string>{"-drained"}) << "what can't be removed from the folder is told";
+  process.store.StopDraining();
+  process.store.NotifyAll([&](const StoredOverride& stored, OverrideAction action) {
+    told.insert(ToLine({stored, action}));
+  });
+  EXPECT_EQ(told, std::set<std::string>{"-drained\n"}) << "what can't be removed from the folder is told";
 }
 
 TEST_F(OperatorStateTest, APlannedEndWaitsForTheFolderButNotForEver) {
