--- a/settings/config.cpp
+++ b/settings/config.cpp
@@ -15,8 +15,11 @@
 
 using nlohmann::json;
 
+// Fewer leave too little beside what is always open (Descriptors::kFixed) and the admin interface.
 constexpr std::size_t kLeastSockets = 64;
-constexpr std::size_t kLeastPipe = 4 * 1024, kMostPipe = 32 * 1024;
+// Bytes held of one streamed body. The least is a page; the most is what a connection reads at once.
+constexpr std::size_t kLeastStreamCapacity = 4 * 1024;
+constexpr std::size_t kMostStreamCapacity = 32 * 1024;
 
 std::string Variable(const std::function<const char*(const char*)>& variable, const char* name) {
   const char* value = variable(name);
@@ -68,18 +71,19 @@
   return sockets;
 }
 
-// An eighth of the memory, were every second socket to carry such a body.
-std::size_t Pipe(const json& file, std::size_t sockets) {
+// How much is held of each streamed body: an eighth of the memory in all, were every second socket to carry
+// one.
+std::size_t StreamCapacity(const json& file, std::size_t sockets) {
   const json& limits = file.at("limits");
   const auto field = limits.find("memory_mb");
-  if (field == limits.end()) return kMostPipe;
+  if (field == limits.end()) return kMostStreamCapacity;
   if (!field->is_number() || !(field->get<double>() > 0))
     throw ConfigError("LB_CONFIG: limits.memory_mb is no size");
   const double share = field->get<double>() * 1024 * 1024 / 8 / (static_cast<double>(sockets) / 2);
-  return static_cast<std::size_t>(std::clamp<double>(share, kLeastPipe, kMostPipe));
+  return static_cast<std::size_t>(std::clamp<double>(share, kLeastStreamCapacity, kMostStreamCapacity));
 }
 
-// The environment first: each process of an upgrade has an address of its own there.
+// The environment goes before the file: each process of a hot restart has an address of its own there.
 std::optional<Endpoint> Admin(const std::function<const char*(const char*)>& variable, const json& file) {
   if (const char* text = variable("LB_ADMIN"); text != nullptr && *text != '\0') {
     return Address("LB_ADMIN", text);
@@ -90,7 +94,7 @@
   return Address("LB_CONFIG: admin", field->get<std::string>());
 }
 
-lb::Settings ReadSettings(const json& file) {
+Settings ReadSettings(const json& file) {
   try {
     auto settings = ParseSettings(Field(file, "", "settings"));
     settings.Validate();
@@ -130,10 +134,10 @@
   config.seed = Seed(file);
   config.admin = Admin(variable, file);
   if (const char* folder = variable("TMPDIR"); config.admin && folder != nullptr && *folder != '\0') {
-    config.keep = std::string(folder) + "/" + kStateFolder;
+    config.state_folder = std::string(folder) + "/" + kStateFolder;
   }
   config.sockets = Sockets(file);
-  config.pipe = Pipe(file, config.sockets);
+  config.stream_capacity = StreamCapacity(file, config.sockets);
   config.settings = ReadSettings(file);
   // The file can be replaced while the process runs, its environment can't: what the file says is newer.
   if (const auto discovery = file.find("discovery"); discovery != file.end()) {
--- a/sidecar/clock.h
+++ b/sidecar/clock.h
@@ -1,4 +1,5 @@
-// The node's one clock: steady, in microseconds; Unix times from outside are converted here and nowhere else.
+// The sidecar's clock: steady, in microseconds. Unix times that others send are converted here and nowhere
+// else.
 #pragma once
 
 #include <chrono>
@@ -21,8 +22,9 @@
 
 inline TimePoint Now() { return ToTimePoint(std::chrono::steady_clock::now()); }
 
-// Between Unix time and the steady clock. Read once for each process, so that the same Unix time is the same
-// TimePoint in every list: the module takes a start time that moved for a new process.
+// Converts Unix time to the steady clock's. The offset between the two is read once for each process, so that
+// a Unix time is the same TimePoint in every list: the balancer takes a start time that moved for that of a
+// new process.
 class UnixClock {
  public:
   UnixClock()
--- a/sidecar/durable_folder.cpp
+++ b/sidecar/durable_folder.cpp
@@ -15,9 +15,10 @@
 namespace lb::sidecar {
 namespace {
 
-constexpr std::string_view kTemporary = "tmp-";
-// No write takes nearly so long, unless its process stands still; it is made again then.
-constexpr auto kLeftOverAge = std::chrono::seconds(10);
+constexpr std::string_view kTemporaryPrefix = "tmp-";
+// A temporary file that is older was left by a kill: no write takes nearly so long unless its process is
+// stopped, and that write is made again.
+constexpr auto kStaleAge = std::chrono::seconds(10);
 constexpr mode_t kFileMode = 0666;  // less the umask
 
 std::error_code LastError() { return {errno, std::generic_category()}; }
@@ -40,10 +41,12 @@
 
   bool valid() const { return number_ >= 0; }
   int number() const { return number_; }
-  // Linux lets go of the number whatever it returns; a file system may tell here of a write that failed.
+  // Linux closes the descriptor whatever close() returns; a file system may report here a write that failed.
   std::error_code Close() {
     if (!valid()) return {};
-    return ::close(std::exchange(number_, -1)) == 0 || errno == EINTR ? std::error_code() : LastError();
+    const int number = number_;
+    number_ = -1;
+    return ::close(number) == 0 || errno == EINTR ? std::error_code() : LastError();
   }
 
  private:
@@ -90,18 +93,19 @@
 
 }  // namespace
 
-// Of this process and this moment alone, also where process numbers are few.
+// Unique among all processes that use the folder, also where process ids are reused.
 std::string DurableFolder::TemporaryName() {
-  return std::string(kTemporary) + std::to_string(::getpid()) + "-" +
-         std::to_string(Steady::now().time_since_epoch().count()) + "-" + std::to_string(++written_);
+  return std::string(kTemporaryPrefix) + std::to_string(::getpid()) + "-" +
+         std::to_string(Steady::now().time_since_epoch().count()) + "-" + std::to_string(++temporary_count_);
 }
 
-std::error_code DurableFolder::Make() {
+std::error_code DurableFolder::CreateFolder() {
   std::error_code error;
   std::filesystem::create_directories(path_, error);
   if (error) return error;
   error = SyncFolder(std::filesystem::path(path_).parent_path());
-  return error == std::errc::permission_denied ? std::error_code() : error;  // it may be made, not read
+  return error == std::errc::permission_denied ? std::error_code()
+                                               : error;  // the parent may allow writing, not reading
 }
 
 std::error_code DurableFolder::Sync() const { return SyncFolder(path_); }
@@ -110,25 +114,25 @@
   const std::string temporary = Path(TemporaryName());
   auto error = WriteNew(temporary, contents);
   if (error == std::errc::no_such_file_or_directory) {
-    error = Make();
+    error = CreateFolder();
     if (!error) error = WriteNew(temporary, contents);
   }
   if (!error) error = Rename(temporary, Path(name));
   if (!error) return Sync();
-  Unlink(temporary);  // one that stays is removed as left over
+  Unlink(temporary);  // one that stays is removed as stale
   return error;
 }
 
-// A name that can't be removed may yet be changed to one that is no file's.
+// A file that can't be removed may still be renamed to a temporary name, which is never listed.
 std::error_code DurableFolder::Remove(const std::string& name) {
   auto error = Unlink(Path(name));
   if (error == std::errc::no_such_file_or_directory) {
-    error = Sync();  // it may be gone by a removal that was not synced
+    error = Sync();  // an earlier removal may not have been synced
     return error == std::errc::no_such_file_or_directory ? std::error_code() : error;
   }
   const std::string discarded = TemporaryName();
   if (error && !Rename(Path(name), Path(discarded))) {
-    temporaries_[discarded] = Steady::now() - 2 * kLeftOverAge;  // removed at the next look
+    temporaries_[discarded] = Steady::now() - 2 * kStaleAge;  // removed by the next List()
     error.clear();
   }
   return error ? error : Sync();
@@ -142,7 +146,11 @@
   errno = 0;
   while (const dirent* entry = ::readdir(folder)) {
     const std::string name = entry->d_name;
-    if (name != "." && name != "..") (name.starts_with(kTemporary) ? temporaries : names).push_back(name);
+    if (name.starts_with(kTemporaryPrefix)) {
+      temporaries.push_back(name);
+    } else if (name != "." && name != "..") {
+      names.push_back(name);
+    }
     errno = 0;
   }
   const std::error_code error = LastError();
@@ -150,19 +158,19 @@
   if (error) {
     names.clear();
   } else {
-    RemoveLeftOvers(temporaries);
+    RemoveStaleTemporaries(temporaries);
   }
   return error;
 }
 
-void DurableFolder::RemoveLeftOvers(const std::vector<std::string>& temporaries) {
+void DurableFolder::RemoveStaleTemporaries(const std::vector<std::string>& temporaries) {
   const auto now = Steady::now();
   std::erase_if(temporaries_, [&](const auto& seen) {
     return std::find(temporaries.begin(), temporaries.end(), seen.first) == temporaries.end();
   });
   for (const auto& name : temporaries) {
     const auto seen = temporaries_.emplace(name, now).first->second;
-    if (now - seen > kLeftOverAge) Unlink(Path(name));
+    if (now - seen > kStaleAge) Unlink(Path(name));
   }
 }
 
--- a/sidecar/sidecar.cpp
+++ b/sidecar/sidecar.cpp
@@ -47,7 +47,7 @@
       log_(config.name),
       descriptors_(config.sockets, FixedDescriptors(config)),
       hot_restart_(
-          io, config.keep, log_,
+          io, config.state_folder, log_,
           {[this] { HandleNeighbourChange(); },
            [this] {
              operators_->store().NotifyAll([this](const StoredOverride& stored, OverrideAction action) {
@@ -59,7 +59,7 @@
            }}),
       balancer_clock_(io, [this] { host_.FireDueTimers(); }),
       host_(config.settings, config.seed, balancer_clock_, *this),
-      upstreams_(io, config.settings.limits, config.settings.load_by_probe, config.pipe, descriptors_),
+      upstreams_(io, config.settings.limits, config.settings.load_by_probe, config.stream_capacity, descriptors_),
       membership_(config.settings.fleet_limits.slow_start_duration, host_, upstreams_, log_),
       discovery_(
           io, config.discovery, config.settings.polled_membership, config.settings.fleet_limits.drain_grace,
@@ -74,7 +74,7 @@
       shutdown_(settings_),
       listener_(
           io, config.listen, config.admin.has_value(), InheritListener(hot_restart_, config.listen),
-          config.pipe, descriptors_, log_,
+          config.stream_capacity, descriptors_, log_,
           [this](HttpRequest request, Body body, Listener::SendResponse send_response,
                  Listener::CheckClient check_client) {
             return intake_.AcceptRequest(std::move(request), std::move(body), std::move(send_response),
@@ -90,7 +90,7 @@
   if (!hot_restart_.after_another()) listener_.Start();
   if (!config.admin) return;
   operators_.emplace(
-      io, *config.admin, config.keep, OperatorControl::Targets{host_, upstreams_, listener_, log_},
+      io, *config.admin, config.state_folder, OperatorControl::Targets{host_, upstreams_, listener_, log_},
       [this] { return GetServingState(); },
       [this](const StoredOverride& stored, OverrideAction action) {
         hot_restart_.Notify({stored, action});
