--- a/lab/real/control_client.cpp
+++ b/lab/real/control_client.cpp
@@ -14,6 +14,11 @@
   return std::max<std::size_t>(1, std::min({kMostThreads, half_of_cores, sidecars}));
 }
 
+sidecar::DiscoveryClient::Mode ModeOf(const ControlClientOptions& options) {
+  return options.on_request ? sidecar::DiscoveryClient::Mode::kPolledService
+                            : sidecar::DiscoveryClient::Mode::kWatchedAgent;
+}
+
 }  // namespace
 
 ControlClient::ControlClient(boost::asio::io_context& io, const ControlClientOptions& options,
@@ -21,8 +26,8 @@
     : on_notice_(std::move(on_notice)),
       log_("hollow", &silent_),
       discovery_(
-          io, options.discovery, options.on_request, options.drain_grace, clock, log_, options.seed,
-          [this](sidecar::MembershipList list) {
+          io, options.discovery, ModeOf(options), options.drain_grace, clock, log_, options.seed,
+          [this](sidecar::EndpointList list) {
             on_notice_({list.revision, sidecar::Now(), std::move(list.update)});
           },
           [this] {
--- a/lab/real/control_client.h
+++ b/lab/real/control_client.h
@@ -14,7 +14,7 @@
 #include "lab/real/worker_thread.h"
 #include "settings/config.h"
 #include "sidecar/clock.h"
-#include "sidecar/discovery.h"
+#include "sidecar/discovery_client.h"
 #include "sidecar/log.h"
 
 namespace lb::lab {
@@ -52,7 +52,7 @@
   const OnNotice on_notice_;
   std::ostream silent_{nullptr};
   sidecar::Logger log_;
-  sidecar::Discovery discovery_;
+  sidecar::DiscoveryClient discovery_;
 };
 
 // The control clients of a fleet, spread over a few threads: on one alone, a list that all take at once would
--- a/lab/virtual/hollow_fleet.cpp
+++ b/lab/virtual/hollow_fleet.cpp
@@ -102,7 +102,7 @@
       Hear(std::move(heard));
     });
   });
-  const auto known = sidecar::ParseList(ToJson(registry.Since(std::nullopt, service)), unix_clock_);
+  const auto known = sidecar::ParseEndpointList(ToJson(registry.Since(std::nullopt, service)), unix_clock_);
   member.sidecar->Start(seed, known.update.upstreams);
 }
 
--- a/sidecar/membership_follower.cpp
+++ b/sidecar/membership_follower.cpp
@@ -13,7 +13,7 @@
 // The balancer hears of the list before it hears of attempts that the list ended, and acts on it only when
 // the connections have followed: else it would forward again to an upstream that drains, or to one not known
 // yet.
-NextList MembershipFollower::Apply(MembershipList list) {
+NextList MembershipFollower::Apply(EndpointList list) {
   const NextList next = JudgeStartTimes(list);
   {
     const BalancerHost::EventHold hold(host_);
@@ -30,7 +30,7 @@
   return next;
 }
 
-NextList MembershipFollower::JudgeStartTimes(MembershipList& list) {
+NextList MembershipFollower::JudgeStartTimes(EndpointList& list) {
   const bool was_trusted = !wall_clock_.ahead();
   const bool needs_whole_list = wall_clock_.Judge(list.update, Now());
   const auto ahead = wall_clock_.ahead();
--- a/sidecar/membership_follower.h
+++ b/sidecar/membership_follower.h
@@ -4,7 +4,7 @@
 
 #include "sidecar/balancer_host.h"
 #include "sidecar/clock.h"
-#include "sidecar/discovery.h"
+#include "sidecar/endpoint_list.h"
 #include "sidecar/log.h"
 #include "sidecar/upstreams.h"
 #include "sidecar/wall_clock.h"
@@ -21,7 +21,7 @@
   MembershipFollower(Duration slow_start_duration, BalancerHost& host, Upstreams& upstreams, Logger& log);
 
   // Applies the list and handles the events that follow from it.
-  [[nodiscard]] NextList Apply(MembershipList list);
+  [[nodiscard]] NextList Apply(EndpointList list);
 
   // The next lists come from another discovery service.
   void ForgetService() { wall_clock_.ForgetService(); }
@@ -33,7 +33,7 @@
   bool has_known_upstream() const { return has_known_upstream_; }
 
  private:
-  NextList JudgeStartTimes(MembershipList& list);
+  NextList JudgeStartTimes(EndpointList& list);
 
   WallClock wall_clock_;
   BalancerHost& host_;
--- a/sidecar/sidecar.cpp
+++ b/sidecar/sidecar.cpp
@@ -4,7 +4,6 @@
 #include <unistd.h>
 
 #include <boost/system/error_code.hpp>
-#include <exception>
 #include <string>
 #include <utility>
 
@@ -23,12 +22,12 @@
 }
 
 // The endpoint list of the configuration, as discovery last told it.
-MembershipList ParseKnownList(const nlohmann::json& known, const UnixClock& clock) {
-  MembershipList list;
+EndpointList ParseKnownList(const nlohmann::json& known, const UnixClock& clock) {
+  EndpointList list;
   if (!known.is_null()) {
     try {
-      list = ParseList(known, clock);
-    } catch (const std::exception& e) {
+      list = ParseEndpointList(known, clock);
+    } catch (const MembershipError& e) {
       throw ConfigError(std::string("LB_CONFIG: known: ") + e.what());
     }
   }
@@ -36,6 +35,11 @@
   return list;
 }
 
+DiscoveryClient::Mode DiscoveryMode(const Settings& settings) {
+  return settings.polled_membership ? DiscoveryClient::Mode::kPolledService
+                                    : DiscoveryClient::Mode::kWatchedAgent;
+}
+
 std::size_t FixedDescriptors(const Config& config) {
   return Descriptors::kFixed + (config.admin ? AdminInterface::kDescriptors : 0);
 }
@@ -59,12 +63,12 @@
            }}),
       balancer_clock_(io, [this] { host_.FireDueTimers(); }),
       host_(config.settings, config.seed, balancer_clock_, *this),
-      upstreams_(io, config.settings.limits, config.settings.load_by_probe, config.stream_capacity, descriptors_),
+      upstreams_(io, config.settings.limits, config.settings.load_by_probe, config.stream_capacity,
+                 descriptors_),
       membership_(config.settings.fleet_limits.slow_start_duration, host_, upstreams_, log_),
       discovery_(
-          io, config.discovery, config.settings.polled_membership, config.settings.fleet_limits.drain_grace,
-          unix_clock_, log_, config.seed,
-          [this](MembershipList list) { HandleEndpointList(std::move(list)); },
+          io, config.discovery, DiscoveryMode(config.settings), config.settings.fleet_limits.drain_grace,
+          unix_clock_, log_, config.seed, [this](EndpointList list) { HandleEndpointList(std::move(list)); },
           [this] {
             host_.Deliver(MembershipUpdate{MembershipUpdate::Kind::kFailed, {}});
           }),
@@ -81,7 +85,7 @@
                                          std::move(check_client));
           },
           [this] { return membership_.has_known_upstream(); }) {
-  MembershipList known = ParseKnownList(config.known, unix_clock_);
+  EndpointList known = ParseKnownList(config.known, unix_clock_);
   // Without a list there is nothing that changes could be applied to: discovery is asked for the whole list.
   if (!known.locations.empty()) known_revision_ = known.revision;
   ApplyEndpointList(std::move(known));
@@ -152,13 +156,13 @@
   discovery_.MoveTo(config.discovery);
 }
 
-void Sidecar::HandleEndpointList(MembershipList list) {
+void Sidecar::HandleEndpointList(EndpointList list) {
   membership_.MarkListReceived();
   ApplyEndpointList(std::move(list));
   ServeIfAble();
 }
 
-void Sidecar::ApplyEndpointList(MembershipList list) {
+void Sidecar::ApplyEndpointList(EndpointList list) {
   if (membership_.Apply(std::move(list)) == NextList::kWhole) discovery_.AskForAll();
 }
 
--- a/sidecar/sidecar.h
+++ b/sidecar/sidecar.h
@@ -2,7 +2,7 @@
 // part:
 //   requests    RequestIntake, RequestTable, AttemptLauncher
 //   decisions   BalancerHost
-//   membership  Discovery, MembershipFollower
+//   membership  DiscoveryClient, MembershipFollower
 //   operators   OperatorControl (AdminInterface, OperatorStateStore)
 //   processes   HotRestart, GracefulShutdown
 #pragma once
@@ -19,7 +19,8 @@
 #include "sidecar/balancer_host.h"
 #include "sidecar/clock.h"
 #include "sidecar/descriptors.h"
-#include "sidecar/discovery.h"
+#include "sidecar/discovery_client.h"
+#include "sidecar/endpoint_list.h"
 #include "sidecar/graceful_shutdown.h"
 #include "sidecar/hot_restart.h"
 #include "sidecar/listener.h"
@@ -61,8 +62,8 @@
 
  private:
   ServingState GetServingState() const;
-  void HandleEndpointList(MembershipList list);
-  void ApplyEndpointList(MembershipList list);
+  void HandleEndpointList(EndpointList list);
+  void ApplyEndpointList(EndpointList list);
   // Accepts clients, once it can. A process that follows another leaves the clients to that one until it can
   // serve them as well.
   void ServeIfAble();
@@ -88,7 +89,7 @@
   BalancerHost host_;
   Upstreams upstreams_;
   MembershipFollower membership_;
-  Discovery discovery_;
+  DiscoveryClient discovery_;
   std::optional<std::uint64_t>
       known_revision_;  // of the list in the configuration, until discovery was asked
   RequestTable requests_;
--- a/tests/discovery_client_test.cpp
+++ b/tests/discovery_client_test.cpp
@@ -1,4 +1,6 @@
 // The watch on a local discovery agent: retries, backoff, and the limits that they keep.
+#include "sidecar/discovery_client.h"
+
 #include <atomic>
 #include <chrono>
 #include <cstddef>
@@ -6,7 +8,7 @@
 #include <thread>
 
 #include "gtest/gtest.h"
-#include "sidecar/discovery.h"
+#include "sidecar/endpoint_list.h"
 #include "tests/peers.h"
 #include "tests/sidecar_steps.h"
 
@@ -37,21 +39,21 @@
 
 TEST(DiscoveryClient, BackoffGrowsToALimitWithJitter) {
   const Duration most = milliseconds(75);
-  EXPECT_LT(PauseAfter(1, most, 1), PauseAfter(4, most, 0));
+  EXPECT_LT(BackoffAfter(1, most, 1), BackoffAfter(4, most, 0));
   for (const int failures : {1, 3, 6, 1000}) {
-    EXPECT_GT(PauseAfter(failures, most, 0), Duration::zero());
-    EXPECT_LT(PauseAfter(failures, most, 0), PauseAfter(failures, most, 0.5));
-    EXPECT_LT(PauseAfter(failures, most, 0.5), PauseAfter(failures, most, 1));
-    EXPECT_LE(PauseAfter(failures, most, 1), most);
+    EXPECT_GT(BackoffAfter(failures, most, 0), Duration::zero());
+    EXPECT_LT(BackoffAfter(failures, most, 0), BackoffAfter(failures, most, 0.5));
+    EXPECT_LT(BackoffAfter(failures, most, 0.5), BackoffAfter(failures, most, 1));
+    EXPECT_LE(BackoffAfter(failures, most, 1), most);
   }
 }
 
 TEST(DiscoveryClient, BackoffLeavesHalfOfTheGraceAfterARecovery) {
   for (const auto grace : {milliseconds(100), milliseconds(300), milliseconds(2000)}) {
-    const Duration silence = SilencePatience(grace);
-    EXPECT_LE(silence + PauseAfter(1000, silence, 1), grace / 2);
+    const Duration silence = SilenceTimeout(grace);
+    EXPECT_LE(silence + BackoffAfter(1000, silence, 1), grace / 2);
   }
-  EXPECT_GT(SilencePatience(Duration::zero()), Duration::zero());
+  EXPECT_GT(SilenceTimeout(Duration::zero()), Duration::zero());
 }
 
 TEST(DiscoveryClient, RetriesAMuteAgentWithinTheGrace) {
@@ -136,16 +138,16 @@
 
 TEST(DiscoveryClient, AnyMissedChangeArrivesWithinTheNotificationLimit) {
   for (const int grace_ms : {0, 40, 300, 1000, 5000, 60000}) {
-    const Duration silence = SilencePatience(milliseconds(grace_ms));
+    const Duration silence = SilenceTimeout(milliseconds(grace_ms));
     for (const int failures : {1, 4, 1000}) {
-      const Duration pause = PauseAfter(failures, silence, 1);
-      EXPECT_LE(kAgentWatch + silence + pause + silence, kTold) << "a watch falls silent";
-      EXPECT_LE(kAgentWatch + kAgentPatience + pause + silence, kTold) << "or never ends";
-      EXPECT_LE(silence + pause + silence, kTold) << "a call is in vain";
+      const Duration pause = BackoffAfter(failures, silence, 1);
+      EXPECT_LE(kAgentWatch + silence + pause + silence, kChangeHeardWithin) << "a watch falls silent";
+      EXPECT_LE(kAgentWatch + kAgentResponseTimeout + pause + silence, kChangeHeardWithin) << "or never ends";
+      EXPECT_LE(silence + pause + silence, kChangeHeardWithin) << "a call is in vain";
     }
   }
-  EXPECT_LE(kServiceWatch + kServiceWatchPatience + kServicePause + kServiceCall, kTold);
-  EXPECT_LE(kServiceCall + lb::kLongestPollPause + kServiceCall, kTold);
+  EXPECT_LE(kServiceWatch + kServiceWatchTimeout + kServicePause + kServiceCallTimeout, kChangeHeardWithin);
+  EXPECT_LE(kServiceCallTimeout + lb::kLongestPollPause + kServiceCallTimeout, kChangeHeardWithin);
 }
 
 }  // namespace
--- a/tests/membership_updates_test.cpp
+++ b/tests/membership_updates_test.cpp
@@ -5,7 +5,8 @@
 #include <string>
 
 #include "gtest/gtest.h"
-#include "sidecar/discovery.h"
+#include "sidecar/discovery_client.h"
+#include "sidecar/endpoint_list.h"
 #include "tests/gated_upstream.h"
 #include "tests/peers.h"
 #include "tests/sidecar_steps.h"
@@ -90,12 +91,12 @@
 TEST(MembershipUpdates, RejectDamagedListsWholeAndNameTheFault) {
   const UnixClock clock;
   const json good{{"rev", 3}, {"all", true}, {"targets", List({Target("u1", "127.0.0.1:1", "active", 5)})}};
-  EXPECT_EQ(ParseList(good, clock).locations.size(), 1u);
+  EXPECT_EQ(ParseEndpointList(good, clock).locations.size(), 1u);
   const auto named = [&](const std::string& name, const std::function<void(json&)>& damage) {
     json body = good;
     damage(body);
     try {
-      ParseList(body, clock);
+      ParseEndpointList(body, clock);
     } catch (const std::exception& e) {
       return std::string(e.what()).find(name) != std::string::npos;
     }
--- a/tests/polled_discovery_test.cpp
+++ b/tests/polled_discovery_test.cpp
@@ -7,7 +7,8 @@
 #include <vector>
 
 #include "gtest/gtest.h"
-#include "sidecar/discovery.h"
+#include "sidecar/discovery_client.h"
+#include "sidecar/endpoint_list.h"
 #include "tests/peers.h"
 #include "tests/sidecar_steps.h"
 
@@ -114,7 +115,7 @@
   EXPECT_TRUE(BecomesServedBy(sidecar, "b /page/k"));
   const std::lock_guard lock(mutex);
   // A watch is over the sooner the more is left for the next call; a call in vain leaves as much as it took.
-  for (std::size_t i = 0; i + 1 < 7; ++i) EXPECT_LT(calls[i + 1] - calls[i], kTold) << i;
+  for (std::size_t i = 0; i + 1 < 7; ++i) EXPECT_LT(calls[i + 1] - calls[i], kChangeHeardWithin) << i;
   const std::size_t sent = a.requests().size();
   Client client(sidecar.port());
   for (int i = 0; i < 5; ++i) ASSERT_TRUE(client.Get("/page/k", "z" + std::to_string(i)));
