--- /dev/null
+++ b/sidecar/connection_pool.cpp
@@ -0,0 +1,149 @@
+#include "sidecar/connection_pool.h"
+
+#include <algorithm>
+#include <boost/asio/error.hpp>
+#include <chrono>
+#include <cstddef>
+#include <iterator>
+#include <utility>
+
+namespace lb::sidecar {
+namespace {
+
+using boost::system::error_code;
+using std::chrono::milliseconds;
+
+// The upstream counts from when it wrote its response, the sidecar from when it read it, and a request needs
+// time to get there: an idle connection is retired this part of the upstream's limit early, and at least by
+// the margin, but not before half of the limit.
+constexpr int kIdleMarginDivisor = 10;
+constexpr Duration kMinIdleMargin = milliseconds(500);
+// Bounds how long an idle connection outlives its limit; short beside the margin.
+constexpr auto kSweepInterval = milliseconds(250);
+// Where closing an idle connection made no room for a socket, other processes hold what is short: none is
+// closed for that reason for this long.
+constexpr Duration kFutileEvictionPause = milliseconds(100);
+
+Duration MaxIdle(Duration upstream_idle_timeout) {
+  const Duration margin = std::max(upstream_idle_timeout / kIdleMarginDivisor, kMinIdleMargin);
+  return std::max(upstream_idle_timeout / 2, upstream_idle_timeout - margin);
+}
+
+}  // namespace
+
+ConnectionPool::ConnectionPool(const UpstreamConnection::Context& context, Duration upstream_idle_timeout)
+    : context_(context), max_idle_(MaxIdle(upstream_idle_timeout)), sweep_(context.io) {
+  ScheduleSweep();
+}
+
+std::shared_ptr<UpstreamConnection> ConnectionPool::TakeUsable(UpstreamPool& pool, Duration max_idle) {
+  const Duration limit = std::min(max_idle_, max_idle);
+  const TimePoint now = Now();
+  for (std::size_t i = pool.idle.size(); i-- > 0;) {
+    if (now < pool.idle[i].connection->usable_from()) continue;
+    auto connection = Take(pool, i);
+    if (connection->LooksAlive() && now - connection->idle_since() < limit) return connection;
+    connection->Close();
+  }
+  return nullptr;
+}
+
+std::shared_ptr<UpstreamConnection> ConnectionPool::TakeSoonUsable(UpstreamPool& pool) {
+  for (std::size_t i = 0; i < pool.idle.size(); ++i) {
+    UpstreamConnection& connection = *pool.idle[i].connection;
+    if (!connection.IsUsable() && connection.LooksAlive()) return Take(pool, i);
+  }
+  return nullptr;
+}
+
+// Where the system refuses a socket, closing an idle connection helps only a shortage of this very process,
+// and one is enough: the others are what requests can still be sent on.
+ConnectionPool::Opened ConnectionPool::Open(const std::shared_ptr<UpstreamPool>& pool) {
+  while (!context_.descriptors.Room(Descriptors::Side::kUpstream)) {
+    if (!EvictLongestIdle()) return {};
+  }
+  Opened opened = TryOpen(pool);
+  if (opened.error != boost::asio::error::no_descriptors) return opened;
+  if (Now() < no_eviction_before_ || !EvictLongestIdle()) return opened;
+  opened = TryOpen(pool);
+  if (opened.error) no_eviction_before_ = Now() + kFutileEvictionPause;
+  return opened;
+}
+
+ConnectionPool::Opened ConnectionPool::TryOpen(const std::shared_ptr<UpstreamPool>& pool) {
+  auto connection = std::make_shared<UpstreamConnection>(context_, pool);
+  const error_code error = connection->OpenSocket(pool->location.endpoint);
+  if (!error) return {std::move(connection)};
+  connection->Close();
+  return {nullptr, error};
+}
+
+void ConnectionPool::Insert(UpstreamPool& pool, const std::shared_ptr<UpstreamConnection>& connection) {
+  // One that was returned unused keeps its age, so its place is near the end, but not always at it.
+  const TimePoint since = connection->idle_since();
+  auto place = longest_idle_first_.end();
+  while (place != longest_idle_first_.begin() && (*std::prev(place))->idle_since() > since) --place;
+  place = longest_idle_first_.insert(place, connection.get());
+  const auto is_longer = [](TimePoint time, const UpstreamPool::Entry& other) {
+    return time < other.connection->idle_since();
+  };
+  pool.idle.insert(std::upper_bound(pool.idle.begin(), pool.idle.end(), since, is_longer),
+                   {connection, place});
+}
+
+std::shared_ptr<UpstreamConnection> ConnectionPool::Take(UpstreamPool& pool, std::size_t index) {
+  const auto at = pool.idle.begin() + static_cast<std::ptrdiff_t>(index);
+  auto connection = std::move(at->connection);
+  longest_idle_first_.erase(at->place);
+  pool.idle.erase(at);
+  return connection;
+}
+
+void ConnectionPool::Remove(const UpstreamConnection& connection) {
+  const auto pool = connection.pool();
+  if (!pool) return;
+  const auto is_it = [&](const UpstreamPool::Entry& entry) { return entry.connection.get() == &connection; };
+  const auto at = std::ranges::find_if(pool->idle, is_it);
+  if (at != pool->idle.end()) Take(*pool, static_cast<std::size_t>(at - pool->idle.begin()));
+}
+
+void ConnectionPool::CloseIdle(UpstreamPool& pool) {
+  for (const auto& entry : pool.idle) {
+    longest_idle_first_.erase(entry.place);
+    entry.connection->Close();
+  }
+  pool.idle.clear();
+}
+
+void ConnectionPool::EnforceCapacity() {
+  bool is_evicted = true;
+  while (is_evicted && !context_.descriptors.Room(Descriptors::Side::kUpstream)) {
+    is_evicted = EvictLongestIdle();
+  }
+}
+
+bool ConnectionPool::EvictLongestIdle() {
+  if (longest_idle_first_.empty()) return false;
+  const auto longest = longest_idle_first_.front()->shared_from_this();
+  Remove(*longest);
+  longest->Close();
+  return true;
+}
+
+void ConnectionPool::ScheduleSweep() {
+  sweep_.expires_after(kSweepInterval);
+  sweep_.async_wait([this](error_code error) {
+    if (error) return;
+    Sweep();
+    ScheduleSweep();
+  });
+}
+
+void ConnectionPool::Sweep() {
+  const TimePoint now = Now();
+  while (!longest_idle_first_.empty() && now - longest_idle_first_.front()->idle_since() >= max_idle_) {
+    EvictLongestIdle();
+  }
+}
+
+}  // namespace lb::sidecar
