--- /dev/null
+++ b/balancer/components.h
@@ -0,0 +1,93 @@
+// The components of one balancer, in the order of their dependencies: each is handed those above it that it
+// asks.
+//
+// More members than a class here has otherwise: it is the one list of the components, and holds nothing else.
+#pragma once
+
+#include <chrono>
+#include <cstdint>
+#include <utility>
+
+#include "balancer/action_sink.h"
+#include "balancer/concurrency_limiter.h"
+#include "balancer/connection_tracker.h"
+#include "balancer/failure_statistics.h"
+#include "balancer/hedging_policy.h"
+#include "balancer/latency_statistics.h"
+#include "balancer/lateness_statistics.h"
+#include "balancer/load_prober.h"
+#include "balancer/membership.h"
+#include "balancer/outlier_detector.h"
+#include "balancer/overload_backoff.h"
+#include "balancer/poll_schedule.h"
+#include "balancer/random_source.h"
+#include "balancer/request_table.h"
+#include "balancer/retry_budget.h"
+#include "balancer/retry_policy.h"
+#include "balancer/service_capacity.h"
+#include "balancer/settings.h"
+#include "balancer/shedding_episode.h"
+#include "balancer/slow_start.h"
+#include "balancer/subsetting.h"
+#include "balancer/traffic_statistics.h"
+#include "balancer/weighted_round_robin.h"
+#include "balancer/zone_locality.h"
+
+namespace lb {
+
+struct Components {
+  // Of Balancer's housekeeping. Nothing waits for it: decisions look at the time themselves.
+  static constexpr Duration kHousekeepingInterval = std::chrono::milliseconds(250);
+
+  // Throws what Settings::Validate() throws.
+  Components(Settings configured, std::uint64_t seed)
+      : settings(Validated(std::move(configured))), random(seed) {}
+  Components(const Components&) = delete;
+  Components& operator=(const Components&) = delete;
+
+  const Settings settings;
+  RandomSource random;
+  ActionSink actions;
+
+  // What is known.
+  Membership membership{PlaceOnRing(settings)};
+  RequestTable requests;
+  FailureStatistics failures{membership};
+  LatencyStatistics latency{settings};
+  // Half of the time in which an upstream warms up: what is older tells of another state of the fleet.
+  LatenessStatistics lateness{settings.fleet_limits.slow_start_duration / 2};
+  TrafficStatistics traffic{settings.fleet_limits.slow_start_duration};
+  ConnectionTracker connections{settings.limits};
+
+  // What follows for the choice of an upstream.
+  ConcurrencyLimiter limiter{settings, latency, random};
+  OutlierDetector outliers{failures, latency};
+  OverloadBackoff overload_backoff{random};
+  Subsetting subsetting{settings, membership, traffic, limiter, lateness.memory()};
+  SlowStart slow_start{settings.fleet_limits, membership, traffic, subsetting, random};
+  ServiceCapacity capacity{membership, outliers, slow_start};
+  WeightedRoundRobin rotation{membership, subsetting, slow_start, latency, failures, random};
+  ZoneLocality locality{settings};
+
+  // And for a request.
+  RetryBudget retry_budget;
+  RetryPolicy retries{settings.limits, connections, limiter, retry_budget, random};
+  HedgingPolicy hedging{settings.limits, latency, outliers, limiter, retry_budget};
+  LoadProber prober{settings, membership, latency, lateness, slow_start, locality, requests};
+  SheddingEpisode shedding;
+  PollSchedule polls{settings, kHousekeepingInterval, random};
+
+ private:
+  static Settings Validated(Settings settings) {
+    settings.Validate();
+    return settings;
+  }
+
+  // The sidecars stand on the ring at even distances.
+  static double PlaceOnRing(const Settings& settings) {
+    return static_cast<double>(settings.sidecar_index % settings.sidecar_count) /
+           static_cast<double>(settings.sidecar_count);
+  }
+};
+
+}  // namespace lb
--- /dev/null
+++ b/balancer/failure_statistics.h
@@ -0,0 +1,54 @@
+// The recent share of failed calls: of each upstream, and of all its peers together. The latter tells an
+// outlier from a fault that all share.
+#pragma once
+
+#include <cstdint>
+
+#include "balancer/membership.h"
+#include "balancer/upstream.h"
+
+namespace lb {
+
+// The upstream failed. Not of outcomes that say nothing of it, as kCancelled.
+inline bool IsFailure(Outcome outcome) {
+  return outcome == Outcome::kError || outcome == Outcome::kTimeout || outcome == Outcome::kConnectFailed ||
+         outcome == Outcome::kReset;
+}
+
+class FailureStatistics {
+ public:
+  // `membership` has to outlive this.
+  explicit FailureStatistics(Membership& membership) : membership_(membership) {}
+
+  // Counts a call to `upstream`, which is listed, that was served or failed.
+  void Record(Upstream& upstream, Outcome outcome);
+
+  // The share of failures among the recent calls to `upstream`.
+  double FailureShare(const Upstream& upstream) const;
+  // Likewise of time-outs.
+  double TimeoutShare(const Upstream& upstream) const;
+  // About how many calls the shares rest on.
+  static double RecentCalls(const Upstream& upstream) { return upstream.failures.calls; }
+
+  // The share of failures among the recent calls to all others that serve and are not excluded: 0 to 0.95.
+  double PeersFailureShare(const Upstream& upstream) const;
+
+  // An ejected upstream is no peer to compare others with.
+  void Exclude(Upstream& upstream);
+  void Include(Upstream& upstream);
+
+  // The sums over all peers are kept from outcome to outcome. They are made anew at their next use after
+  // this: where an upstream enters or leaves service, and now and then against rounding.
+  void Invalidate() { stale_ = true; }
+
+ private:
+  static bool IsPeer(const Upstream& upstream);
+  void Recount() const;
+
+  Membership& membership_;
+  mutable bool stale_ = false;
+  mutable double calls_ = 0;
+  mutable double failures_ = 0;
+};
+
+}  // namespace lb
--- /dev/null
+++ b/balancer/latency_statistics.cpp
@@ -0,0 +1,87 @@
+#include "balancer/latency_statistics.h"
+
+#include <algorithm>
+
+#include "balancer/request.h"
+
+namespace lb {
+namespace {
+
+// Calls that the averages over a class or a kind of machine remember.
+constexpr double kClassMemory = 50;
+// Calls that the averages of one upstream remember: fewer, as its state changes faster than that of all.
+constexpr double kUpstreamMemory = 10;
+// What is known of an upstream's kind weighs as much as this many calls of its own.
+constexpr double kKindPrior = 5;
+// Bounds the relative latency in both directions: one outlying response must not decide.
+constexpr double kMaxRelativeLatency = 3;
+// An overloaded upstream is slow with all its responses. A time-out tells of load only where its responses
+// take this share of their latency objectives in the mean; rejecting for one that swallows some requests
+// would help nobody.
+constexpr double kLoadedObjectiveShare = 0.35;
+// The usual time of a class without a response yet, as a part of its latency objective.
+constexpr int kUnknownTimeDivisor = 4;
+
+}  // namespace
+
+LatencyStatistics::LatencyStatistics(const Settings& settings)
+    : settings_(settings), usual_time_(settings.classes.size()) {}
+
+void LatencyStatistics::AssignKind(Upstream& upstream) {
+  upstream.latency.kind_relative_latency = &kind_relative_latency_[upstream.info.kind];
+}
+
+void LatencyStatistics::Record(Upstream& upstream, const LatencySample& sample) {
+  const Outcome outcome = sample.outcome;
+  const auto time = static_cast<double>(sample.elapsed.count());
+  if (ProvesNotRun(outcome) || outcome == Outcome::kError || outcome == Outcome::kReset) return;
+  const double usual = static_cast<double>(UsualTime(sample.request_class).count());
+  const double ratio = std::min(time / usual, 2 * kMaxRelativeLatency);
+  // No response so far means that it takes at least as long; not where others are fast there.
+  if (outcome != Outcome::kServed && (ratio < RelativeLatency(upstream) || !IsLoaded(upstream))) return;
+  LatencyState& state = upstream.latency;
+  state.relative_latency.Add(ratio, kUpstreamMemory);
+  if (sample.reported_in_flight > 0) {
+    state.in_flight_reported.Add(sample.reported_in_flight, kUpstreamMemory);
+    usual_in_flight_.Add(sample.reported_in_flight, kClassMemory);
+  }
+  state.kind_relative_latency->Add(ratio, kClassMemory);
+  if (outcome != Outcome::kServed) return;
+  const Duration objective = settings_.classes[sample.request_class].latency_objective;
+  state.objective_share.Add(time / static_cast<double>(objective.count()), kUpstreamMemory);
+  usual_time_[sample.request_class].Add(time, kClassMemory);
+  usual_time_of_all_.Add(time, kClassMemory);
+}
+
+Duration LatencyStatistics::UsualTime(std::size_t request_class) const {
+  return DurationOr(usual_time_[request_class],
+                    settings_.classes[request_class].latency_objective / kUnknownTimeDivisor);
+}
+
+Duration LatencyStatistics::UsualTime() const {
+  return DurationOr(usual_time_of_all_, settings_.classes[0].latency_objective / kUnknownTimeDivisor);
+}
+
+double LatencyStatistics::RelativeLatency(const Upstream& upstream) const {
+  const LatencyState& state = upstream.latency;
+  const RunningMean& own = state.relative_latency;
+  const double kind = state.kind_relative_latency->samples > 0 ? state.kind_relative_latency->value : 1;
+  const double known = kKindPrior * kind + own.samples * own.value;
+  return std::clamp(known / (kKindPrior + own.samples), 1 / kMaxRelativeLatency, kMaxRelativeLatency);
+}
+
+bool LatencyStatistics::IsLoaded(const Upstream& upstream) {
+  return upstream.latency.objective_share.value >= kLoadedObjectiveShare;
+}
+
+double LatencyStatistics::ExpectedSeconds(const Upstream& upstream, double in_flight,
+                                          std::size_t request_class, double warm_up) const {
+  const RunningMean& own = upstream.latency.in_flight_reported;
+  const double then = (kKindPrior * std::max(1.0, usual_in_flight_.value) + own.samples * own.value) /
+                      (kKindPrior + own.samples);
+  return Seconds(UsualTime(request_class)) * RelativeLatency(upstream) / warm_up * (in_flight + 1) / then;
+}
+
+bool LatencyStatistics::KnowsReportedLoad() const { return usual_in_flight_.samples >= kKindPrior; }
+
+}  // namespace lb
--- a/balancer/membership.cpp
+++ b/balancer/membership.cpp
@@ -1,61 +1,25 @@
 #include "balancer/membership.h"
 
 #include <algorithm>
-#include <bit>
-#include <cmath>
-#include <iterator>
-#include <tuple>
 #include <utility>
 
 namespace lb {
 namespace {
 
-constexpr int kUnitBits = 64;
-constexpr double kMostWeight = 0x1p48;  // 2^15 of them still fit
-// More changes at a time than this are merged in one pass over the list.
+// More changes at a time than this are merged in one pass over the list; fewer are inserted one by one.
 constexpr std::size_t kFewChanges = 8;
 
-bool Before(const Upstream* a, const Upstream* b) {
-  return std::tie(a->marks.rank, a->info.id) < std::tie(b->marks.rank, b->info.id);
+// The rank of an id on the ring: FNV-1a with a finalizer that spreads ids evenly, the same on every platform.
+std::uint64_t RankOf(const std::string& id) {
+  std::uint64_t hash = 0xcbf29ce484222325;
+  for (const char c : id) hash = (hash ^ static_cast<unsigned char>(c)) * 0x100000001b3;
+  hash = (hash ^ (hash >> 30)) * 0xbf58476d1ce4e5b9;
+  hash = (hash ^ (hash >> 27)) * 0x94d049bb133111eb;
+  return hash ^ (hash >> 31);
 }
 
-std::size_t SearchSteps(std::size_t size) { return static_cast<std::size_t>(std::bit_width(size)); }
-
 }  // namespace
 
-WeightSum::Wide WeightSum::Units(double weight) {
-  return static_cast<Wide>(std::ldexp(std::min(weight, kMostWeight), kUnitBits));
-}
-
-double WeightSum::value() const { return std::ldexp(static_cast<double>(units_), -kUnitBits); }
-
-std::size_t Ring::IndexOf(const Upstream& u, std::size_t& visits) const {
-  visits += SearchSteps(sorted_.size());
-  return static_cast<std::size_t>(std::lower_bound(sorted_.begin(), sorted_.end(), &u, Before) -
-                                  sorted_.begin());
-}
-
-void Ring::Insert(Upstream& u, std::size_t& visits) {
-  sorted_.insert(sorted_.begin() + static_cast<std::ptrdiff_t>(IndexOf(u, visits)), &u);
-}
-
-// The process before and the one after it have one place while a change is taken in.
-void Ring::Erase(const Upstream& u, std::size_t& visits) {
-  const auto from = sorted_.begin() + static_cast<std::ptrdiff_t>(IndexOf(u, visits));
-  const auto at = std::find(from, sorted_.end(), &u);
-  if (at != sorted_.end()) sorted_.erase(at);
-}
-
-void Ring::Merge(std::vector<Upstream*> entering, std::size_t& visits) {
-  visits += sorted_.size() + entering.size();
-  std::sort(entering.begin(), entering.end(), Before);
-  std::vector<Upstream*> merged;
-  merged.reserve(sorted_.size() + entering.size());
-  std::merge(sorted_.begin(), sorted_.end(), entering.begin(), entering.end(), std::back_inserter(merged),
-             Before);
-  sorted_ = std::move(merged);
-}
-
 UpstreamPtr Membership::Find(const std::string& id) const {
   ++visits_;
   const auto it = index_.find(id);
@@ -68,48 +32,56 @@
   return *ring_[index < ring_.size() ? index : index - ring_.size()];
 }
 
-std::size_t Membership::PlaceOf(const Upstream& u) const {
-  const std::size_t index = ring_.IndexOf(u, visits_);
+std::size_t Membership::PlaceOf(const Upstream& upstream) const {
+  const std::size_t index = ring_.IndexOf(upstream, visits_);
   return index >= first_ ? index - first_ : index + ring_.size() - first_;
 }
 
+void Membership::BeginWholeList() {
+  ++list_number_;
+  whole_list_open_ = true;
+}
+
 // A new start time is a new process: the failures and the ejection belong to the one that died.
 Membership::Adopted Membership::Adopt(const UpstreamInfo& info) {
-  UpstreamPtr u = Find(info.id.value);
-  const bool was_serving = u && u->info.state == UpstreamState::kServing;
-  const bool new_process = !u || (info.started && info.started != u->info.started);
-  if (new_process) u = Replace(info.id.value);
-  u->info = info;
-  if (!(u->info.weight > 0)) u->info.weight = 1;
-  u->told = info.state;
-  if (const auto word = words_.find(info.id.value); word != words_.end()) {
-    if (!word->second.out) u->put_back = word->second.at;
-    if (word->second.out && info.state == UpstreamState::kServing) u->info.state = UpstreamState::kDraining;
+  UpstreamPtr upstream = Find(info.id.value);
+  const bool was_serving = upstream && upstream->info.state == UpstreamState::kServing;
+  const bool new_process = !upstream || (info.started && info.started != upstream->info.started);
+  if (new_process) upstream = Replace(info.id.value);
+  upstream->info = info;
+  if (!(upstream->info.weight > 0)) upstream->info.weight = 1;
+  upstream->membership.listed_state = info.state;
+  if (const auto it = overrides_.find(info.id.value); it != overrides_.end()) {
+    const OverrideInForce& in_force = it->second;
+    if (!in_force.disabled) upstream->membership.enabled_at = in_force.at;
+    if (in_force.disabled && info.state == UpstreamState::kServing)
+      upstream->info.state = UpstreamState::kDraining;
   }
-  Touch(u);
-  return {u, new_process, new_process || !was_serving};
+  Touch(upstream);
+  return {upstream, new_process, new_process || !was_serving};
 }
 
-// One put back may have started anew while it was out, and the list tells that late: it comes back with a
-// clean record, as cold as one that starts now.
-std::optional<UpstreamInfo> Membership::Override(const std::string& id, bool out, TimePoint now) {
-  Word& word = words_[id];
-  if (word.out == out) return std::nullopt;
-  word = {out, now};
+// An enabled upstream may have restarted while it was disabled, and the list tells that late: it comes back
+// without history, and warms up like one that starts now.
+std::optional<UpstreamInfo> Membership::ApplyOverride(const std::string& id, Override change, TimePoint now) {
+  const bool disabled = change == Override::kDisable;
+  OverrideInForce& in_force = overrides_[id];
+  if (in_force.disabled == disabled) return std::nullopt;
+  in_force = {disabled, now};
   const UpstreamPtr known = Find(id);
   if (!known) return std::nullopt;
   UpstreamInfo info = known->info;
-  info.state = known->told;
-  if (!out) Drop(id);
+  info.state = known->membership.listed_state;
+  if (!disabled) Drop(id);
   return info;
 }
 
 UpstreamPtr Membership::Replace(const std::string& id) {
   Drop(id);
-  auto u = std::make_shared<Upstream>();
-  u->marks.rank = Hash(id, 0);
-  index_[id] = u;
-  return u;
+  auto upstream = std::make_shared<Upstream>();
+  upstream->membership.rank = RankOf(id);
+  index_[id] = upstream;
+  return upstream;
 }
 
 void Membership::Drop(const std::string& id) {
@@ -120,74 +92,96 @@
   index_.erase(it);
 }
 
-void Membership::Touch(const UpstreamPtr& u) {
+void Membership::Touch(const UpstreamPtr& upstream) {
   ++visits_;
-  u->marks.told_in = list_;
-  touched_.push_back(u);
+  upstream->membership.listed_in = list_number_;
+  touched_.push_back(upstream);
 }
 
 void Membership::Settle() {
-  if (std::exchange(whole_, false)) DropUnnamed();
-  const std::vector<UpstreamPtr> touched = std::exchange(touched_, {});
-  std::vector<Upstream*> entering, leaving;
-  for (const UpstreamPtr& u : touched) {
-    const bool stays = u->info.state != UpstreamState::kGone;
-    weight_.Subtract(u->marks.weight);
-    u->marks.weight = u->info.state == UpstreamState::kServing ? u->info.weight : 0;
-    weight_.Add(u->marks.weight);
-    if (stays && !u->marks.listed) entering.push_back(u.get());
-    if (stays) u->marks.listed = true;
-    if (!stays) leaving.push_back(u.get());
+  if (whole_list_open_) DropUnlisted();
+  whole_list_open_ = false;
+  const std::vector<UpstreamPtr> touched = std::move(touched_);
+  touched_.clear();
+  std::vector<Upstream*> entering;
+  std::vector<Upstream*> leaving;
+  for (const UpstreamPtr& upstream : touched) {
+    MembershipState& state = upstream->membership;
+    const bool stays = upstream->info.state != UpstreamState::kGone;
+    weight_.Subtract(state.weight);
+    state.weight = upstream->info.state == UpstreamState::kServing ? upstream->info.weight : 0;
+    weight_.Add(state.weight);
+    if (stays && !state.listed) entering.push_back(upstream.get());
+    if (stays) state.listed = true;
+    if (!stays) leaving.push_back(upstream.get());
   }
   if (entering.size() + leaving.size() > kFewChanges) {
     LeaveTogether(leaving);
     ring_.Merge(std::move(entering), visits_);
   } else {
-    for (Upstream* u : leaving) Leave(*u);
-    for (Upstream* u : entering) ring_.Insert(*u, visits_);
+    for (Upstream* upstream : leaving) Leave(*upstream);
+    for (Upstream* upstream : entering) ring_.Insert(*upstream, visits_);
   }
   first_ = static_cast<std::size_t>(own_place_ * static_cast<double>(ring_.size()));
-  CountAnew();
 }
 
-void Membership::DropUnnamed() {
+void Membership::DropUnlisted() {
   visits_ += ring_.size();
   for (std::size_t i = 0; i < ring_.size(); ++i) {
-    if (ring_[i]->marks.told_in == list_) continue;
+    if (ring_[i]->membership.listed_in == list_number_) continue;
     ring_[i]->info.state = UpstreamState::kGone;
     touched_.push_back(ring_[i]->shared_from_this());
   }
 }
 
-void Membership::Leave(Upstream& u) {
-  if (std::exchange(u.marks.listed, false)) ring_.Erase(u, visits_);
-  if (std::exchange(u.marks.watched, false)) watched_.Erase(u, visits_);
-  if (std::exchange(u.marks.met, false)) met_.Erase(u, visits_);
-  Forget(u);
+void Membership::Leave(Upstream& upstream) {
+  MembershipState& state = upstream.membership;
+  if (state.listed) ring_.Erase(upstream, visits_);
+  if (state.monitored) monitored_.Erase(upstream, visits_);
+  if (state.observed) observed_.Erase(upstream, visits_);
+  state.listed = false;
+  state.monitored = false;
+  state.observed = false;
+  Forget(upstream);
 }
 
 void Membership::LeaveTogether(const std::vector<Upstream*>& leaving) {
-  for (Upstream* u : leaving) {
-    u->marks.listed = u->marks.watched = u->marks.met = false;
-    Forget(*u);
+  for (Upstream* upstream : leaving) {
+    upstream->membership.listed = false;
+    upstream->membership.monitored = false;
+    upstream->membership.observed = false;
+    Forget(*upstream);
   }
-  ring_.EraseIf([](const Upstream* u) { return !u->marks.listed; }, visits_);
-  watched_.EraseIf([](const Upstream* u) { return !u->marks.watched; }, visits_);
-  met_.EraseIf([](const Upstream* u) { return !u->marks.met; }, visits_);
+  ring_.EraseIf([](const Upstream* upstream) { return !upstream->membership.listed; }, visits_);
+  monitored_.EraseIf([](const Upstream* upstream) { return !upstream->membership.monitored; }, visits_);
+  observed_.EraseIf([](const Upstream* upstream) { return !upstream->membership.observed; }, visits_);
 }
 
-// The id may be another process's by now.
-void Membership::Forget(const Upstream& u) {
-  const auto it = index_.find(u.info.id.value);
-  if (it != index_.end() && it->second.get() == &u) index_.erase(it);
+// The id may belong to a newer process by now.
+void Membership::Forget(const Upstream& upstream) {
+  const auto it = index_.find(upstream.info.id.value);
+  if (it != index_.end() && it->second.get() == &upstream) index_.erase(it);
 }
 
-void Membership::Watch(Upstream& u) {
-  if (u.info.state == UpstreamState::kGone || std::exchange(u.marks.watched, true)) return;
-  watched_.Insert(u, visits_);
+std::optional<TimePoint> Membership::StartTime(const Upstream& upstream) {
+  return std::max(upstream.info.started, upstream.membership.enabled_at);
 }
 
-std::vector<Upstream*> Membership::Watched() const { return FromOwnPlace(watched_); }
+void Membership::Monitor(Upstream& upstream) {
+  if (upstream.info.state == UpstreamState::kGone || upstream.membership.monitored) return;
+  upstream.membership.monitored = true;
+  monitored_.Insert(upstream, visits_);
+}
+
+std::vector<Upstream*> Membership::Monitored() const { return FromOwnPlace(monitored_); }
+
+void Membership::MarkObserved(Upstream& upstream) {
+  if (upstream.membership.observed) return;
+  upstream.membership.observed = true;
+  observed_.Insert(upstream, visits_);
+}
+
+std::vector<Upstream*> Membership::Observed() const { return FromOwnPlace(observed_); }
 
 std::vector<Upstream*> Membership::FromOwnPlace(const Ring& some) const {
   std::vector<Upstream*> along;
@@ -200,33 +194,4 @@
   return along;
 }
 
-void Membership::Count(Upstream& u, bool served, bool timed_out, double memory) {
-  Recount();
-  const bool counts = InService(u);
-  if (counts) calls_ -= u.calls, failures_ -= u.failures;
-  u.calls += 1 - u.calls / memory;
-  u.failures += (served ? 0 : 1) - u.failures / memory;
-  u.timeouts += (timed_out ? 1 : 0) - u.timeouts / memory;
-  if (counts) calls_ += u.calls, failures_ += u.failures;
-  if (!std::exchange(u.marks.met, true)) met_.Insert(u, visits_);
-}
-
-double Membership::PeersFailureShare(const Upstream& u) const {
-  Recount();
-  const double calls = calls_ - (u.ejected ? 0 : u.calls);
-  const double failures = failures_ - (u.ejected ? 0 : u.failures);
-  return calls < 1 ? 0 : std::clamp(failures / calls, 0.0, 0.95);
-}
-
-// In the order of the ring: rounding depends on it. One without an outcome adds nothing.
-void Membership::Recount() const {
-  if (!std::exchange(stale_, false)) return;
-  calls_ = failures_ = 0;
-  for (const Upstream* u : FromOwnPlace(met_)) {
-    if (!InService(*u)) continue;
-    calls_ += u->calls;
-    failures_ += u->failures;
-  }
-}
-
 }  // namespace lb
--- a/balancer/membership.h
+++ b/balancer/membership.h
@@ -1,7 +1,4 @@
-// The upstreams that are listed, in the order of the ring, with the sums over them. A change costs what it
-// changes: nothing here walks the whole list but where a whole list is told.
-//
-// A list is taken in by BeginWholeList(), if it is whole, then Adopt() for each entry, then Settle().
+// The endpoint list: the upstreams that are listed, by id and on the ring, and the sum of their weights.
 #pragma once
 
 #include <cstddef>
@@ -11,133 +8,102 @@
 #include <unordered_map>
 #include <vector>
 
+#include "balancer/ring.h"
 #include "balancer/upstream.h"
+#include "balancer/weight_sum.h"
 
 namespace lb {
 
-// A sum of weights that does not depend on the order of the additions, and so may be kept from change to
-// change: it is exact, and rounded once where it is read. In units of 2^-64: a weight from 2^-11 up to 2^48
-// is added as it is, a lesser one to the nearest unit, a greater one as 2^48.
-class WeightSum {
- public:
-  void Add(double weight) { units_ += Units(weight); }
-  void Subtract(double weight) { units_ -= Units(weight); }
-  double value() const;
-
- private:
-  __extension__ using Wide = __int128;
-  static Wide Units(double weight);
-  Wide units_ = 0;
-};
-
-// Upstreams sorted by their place on the ring of all sidecars, by id where two share one.
-class Ring {
- public:
-  std::size_t size() const { return sorted_.size(); }
-  Upstream* operator[](std::size_t index) const { return sorted_[index]; }
-  // How many come before it; adds the upstreams compared to `visits`.
-  std::size_t IndexOf(const Upstream& u, std::size_t& visits) const;
-  void Insert(Upstream& u, std::size_t& visits);
-  void Erase(const Upstream& u, std::size_t& visits);
-  void Merge(std::vector<Upstream*> entering, std::size_t& visits);
-  template <typename Condition>
-  void EraseIf(Condition condition, std::size_t& visits) {
-    visits += sorted_.size();
-    std::erase_if(sorted_, condition);
-  }
-
- private:
-  std::vector<Upstream*> sorted_;
-};
-
+// A change of the list costs what it changes: nothing here walks the whole list but where a whole list is
+// given. A list is taken in by BeginWholeList(), if it is whole, then Adopt() for each entry, then Settle().
 class Membership {
  public:
-  // `own_place`: of this sidecar on the ring, from 0 up to 1.
-  void StartAt(double own_place) { own_place_ = own_place; }
+  enum class Override { kDisable, kEnable };
+
+  // `own_place`: of this sidecar on the ring, from 0 up to 1. Deterministic subsetting (aperture): all
+  // sidecars order the upstreams alike on one ring, and the subset of each is the stretch that begins at its
+  // own place. The places are spread evenly by the sidecars' numbers, so that each upstream is in about as
+  // many subsets. A change of the list moves a subset by one upstream at most.
+  explicit Membership(double own_place) : own_place_(own_place) {}
 
   std::size_t size() const { return ring_.size(); }
-  // The one that is known by this id; null where there is none.
+  // Null where no upstream has this id.
   UpstreamPtr Find(const std::string& id) const;
-  // Deterministic subsetting (aperture): all sidecars place the upstreams on one ring, in the same order, and
-  // the subset of each is the stretch of it that begins at its own place. The places are spread evenly by the
-  // sidecars' numbers, so that each upstream is in about as many subsets. A change of the list moves a subset
-  // by one upstream at most. `place` counts from this sidecar's own, and is less than size().
+  // `place` counts from this sidecar's own, and is less than size().
   Upstream& At(std::size_t place) const;
-  // `u` is listed.
-  std::size_t PlaceOf(const Upstream& u) const;
+  // The inverse of At(). `upstream` is listed.
+  std::size_t PlaceOf(const Upstream& upstream) const;
 
-  // The whole list is told: what is not adopted from here to the next Settle() is gone.
-  void BeginWholeList() { ++list_, whole_ = true; }
-  // One entry of a list, or of a change.
+  // A whole list follows: what is not adopted from here to the next Settle() is gone.
+  void BeginWholeList();
   struct Adopted {
     UpstreamPtr upstream;
-    bool new_process = false;  // a clean record
-    bool enters = false;       // it has not been serving
+    bool new_process = false;  // it has no history
+    bool enters = false;       // it was not serving before
   };
+  // Takes in one entry of a list or of a change.
   Adopted Adopt(const UpstreamInfo& info);
-  // The operators take an upstream out, or put it back, whatever the list says: the entry to adopt for it
-  // now. Nothing where that changes nothing or it is not listed.
-  std::optional<UpstreamInfo> Override(const std::string& id, bool out, TimePoint now);
-  // Takes in what was adopted. Those gone leave the ring and live on while calls refer to them.
+  // The operators' word holds whatever the list says. Returns the entry to adopt now; nothing where the
+  // override changes nothing or the id is not listed.
+  std::optional<UpstreamInfo> ApplyOverride(const std::string& id, Override change, TimePoint now);
+  // Ends a list or a change. Those gone leave the ring and live on while requests refer to them.
   void Settle();
 
-  // Of those that serve.
+  // When the process started, as far as that is known: an upstream that operators enabled may have restarted
+  // while it was disabled.
+  static std::optional<TimePoint> StartTime(const Upstream& upstream);
+  static bool IsEnabledByOperators(const Upstream& upstream) {
+    return upstream.membership.enabled_at.has_value();
+  }
+
+  // Of all that serve by the list.
   const WeightSum& listed_weight() const { return weight_; }
 
-  // The few that may be due: in use, failing, ejected or cold. Whoever makes one such calls Watch(), and
-  // StopWatching() drops those that are no more.
-  void Watch(Upstream& u);
-  std::vector<Upstream*> Watched() const;  // along the ring from this sidecar's place
+  // The few that housekeeping has to look at: in use, failing, ejected or warming up. Whoever makes an
+  // upstream such a one calls Monitor(); StopMonitoring() drops those that are such no more.
+  void Monitor(Upstream& upstream);
+  std::vector<Upstream*> Monitored() const;  // along the ring from this sidecar's place
   template <typename Condition>
-  void StopWatching(Condition condition) {
-    const auto dropped = [&condition](Upstream* u) {
-      u->marks.watched = !condition(*u);
-      return !u->marks.watched;
+  void StopMonitoring(Condition condition) {
+    const auto dropped = [&condition](Upstream* upstream) {
+      upstream->membership.monitored = !condition(*upstream);
+      return !upstream->membership.monitored;
     };
-    watched_.EraseIf(dropped, visits_);
+    monitored_.EraseIf(dropped, visits_);
   }
 
-  // Sums over the upstreams in service and not ejected. They are kept from outcome to outcome, and counted
-  // anew, over those that ever had an outcome, where an upstream enters or leaves service, and now and then
-  // against rounding: at the next use after CountAnew().
-  void CountAnew() { stale_ = true; }
-  // An outcome of a call to `u`, which is listed; of its recent calls about `memory` are remembered.
-  void Count(Upstream& u, bool served, bool timed_out, double memory);
-  // The share of failures among the recent calls to all others; 0 to 0.95.
-  double PeersFailureShare(const Upstream& u) const;
+  // Those to which a call has ended, likewise along the ring.
+  void MarkObserved(Upstream& upstream);
+  std::vector<Upstream*> Observed() const;
 
   // How many upstreams were looked at so far, for tests of what a change costs.
   std::size_t visits() const { return visits_; }
 
  private:
-  // What the operators last said of an upstream, and when.
-  struct Word {
-    bool out = false;
+  struct OverrideInForce {
+    bool disabled = false;
     TimePoint at;
   };
-  static bool InService(const Upstream& u) { return !u.ejected && u.info.state == UpstreamState::kServing; }
   UpstreamPtr Replace(const std::string& id);  // by a new process
   void Drop(const std::string& id);
-  void Touch(const UpstreamPtr& u);
-  void DropUnnamed();  // of a whole list
-  void Leave(Upstream& u);
+  void Touch(const UpstreamPtr& upstream);
+  void DropUnlisted();  // what a whole list left out
+  void Leave(Upstream& upstream);
   void LeaveTogether(const std::vector<Upstream*>& leaving);
-  void Forget(const Upstream& u);
+  void Forget(const Upstream& upstream);
   std::vector<Upstream*> FromOwnPlace(const Ring& some) const;
-  void Recount() const;
 
-  std::unordered_map<std::string, UpstreamPtr> index_;  // owns those that are listed; never walked
-  std::unordered_map<std::string, Word> words_;         // looked up, never walked
-  Ring ring_;                                           // all that are listed
-  Ring watched_, met_;                                  // some of them
-  double own_place_ = 0;
-  std::size_t first_ = 0;   // the place of the sidecar as an index into the ring
-  std::uint64_t list_ = 0;  // the number of the last whole list
-  bool whole_ = false;      // one is being taken in
+  std::unordered_map<std::string, UpstreamPtr> index_;          // owns those listed; never walked
+  std::unordered_map<std::string, OverrideInForce> overrides_;  // never walked
+  Ring ring_;                                                   // all that are listed
+  Ring monitored_;
+  Ring observed_;
+  double own_place_;
+  std::size_t first_ = 0;          // the index on the ring of this sidecar's place
+  std::uint64_t list_number_ = 0;  // of the last whole list
+  bool whole_list_open_ = false;   // a whole list is being taken in
   std::vector<UpstreamPtr> touched_;
   WeightSum weight_;
-  mutable bool stale_ = false;
-  mutable double calls_ = 0, failures_ = 0;
   mutable std::size_t visits_ = 0;
 };
 
--- /dev/null
+++ b/balancer/poll_schedule.cpp
@@ -0,0 +1,40 @@
+#include "balancer/poll_schedule.h"
+
+#include <algorithm>
+
+#include "balancer/decaying_average.h"
+
+namespace lb {
+namespace {
+
+// Polls that fit into the time that a list holds for, so that several may fail.
+constexpr int kPollsWithinLimit = 4;
+
+// The jitter is up to twice the backoff, and the next housekeeping acts on it.
+Duration MaxBackoff(const Settings& settings, Duration resolution) {
+  return std::min(settings.fleet_limits.poll_interval_limit / kPollsWithinLimit,
+                  (kLongestPollPause - resolution) / 2);
+}
+
+}  // namespace
+
+PollSchedule::PollSchedule(const Settings& settings, Duration resolution, RandomSource& random)
+    : polled_(settings.polled_membership),
+      max_backoff_(MaxBackoff(settings, resolution)),
+      random_(random),
+      backoff_(max_backoff_ / 2) {}
+
+// Not at once: that would add to the load that made the poll fail. The backoff is jittered between 1 and 2
+// times its value.
+void PollSchedule::OnFailure(TimePoint now) {
+  if (polled_) next_ = now + Scaled(backoff_, 1 + random_.Uniform());
+  backoff_ = std::min(2 * backoff_, max_backoff_);
+}
+
+bool PollSchedule::TakeIfDue(TimePoint now) {
+  if (!next_ || now < *next_) return false;
+  next_.reset();
+  return true;
+}
+
+}  // namespace lb
--- /dev/null
+++ b/balancer/subsetting.cpp
@@ -0,0 +1,46 @@
+#include "balancer/subsetting.h"
+
+#include <algorithm>
+
+#include "balancer/outlier_detector.h"
+
+namespace lb {
+namespace {
+
+// Upstreams: where one fails and one is busy, one is left.
+constexpr double kLeastSize = 3;
+// Connections at each upstream, were all sidecars alike, before the rate of requests is known; and beyond
+// which a subset only grows where its members are busy.
+constexpr double kFirstConnections = 5;
+constexpr double kFairConnections = 15;
+// Requests of this sidecar in flight at a busy member.
+constexpr double kBusyInFlight = 2;
+
+}  // namespace
+
+Subsetting::Subsetting(const Settings& settings, const Membership& membership,
+                       const TrafficStatistics& traffic, const ConcurrencyLimiter& limiter,
+                       Duration failure_memory)
+    : sidecar_count_(static_cast<double>(settings.sidecar_count)),
+      membership_(membership),
+      traffic_(traffic),
+      limiter_(limiter),
+      failure_memory_(failure_memory) {}
+
+double Subsetting::Size(TimePoint now) const {
+  const auto listed = static_cast<double>(membership_.size());
+  const double for_one_connection_each = listed / sidecar_count_;
+  if (!traffic_.IsRateKnown(now))
+    return std::max(kLeastSize, std::min(listed, kFirstConnections * for_one_connection_each));
+  const double met_often =
+      traffic_.request_rate() * Seconds(failure_memory_) / OutlierDetector::kFailuresToEject;
+  const double busy = limiter_.UsualInFlight() / kBusyInFlight;
+  return std::max(kLeastSize,
+                  std::min(met_often, std::max(kFairConnections * for_one_connection_each, busy)));
+}
+
+double Subsetting::Share(TimePoint now) const {
+  return std::min(1.0, Size(now) / std::max(1.0, static_cast<double>(membership_.size())));
+}
+
+}  // namespace lb
--- /dev/null
+++ b/balancer/weighted_round_robin.cpp
@@ -0,0 +1,69 @@
+#include "balancer/weighted_round_robin.h"
+
+#include <algorithm>
+#include <cmath>
+
+namespace lb {
+namespace {
+
+// Of the share of successes in a weight: errors come fast, and without this attract requests.
+constexpr int kSuccessPower = 3;
+// The part of its weight that an upstream keeps at least, so that it shows when it recovers.
+constexpr double kLeastSuccess = 0.02;
+
+}  // namespace
+
+WeightedRoundRobin::WeightedRoundRobin(const Membership& membership, const Subsetting& subsetting,
+                                       const SlowStart& slow_start, const LatencyStatistics& latency,
+                                       const FailureStatistics& failures, RandomSource& random)
+    : membership_(membership),
+      subsetting_(subsetting),
+      slow_start_(slow_start),
+      latency_(latency),
+      failures_(failures),
+      random_(random) {}
+
+// The relative latency counts squared: responses of a slow upstream are late far more often.
+double WeightedRoundRobin::EffectiveWeight(const Upstream& upstream, TimePoint now) const {
+  // Time-outs beside fast responses attract no requests: whatever else the upstream takes it serves.
+  const double swallowed = LatencyStatistics::IsLoaded(upstream) ? 0 : failures_.TimeoutShare(upstream);
+  const double failing = failures_.FailureShare(upstream) - swallowed;
+  const double latency = latency_.RelativeLatency(upstream);
+  return upstream.info.weight * slow_start_.WarmUpFraction(upstream, now) / (latency * latency) *
+         std::max(kLeastSuccess, std::pow(1 - failing, kSuccessPower) * (1 - swallowed));
+}
+
+Upstream& WeightedRoundRobin::ChooseNext(const std::vector<Upstream*>& candidates, TimePoint now) const {
+  double sum = 0;
+  Upstream* best = candidates.front();
+  for (const Upstream* upstream : candidates) sum += EffectiveWeight(*upstream, now);
+  for (Upstream* upstream : candidates) {
+    // One that has not been a candidate for long has its credit from a rotation of another length.
+    double& credit = upstream->rotation.credit;
+    credit = std::clamp(credit, -sum, sum) + EffectiveWeight(*upstream, now);
+    if (credit > best->rotation.credit) best = upstream;
+  }
+  best->rotation.credit -= sum;
+  return *best;
+}
+
+void WeightedRoundRobin::Restart(Upstream& upstream, TimePoint now) {
+  upstream.rotation.credit = -random_.Uniform() * RotationLength(now);
+}
+
+void WeightedRoundRobin::Restart(const std::vector<UpstreamPtr>& entering, TimePoint now) {
+  const double length = RotationLength(now);
+  for (const UpstreamPtr& upstream : entering) upstream->rotation.credit = -random_.Uniform() * length;
+}
+
+void WeightedRoundRobin::AccrueWhileWarmingUp(Upstream& upstream, TimePoint now) const {
+  double& credit = upstream.rotation.credit;
+  if (credit < 0) credit = std::min(0.0, credit + EffectiveWeight(upstream, now));
+}
+
+// The sum of the weights in the subset, about.
+double WeightedRoundRobin::RotationLength(TimePoint now) const {
+  return membership_.listed_weight().value() * subsetting_.Share(now);
+}
+
+}  // namespace lb
