--- a/balancer/components.h
+++ b/balancer/components.h
@@ -66,7 +66,7 @@
   Subsetting subsetting{settings, membership, traffic, limiter, lateness.memory()};
   SlowStart slow_start{settings.fleet_limits, membership, traffic, subsetting, random};
   ServiceCapacity capacity{membership, outliers, slow_start};
-  WeightedRoundRobin rotation{membership, subsetting, slow_start, latency, failures, random};
+  WeightedRoundRobin rotation{membership, subsetting, slow_start, random};
   ZoneLocality locality{settings};
 
   // And for a request.
--- a/balancer/connection_tracker.cpp
+++ b/balancer/connection_tracker.cpp
@@ -3,8 +3,6 @@
 #include <algorithm>
 #include <chrono>
 
-#include "balancer/concurrency_limiter.h"
-
 namespace lb {
 namespace {
 
@@ -26,11 +24,6 @@
 
 }  // namespace
 
-bool ConnectionTracker::HasConnection(const Upstream& upstream, TimePoint now) const {
-  if (limits_.streams_per_connection > 1 && ConcurrencyLimiter::InFlight(upstream) > 0) return true;
-  return upstream.connections.idle > 0 && now - upstream.connections.idle_since < limits_.idle_close;
-}
-
 bool ConnectionTracker::IsConnectingHard() const { return connect_difficulty_.value > kHardToConnect; }
 
 ConnectionTracker::Claim ConnectionTracker::ClaimConnection(Upstream& upstream, TimePoint now) {
--- a/balancer/connection_tracker.h
+++ b/balancer/connection_tracker.h
@@ -2,6 +2,7 @@
 // idle one is trusted, and how calls fare that have to connect.
 #pragma once
 
+#include "balancer/concurrency_limiter.h"
 #include "balancer/decaying_average.h"
 #include "balancer/request.h"
 #include "balancer/settings.h"
@@ -15,7 +16,10 @@
   explicit ConnectionTracker(const Limits& limits) : limits_(limits), trusted_idle_(limits.idle_close) {}
 
   // A call to `upstream` finds an idle connection, or one that it can share.
-  bool HasConnection(const Upstream& upstream, TimePoint now) const;
+  bool HasConnection(const Upstream& upstream, TimePoint now) const {
+    if (limits_.streams_per_connection > 1 && ConcurrencyLimiter::InFlight(upstream) > 0) return true;
+    return upstream.connections.idle > 0 && now - upstream.connections.idle_since < limits_.idle_close;
+  }
   // This machine could not open a connection to it a moment ago.
   static bool IsConnectPaused(const Upstream& upstream, TimePoint now) {
     return now < upstream.connections.next_connect;
--- a/balancer/failure_statistics.h
+++ b/balancer/failure_statistics.h
@@ -2,7 +2,7 @@
 // outlier from a fault that all share.
 #pragma once
 
-#include <cstdint>
+#include <algorithm>
 
 #include "balancer/membership.h"
 #include "balancer/upstream.h"
@@ -24,14 +24,23 @@
   void Record(Upstream& upstream, Outcome outcome);
 
   // The share of failures among the recent calls to `upstream`.
-  double FailureShare(const Upstream& upstream) const;
+  static double FailureShare(const Upstream& upstream) {
+    return upstream.failures.failures / std::max(upstream.failures.calls, kLeastCalls);
+  }
   // Likewise of time-outs.
-  double TimeoutShare(const Upstream& upstream) const;
+  static double TimeoutShare(const Upstream& upstream) {
+    return upstream.failures.timeouts / std::max(upstream.failures.calls, kLeastCalls);
+  }
   // About how many calls the shares rest on.
   static double RecentCalls(const Upstream& upstream) { return upstream.failures.calls; }
 
   // The share of failures among the recent calls to all others that serve and are not excluded: 0 to 0.95.
-  double PeersFailureShare(const Upstream& upstream) const;
+  double PeersFailureShare(const Upstream& upstream) const {
+    if (stale_) Recount();
+    const double calls = calls_ - (upstream.failures.excluded ? 0 : upstream.failures.calls);
+    const double failures = failures_ - (upstream.failures.excluded ? 0 : upstream.failures.failures);
+    return calls < 1 ? 0 : std::clamp(failures / calls, 0.0, kMaxPeersFailureShare);
+  }
 
   // An ejected upstream is no peer to compare others with.
   void Exclude(Upstream& upstream);
@@ -42,6 +51,12 @@
   void Invalidate() { stale_ = true; }
 
  private:
+  // Shares rest on this many calls at least, so that a first failure does not count as all calls failing. It
+  // is the run that ejects an upstream.
+  static constexpr double kLeastCalls = 5;
+  // Keeps the logarithm of the share, by which runs are lengthened, away from zero.
+  static constexpr double kMaxPeersFailureShare = 0.95;
+
   static bool IsPeer(const Upstream& upstream);
   void Recount() const;
 
--- a/balancer/latency_statistics.cpp
+++ b/balancer/latency_statistics.cpp
@@ -11,14 +11,6 @@
 constexpr double kClassMemory = 50;
 // Calls that the averages of one upstream remember: fewer, as its state changes faster than that of all.
 constexpr double kUpstreamMemory = 10;
-// What is known of an upstream's kind weighs as much as this many calls of its own.
-constexpr double kKindPrior = 5;
-// Bounds the relative latency in both directions: one outlying response must not decide.
-constexpr double kMaxRelativeLatency = 3;
-// An overloaded upstream is slow with all its responses. A time-out tells of load only where its responses
-// take this share of their latency objectives in the mean; rejecting for one that swallows some requests
-// would help nobody.
-constexpr double kLoadedObjectiveShare = 0.35;
 // The usual time of a class without a response yet, as a part of its latency objective.
 constexpr int kUnknownTimeDivisor = 4;
 
@@ -62,18 +54,6 @@
   return DurationOr(usual_time_of_all_, settings_.classes[0].latency_objective / kUnknownTimeDivisor);
 }
 
-double LatencyStatistics::RelativeLatency(const Upstream& upstream) const {
-  const LatencyState& state = upstream.latency;
-  const RunningMean& own = state.relative_latency;
-  const double kind = state.kind_relative_latency->samples > 0 ? state.kind_relative_latency->value : 1;
-  const double known = kKindPrior * kind + own.samples * own.value;
-  return std::clamp(known / (kKindPrior + own.samples), 1 / kMaxRelativeLatency, kMaxRelativeLatency);
-}
-
-bool LatencyStatistics::IsLoaded(const Upstream& upstream) {
-  return upstream.latency.objective_share.value >= kLoadedObjectiveShare;
-}
-
 double LatencyStatistics::ExpectedSeconds(const Upstream& upstream, double in_flight,
                                           std::size_t request_class, double warm_up) const {
   const RunningMean& own = upstream.latency.in_flight_reported;
--- a/balancer/latency_statistics.h
+++ b/balancer/latency_statistics.h
@@ -1,6 +1,7 @@
 // Response times: the usual one of each class of requests, and how each upstream compares with it.
 #pragma once
 
+#include <algorithm>
 #include <cstddef>
 #include <map>
 #include <string>
@@ -38,11 +39,18 @@
   // An upstream's response times as a multiple of the usual one of their class: 1/3 to 3. With few calls an
   // upstream is seen too seldom to know; until it has responded often, it is taken for the usual one of its
   // kind of machine.
-  double RelativeLatency(const Upstream& upstream) const;
+  static double RelativeLatency(const Upstream& upstream) {
+    const RunningMean& own = upstream.latency.relative_latency;
+    const RunningMean& kind = *upstream.latency.kind_relative_latency;
+    const double known = kKindPrior * (kind.samples > 0 ? kind.value : 1) + own.samples * own.value;
+    return std::clamp(known / (kKindPrior + own.samples), 1 / kMaxRelativeLatency, kMaxRelativeLatency);
+  }
 
   // Its responses take so much of their latency objectives that a time-out there tells of load. One that
   // swallows some requests and responds to the others fast is not loaded.
-  static bool IsLoaded(const Upstream& upstream);
+  static bool IsLoaded(const Upstream& upstream) {
+    return upstream.latency.objective_share.value >= kLoadedObjectiveShare;
+  }
 
   // The time of a response, in seconds, from an upstream that has `in_flight` requests by its own report: in
   // proportion to what its responses took with the requests that it had then. `warm_up`: its warm-up
@@ -53,6 +61,15 @@
   bool KnowsReportedLoad() const;
 
  private:
+  // What is known of an upstream's kind weighs as much as this many calls of its own.
+  static constexpr double kKindPrior = 5;
+  // Bounds the relative latency in both directions: one outlying response must not decide.
+  static constexpr double kMaxRelativeLatency = 3;
+  // An overloaded upstream is slow with all its responses. A time-out tells of load only where its responses
+  // take this share of their latency objectives in the mean; shedding for one that swallows some requests
+  // would help nobody.
+  static constexpr double kLoadedObjectiveShare = 0.35;
+
   const Settings& settings_;
   std::vector<RunningMean> usual_time_;                       // microseconds, by class
   RunningMean usual_time_of_all_;                             // microseconds
--- a/balancer/membership.cpp
+++ b/balancer/membership.cpp
@@ -26,12 +26,6 @@
   return it == index_.end() ? nullptr : it->second;
 }
 
-Upstream& Membership::At(std::size_t place) const {
-  ++visits_;
-  const std::size_t index = first_ + place;
-  return *ring_[index < ring_.size() ? index : index - ring_.size()];
-}
-
 std::size_t Membership::PlaceOf(const Upstream& upstream) const {
   const std::size_t index = ring_.IndexOf(upstream, visits_);
   return index >= first_ ? index - first_ : index + ring_.size() - first_;
@@ -163,10 +157,6 @@
   if (it != index_.end() && it->second.get() == &upstream) index_.erase(it);
 }
 
-std::optional<TimePoint> Membership::StartTime(const Upstream& upstream) {
-  return std::max(upstream.info.started, upstream.membership.enabled_at);
-}
-
 void Membership::Monitor(Upstream& upstream) {
   if (upstream.info.state == UpstreamState::kGone || upstream.membership.monitored) return;
   upstream.membership.monitored = true;
--- a/balancer/membership.h
+++ b/balancer/membership.h
@@ -1,6 +1,7 @@
 // The endpoint list: the upstreams that are listed, by id and on the ring, and the sum of their weights.
 #pragma once
 
+#include <algorithm>
 #include <cstddef>
 #include <cstdint>
 #include <optional>
@@ -30,7 +31,11 @@
   // Null where no upstream has this id.
   UpstreamPtr Find(const std::string& id) const;
   // `place` counts from this sidecar's own, and is less than size().
-  Upstream& At(std::size_t place) const;
+  Upstream& At(std::size_t place) const {
+    ++visits_;
+    const std::size_t index = first_ + place;
+    return *ring_[index < ring_.size() ? index : index - ring_.size()];
+  }
   // The inverse of At(). `upstream` is listed.
   std::size_t PlaceOf(const Upstream& upstream) const;
 
@@ -51,7 +56,9 @@
 
   // When the process started, as far as that is known: an upstream that operators enabled may have restarted
   // while it was disabled.
-  static std::optional<TimePoint> StartTime(const Upstream& upstream);
+  static std::optional<TimePoint> StartTime(const Upstream& upstream) {
+    return std::max(upstream.info.started, upstream.membership.enabled_at);
+  }
   static bool IsEnabledByOperators(const Upstream& upstream) {
     return upstream.membership.enabled_at.has_value();
   }
--- a/balancer/outlier_detector.cpp
+++ b/balancer/outlier_detector.cpp
@@ -55,17 +55,11 @@
   if (outcome == Outcome::kConnectFailed || outcome == Outcome::kTimeout) ++upstream.outlier.failure_run;
 }
 
-bool OutlierDetector::ReadmitIfExpired(Upstream& upstream, TimePoint now) {
-  if (!upstream.outlier.ejected || now < upstream.outlier.ejected_until) return false;
-  Readmit(upstream, now);
-  return true;
-}
-
 bool OutlierDetector::IsSuspectedOutlier(const Upstream& upstream, TimePoint now) const {
   if (upstream.outlier.failure_run >= RequiredFailureRun(upstream, kFailuresToSuspect)) return true;
   if (ConcurrencyLimiter::InFlight(upstream) == 0) return false;
   return now - upstream.outlier.silent_since >
-         Scaled(latency_.UsualTime(), kSilenceTimes * latency_.RelativeLatency(upstream));
+         Scaled(latency_.UsualTime(), kSilenceTimes * LatencyStatistics::RelativeLatency(upstream));
 }
 
 bool OutlierDetector::IsAtRest(const Upstream& upstream) {
--- a/balancer/outlier_detector.h
+++ b/balancer/outlier_detector.h
@@ -35,7 +35,11 @@
   // An upstream that does not even answer a load probe has failed.
   static void RecordLoadProbe(Upstream& upstream, Outcome outcome);
   // Ends an ejection whose time is over; true if it did.
-  [[nodiscard]] bool ReadmitIfExpired(Upstream& upstream, TimePoint now);
+  [[nodiscard]] bool ReadmitIfExpired(Upstream& upstream, TimePoint now) {
+    if (!upstream.outlier.ejected || now < upstream.outlier.ejected_until) return false;
+    Readmit(upstream, now);
+    return true;
+  }
 
   static bool IsEjected(const Upstream& upstream) { return upstream.outlier.ejected; }
   // Shows signs of failure short of an ejection: consecutive failures, or requests in flight without a sign
--- a/balancer/slow_start.cpp
+++ b/balancer/slow_start.cpp
@@ -18,14 +18,6 @@
                      const TrafficStatistics& traffic, const Subsetting& subsetting, RandomSource& random)
     : limits_(limits), membership_(membership), traffic_(traffic), subsetting_(subsetting), random_(random) {}
 
-double SlowStart::WarmUpFraction(const Upstream& upstream, TimePoint now) const {
-  const auto started = Membership::StartTime(upstream);
-  if (!started) return 1;
-  const double age = Seconds(now - *started) / Seconds(limits_.slow_start_duration);
-  const double initial = limits_.slow_start_initial_share;
-  return std::clamp(initial + (1 - initial) * age, initial, 1.0);
-}
-
 // Of the sidecars that hear of it together some call now, some a call later.
 void SlowStart::OnNewProcess(Upstream& upstream, TimePoint now) {
   upstream.slow_start.budget = random_.Uniform();
@@ -34,16 +26,15 @@
 
 // The budget grows by what this sidecar usually sends a warm upstream of its weight. Those in whose subset
 // the upstream is share it, by its place on the ring alone; the others save nothing up beyond half a window.
-bool SlowStart::HasSlowStartBudget(Upstream& upstream, TimePoint now) {
-  const double warm_up = WarmUpFraction(upstream, now);
-  if (warm_up >= 1) return true;
+bool SlowStart::HasBudgetWhileWarmingUp(Upstream& upstream, double warm_up, TimePoint now) {
   SlowStartState& state = upstream.slow_start;
   const double weight = upstream.info.weight;
   const bool in_subset = static_cast<double>(membership_.PlaceOf(upstream)) < subsetting_.Size(now);
+  const double subset_share = subsetting_.Share(now);
   const double usual =
-      traffic_.CallRate() * weight / std::max(traffic_.usual_weight() * subsetting_.Share(now), weight);
+      traffic_.CallRate() * weight / std::max(traffic_.usual_weight() * subset_share, weight);
   const double rate = limits_.overload_multiple * kSafety * warm_up * usual *
-                      (in_subset ? 1 : subsetting_.Share(now) * kBeyondSubsetShare);
+                      (in_subset ? 1 : subset_share * kBeyondSubsetShare);
   const double window = Seconds(limits_.overload_window);
   double since = Seconds(now - state.refilled);
   const bool enters = in_subset && !state.in_subset;
--- a/balancer/slow_start.h
+++ b/balancer/slow_start.h
@@ -3,6 +3,8 @@
 // fail and their requests turn to it.
 #pragma once
 
+#include <algorithm>
+
 #include "balancer/membership.h"
 #include "balancer/random_source.h"
 #include "balancer/settings.h"
@@ -19,7 +21,13 @@
             const Subsetting& subsetting, RandomSource& random);
 
   // The least share of its capacity that an upstream has by now: from slow_start_initial_share to 1.
-  double WarmUpFraction(const Upstream& upstream, TimePoint now) const;
+  double WarmUpFraction(const Upstream& upstream, TimePoint now) const {
+    const auto started = Membership::StartTime(upstream);
+    if (!started) return 1;
+    const double age = Seconds(now - *started) / Seconds(limits_.slow_start_duration);
+    const double initial = limits_.slow_start_initial_share;
+    return std::clamp(initial + (1 - initial) * age, initial, 1.0);
+  }
   bool IsWarmingUp(const Upstream& upstream, TimePoint now) const {
     return WarmUpFraction(upstream, now) < 1;
   }
@@ -27,11 +35,16 @@
   void OnNewProcess(Upstream& upstream, TimePoint now);
   // Refills the budget of one that warms up; true where it suffices for a request. Always for one that is
   // warm.
-  bool HasSlowStartBudget(Upstream& upstream, TimePoint now);
+  bool HasSlowStartBudget(Upstream& upstream, TimePoint now) {
+    const double warm_up = WarmUpFraction(upstream, now);
+    return warm_up >= 1 || HasBudgetWhileWarmingUp(upstream, warm_up, now);
+  }
   // A request is sent to `upstream`.
   void Spend(Upstream& upstream, TimePoint now) const;
 
  private:
+  bool HasBudgetWhileWarmingUp(Upstream& upstream, double warm_up, TimePoint now);
+
   const FleetLimits& limits_;
   const Membership& membership_;
   const TrafficStatistics& traffic_;
--- a/balancer/upstream_selector.cpp
+++ b/balancer/upstream_selector.cpp
@@ -26,17 +26,17 @@
     return nullptr;
   }
   const Candidates candidates = FindCandidates(request, now, preference);
-  std::vector<Upstream*> best;
+  std::vector<WeightedUpstream> best;
   int best_standing = preference == Preference::kAny ? kWorstStanding : kCrowded;
-  for (Upstream* upstream : candidates.upstreams) {
-    const int standing = StandingOf(*upstream, request, candidates, now);
+  for (const WeightedUpstream& candidate : candidates.upstreams) {
+    const int standing = StandingOf(candidate, request, candidates, now);
     if (standing > best_standing) continue;
     if (standing < best_standing) best.clear();
     best_standing = standing;
-    best.push_back(upstream);
+    best.push_back(candidate);
   }
   if (best.empty()) return nullptr;
-  return components_.rotation.ChooseNext(best, now).shared_from_this();
+  return WeightedRoundRobin::ChooseNext(best).shared_from_this();
 }
 
 // The next upstreams in the order of the ring make up for members of the subset that cannot take the request.
@@ -50,23 +50,24 @@
     if (!IsEligible(upstream, now) || OverloadBackoff::IsBackingOff(upstream, now)) continue;
     if (!components_.retries.CanSendTo(request, upstream, now)) continue;
     if (preference == Preference::kLocalGoodStanding && !components_.locality.IsLocal(upstream)) continue;
-    candidates.upstreams.push_back(&upstream);
+    const double weight = components_.rotation.EffectiveWeight(upstream, now);
+    candidates.upstreams.push_back({&upstream, weight});
     if (components_.outliers.IsSuspectedOutlier(upstream, now)) continue;
     // One that warms up takes a part of what a member does.
     if (!request.HasTried(upstream)) missing -= components_.slow_start.WarmUpFraction(upstream, now);
-    candidates.weight += components_.rotation.EffectiveWeight(upstream, now);
+    candidates.weight += weight;
     candidates.in_flight += ConcurrencyLimiter::InFlight(upstream);
   }
   return candidates;
 }
 
-int UpstreamSelector::StandingOf(const Upstream& upstream, const Request& request,
+int UpstreamSelector::StandingOf(const WeightedUpstream& candidate, const Request& request,
                                  const Candidates& candidates, TimePoint now) const {
+  const Upstream& upstream = *candidate.upstream;
   const ConnectionTracker& connections = components_.connections;
   const bool has_connection = connections.HasConnection(upstream, now);
   // Where connecting takes long or fails, an upstream without a connection is no better than a crowded one.
-  const double fair_share =
-      candidates.in_flight * components_.rotation.EffectiveWeight(upstream, now) / candidates.weight;
+  const double fair_share = candidates.in_flight * candidate.weight / candidates.weight;
   const bool crowded = ConcurrencyLimiter::InFlight(upstream) + 1 > kCrowdingSlack + fair_share ||
                        (connections.IsConnectingHard() && !has_connection);
   const bool unconnected =
--- a/balancer/upstream_selector.h
+++ b/balancer/upstream_selector.h
@@ -37,14 +37,14 @@
  private:
   // The upstreams of the subset that can take the request, and the sums over those not suspected.
   struct Candidates {
-    std::vector<Upstream*> upstreams;
+    std::vector<WeightedUpstream> upstreams;
     double weight = 0;
     int in_flight = 1;  // with the request that is chosen for
   };
   bool IsEligibleForHalfOpenProbe(Upstream& upstream, TimePoint now);
   bool HasSlowStartBudget(Upstream& upstream, TimePoint now);
   Candidates FindCandidates(const Request& request, TimePoint now, Preference preference);
-  int StandingOf(const Upstream& upstream, const Request& request, const Candidates& candidates,
+  int StandingOf(const WeightedUpstream& candidate, const Request& request, const Candidates& candidates,
                  TimePoint now) const;
 
   Components& components_;
--- a/balancer/weighted_round_robin.cpp
+++ b/balancer/weighted_round_robin.cpp
@@ -3,6 +3,9 @@
 #include <algorithm>
 #include <cmath>
 
+#include "balancer/failure_statistics.h"
+#include "balancer/latency_statistics.h"
+
 namespace lb {
 namespace {
 
@@ -14,34 +17,29 @@
 }  // namespace
 
 WeightedRoundRobin::WeightedRoundRobin(const Membership& membership, const Subsetting& subsetting,
-                                       const SlowStart& slow_start, const LatencyStatistics& latency,
-                                       const FailureStatistics& failures, RandomSource& random)
-    : membership_(membership),
-      subsetting_(subsetting),
-      slow_start_(slow_start),
-      latency_(latency),
-      failures_(failures),
-      random_(random) {}
+                                       const SlowStart& slow_start, RandomSource& random)
+    : membership_(membership), subsetting_(subsetting), slow_start_(slow_start), random_(random) {}
 
 // The relative latency counts squared: responses of a slow upstream are late far more often.
 double WeightedRoundRobin::EffectiveWeight(const Upstream& upstream, TimePoint now) const {
   // Time-outs beside fast responses attract no requests: whatever else the upstream takes it serves.
-  const double swallowed = LatencyStatistics::IsLoaded(upstream) ? 0 : failures_.TimeoutShare(upstream);
-  const double failing = failures_.FailureShare(upstream) - swallowed;
-  const double latency = latency_.RelativeLatency(upstream);
+  const double swallowed =
+      LatencyStatistics::IsLoaded(upstream) ? 0 : FailureStatistics::TimeoutShare(upstream);
+  const double failing = FailureStatistics::FailureShare(upstream) - swallowed;
+  const double latency = LatencyStatistics::RelativeLatency(upstream);
   return upstream.info.weight * slow_start_.WarmUpFraction(upstream, now) / (latency * latency) *
          std::max(kLeastSuccess, std::pow(1 - failing, kSuccessPower) * (1 - swallowed));
 }
 
-Upstream& WeightedRoundRobin::ChooseNext(const std::vector<Upstream*>& candidates, TimePoint now) const {
+Upstream& WeightedRoundRobin::ChooseNext(const std::vector<WeightedUpstream>& candidates) {
   double sum = 0;
-  Upstream* best = candidates.front();
-  for (const Upstream* upstream : candidates) sum += EffectiveWeight(*upstream, now);
-  for (Upstream* upstream : candidates) {
+  Upstream* best = candidates.front().upstream;
+  for (const WeightedUpstream& candidate : candidates) sum += candidate.weight;
+  for (const WeightedUpstream& candidate : candidates) {
     // One that has not been a candidate for long has its credit from a rotation of another length.
-    double& credit = upstream->rotation.credit;
-    credit = std::clamp(credit, -sum, sum) + EffectiveWeight(*upstream, now);
-    if (credit > best->rotation.credit) best = upstream;
+    double& credit = candidate.upstream->rotation.credit;
+    credit = std::clamp(credit, -sum, sum) + candidate.weight;
+    if (credit > best->rotation.credit) best = candidate.upstream;
   }
   best->rotation.credit -= sum;
   return *best;
--- a/balancer/weighted_round_robin.h
+++ b/balancer/weighted_round_robin.h
@@ -4,8 +4,6 @@
 
 #include <vector>
 
-#include "balancer/failure_statistics.h"
-#include "balancer/latency_statistics.h"
 #include "balancer/membership.h"
 #include "balancer/random_source.h"
 #include "balancer/slow_start.h"
@@ -14,18 +12,24 @@
 
 namespace lb {
 
+// A candidate for a choice, with its effective weight: computed once for each choice, as it costs the most of
+// it.
+struct WeightedUpstream {
+  Upstream* upstream = nullptr;
+  double weight = 0;
+};
+
 class WeightedRoundRobin {
  public:
   // All have to outlive this.
   WeightedRoundRobin(const Membership& membership, const Subsetting& subsetting, const SlowStart& slow_start,
-                     const LatencyStatistics& latency, const FailureStatistics& failures,
                      RandomSource& random);
 
   // The registered weight, less while warming up, for failures and for high latency.
   double EffectiveWeight(const Upstream& upstream, TimePoint now) const;
 
-  // The next of `candidates`, which is not empty.
-  Upstream& ChooseNext(const std::vector<Upstream*>& candidates, TimePoint now) const;
+  // The next of `candidates`, which is not empty. Their credits move.
+  static Upstream& ChooseNext(const std::vector<WeightedUpstream>& candidates);
 
   // An upstream that enters or is readmitted starts somewhere in a rotation: without saved credit, and so
   // that sidecars that hear of it together do not all choose it next.
@@ -43,8 +47,6 @@
   const Membership& membership_;
   const Subsetting& subsetting_;
   const SlowStart& slow_start_;
-  const LatencyStatistics& latency_;
-  const FailureStatistics& failures_;
   RandomSource& random_;
 };
 
