--- /dev/null
+++ b/tests/balancer/request_table_test.cpp
@@ -0,0 +1,38 @@
+#include "balancer/request_table.h"
+
+#include "gtest/gtest.h"
+
+namespace lb {
+namespace {
+
+TEST(RequestTable, TakesAnIdOnce) {
+  RequestTable table;
+
+  EXPECT_NE(table.Insert(RequestId{1}), nullptr);
+  EXPECT_EQ(table.Insert(RequestId{1}), nullptr);
+}
+
+TEST(RequestTable, KeepsARequestWhileAnAttemptIsOut) {
+  RequestTable table;
+  Request& request = *table.Insert(RequestId{1});
+  request.ended = true;
+  request.attempts.emplace_back();
+
+  table.EraseIfDone(RequestId{1});
+  ASSERT_EQ(table.Find(RequestId{1}), &request);
+  request.attempts.front().outcome = Outcome::kCancelled;
+  table.EraseIfDone(RequestId{1});
+
+  EXPECT_EQ(table.Find(RequestId{1}), nullptr);
+}
+
+TEST(RequestTable, GivesATimersRequestOnce) {
+  RequestTable table;
+  const std::uint64_t token = table.AddTimer(RequestId{7});
+
+  EXPECT_EQ(table.TakeTimer(token), RequestId{7});
+  EXPECT_EQ(table.TakeTimer(token), std::nullopt);
+}
+
+}  // namespace
+}  // namespace lb
--- /dev/null
+++ b/tests/balancer/slow_start_test.cpp
@@ -0,0 +1,42 @@
+#include "balancer/slow_start.h"
+
+#include "tests/balancer/components_fixture.h"
+
+namespace lb::testing {
+namespace {
+
+class SlowStartTest : public ComponentsFixture {
+ protected:
+  UpstreamPtr StartedNow() {
+    UpstreamInfo info = Up("a");
+    info.started = now_;
+    return Adopt(info);
+  }
+
+  SlowStart& slow_start_ = components_.slow_start;
+};
+
+TEST_F(SlowStartTest, RisesEvenlyToTheWhole) {
+  const UpstreamPtr upstream = StartedNow();
+
+  EXPECT_DOUBLE_EQ(slow_start_.WarmUpFraction(*upstream, now_), 0.1);
+  EXPECT_DOUBLE_EQ(slow_start_.WarmUpFraction(*upstream, now_ + 10s), 0.55);
+  EXPECT_DOUBLE_EQ(slow_start_.WarmUpFraction(*upstream, now_ + 20s), 1);
+  EXPECT_FALSE(slow_start_.IsWarmingUp(*upstream, now_ + 20s));
+}
+
+TEST_F(SlowStartTest, TakesAnUnknownStartForLongAgo) {
+  EXPECT_FALSE(slow_start_.IsWarmingUp(*Adopt(Up("a")), now_));
+}
+
+TEST_F(SlowStartTest, BoundsTheRequestsToAnUpstreamThatWarmsUp) {
+  const UpstreamPtr upstream = StartedNow();
+  slow_start_.OnNewProcess(*upstream, now_);
+
+  EXPECT_FALSE(
+      slow_start_.HasSlowStartBudget(*upstream, now_));  // less than one request, and none is usual yet
+  EXPECT_TRUE(slow_start_.HasSlowStartBudget(*upstream, now_ + 20s));
+}
+
+}  // namespace
+}  // namespace lb::testing
