--- a/balancer/log_lines.cpp
+++ b/balancer/log_lines.cpp
@@ -1,32 +1,47 @@
 #include "balancer/log_lines.h"
 
+#include <algorithm>
 #include <chrono>
 
 namespace lb {
+namespace {
+
+bool IsPlain(char c) {
+  const auto byte = static_cast<unsigned char>(c);
+  return byte > ' ' && byte < 0x7f && c != '"' && c != '=' && c != '\\';
+}
+
+// An id may hold any bytes. One with spaces, quotes, equals signs or bytes beyond printable ASCII, or without
+// any character, is quoted; control characters become spaces, so that a line stays one line.
+std::string FieldValue(const std::string& value) {
+  if (!value.empty() && std::ranges::all_of(value, IsPlain)) return value;
+  std::string quoted = "\"";
+  for (const char c : value) {
+    if (c == '"' || c == '\\') quoted += '\\';
+    quoted += static_cast<unsigned char>(c) < ' ' ? ' ' : c;
+  }
+  return quoted + '"';
+}
+
+}  // namespace
 
 std::string UpstreamEjectedLine(const UpstreamId& upstream, int failures, Duration ejection_time) {
   const auto milliseconds = std::chrono::duration_cast<std::chrono::milliseconds>(ejection_time).count();
-  return "ejected " + upstream.value + " for " + std::to_string(milliseconds) + " ms after " +
-         std::to_string(failures) + " failures in a row";
+  return "upstream_ejected upstream=" + FieldValue(upstream.value) + " failures=" + std::to_string(failures) +
+         " duration_ms=" + std::to_string(milliseconds);
 }
 
 std::string UpstreamReadmittedLine(const UpstreamId& upstream, ReadmissionReason reason) {
   const bool expired = reason == ReadmissionReason::kEjectionExpired;
-  return "returned " + upstream.value + (expired ? " after its ejection" : " after it served on trial");
+  return "upstream_readmitted upstream=" + FieldValue(upstream.value) +
+         (expired ? " reason=ejection_expired" : " reason=probes_succeeded");
 }
 
 std::string SheddingStartedLine(SheddingReason reason) {
-  switch (reason) {
-    case SheddingReason::kLateResponses:
-      return "refusing: overload, answers come late";
-    case SheddingReason::kOverloadedUpstreams:
-      return "refusing: overload, upstreams hold more than they can serve in time";
-    case SheddingReason::kNoUpstream:
-      break;
-  }
-  return "refusing: no upstream can take a call";
+  return reason == SheddingReason::kOverload ? "shedding_started reason=overload"
+                                             : "shedding_started reason=no_upstream";
 }
 
-std::string SheddingStoppedLine() { return "taking calls again"; }
+std::string SheddingStoppedLine() { return "shedding_stopped"; }
 
 }  // namespace lb
--- a/balancer/request_dispatcher.cpp
+++ b/balancer/request_dispatcher.cpp
@@ -113,7 +113,7 @@
   if (!request.load_probes.empty()) return;
   const bool first = request.attempts.empty();
   if (first && ShouldShed(request, now)) {
-    RecordShedding(SheddingReason::kLateResponses, now);
+    RecordShedding(SheddingReason::kOverload, now);
     return FinishRequest(request);
   }
   if (components_.retries.ShouldRetry(request, now) && SendToNextUpstream(request, now)) {
@@ -200,7 +200,7 @@
   if (choice.upstream)
     return StartAttempt(request, choice.upstream, AttemptKind::kOrdinary, now, choice.in_flight);
   if (choice.overloaded) {
-    RecordShedding(SheddingReason::kOverloadedUpstreams, now);
+    RecordShedding(SheddingReason::kOverload, now);
   } else if (const UpstreamPtr other = selector_.Choose(request, now)) {
     return StartAttempt(request, other, AttemptKind::kOrdinary, now);
   }
