--- a/sidecar/connect.cpp
+++ b/sidecar/connect.cpp
@@ -14,9 +14,9 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-// What connect() itself says. A network or host that is unreachable at once has no route on this machine;
-// where the network told so, it comes with SO_ERROR and counts as the upstream's. Refusals and time-outs do,
-// too.
+// Of what connect() returns at once. A network or host that is unreachable then has no route on this machine;
+// where the network reported it, it comes with SO_ERROR later and counts as the upstream's. So do refusals
+// and time-outs.
 bool IsLocal(int error) {
   switch (error) {
     case EADDRNOTAVAIL:
@@ -44,23 +44,27 @@
 std::optional<ConnectResult> BeginConnect(tcp::socket& socket, const tcp::endpoint& endpoint) {
   const auto size = static_cast<socklen_t>(endpoint.size());
   if (::connect(socket.native_handle(), endpoint.data(), size) == 0) return ConnectResult{};
-  // An interrupted one goes on, as POSIX has it.
+  // An interrupted connect() goes on by itself (POSIX).
   if (errno == EINPROGRESS || errno == EINTR) return std::nullopt;
   return ConnectResult{SystemError(errno), IsLocal(errno)};
 }
 
-void AwaitConnected(tcp::socket& socket, std::function<void(ConnectResult)> done) {
-  socket.async_wait(tcp::socket::wait_write, [&socket, done = std::move(done)](error_code error) mutable {
-    if (error) return done({error});
-    const int descriptor = socket.native_handle();
-    if (PollNow(descriptor, POLLOUT) == 0) return AwaitConnected(socket, std::move(done));
-    int failed = 0;
-    socklen_t size = sizeof failed;
-    if (::getsockopt(descriptor, SOL_SOCKET, SO_ERROR, &failed, &size) != 0) {
-      return done({SystemError(errno), IsLocal(errno)});
-    }
-    done({SystemError(failed)});
-  });
+void AwaitConnected(tcp::socket& socket, std::function<void(ConnectResult)> on_connected) {
+  // Before it completes: the owner may close the socket, which ends the wait with an error.
+  socket.async_wait(tcp::socket::wait_write,
+                    [&socket, on_connected = std::move(on_connected)](error_code error) mutable {
+                      if (error) return on_connected({error});
+                      const int descriptor = socket.native_handle();
+                      // A spurious wake-up.
+                      if (PollNow(descriptor, POLLOUT) == 0)
+                        return AwaitConnected(socket, std::move(on_connected));
+                      int socket_error = 0;
+                      socklen_t size = sizeof socket_error;
+                      if (::getsockopt(descriptor, SOL_SOCKET, SO_ERROR, &socket_error, &size) != 0) {
+                        return on_connected({SystemError(errno), IsLocal(errno)});
+                      }
+                      on_connected({SystemError(socket_error)});
+                    });
 }
 
 }  // namespace lb::sidecar
--- a/sidecar/descriptors.h
+++ b/sidecar/descriptors.h
@@ -1,22 +1,23 @@
-// Counts the sockets that are open, against the limit that the deployment sets.
+// Counts the open sockets of clients and upstreams against the deployment's limit on descriptors.
 #pragma once
 
 #include <cstddef>
 
 namespace lb::sidecar {
 
+// Used on the event loop's thread only.
 class Descriptors {
  public:
-  // What is always open: standard streams, event loop, timer, signals, listening socket, discovery and its
-  // next connection, with some left over.
+  // Descriptors that are always open: standard streams, event loop, timer, signals, listening socket,
+  // discovery and its next connection, with some left over.
   static constexpr std::size_t kFixed = 16;
 
-  // `fixed`: what is always open in this process.
+  // `limit`: of the process, in descriptors. `fixed`: how many of them are always open.
   explicit Descriptors(std::size_t limit, std::size_t fixed = kFixed) : limit_(limit), fixed_(fixed) {}
 
   enum class Side { kClient, kUpstream };
 
-  // Held as long as its socket is open.
+  // One descriptor's place in the count; held as long as its socket is open.
   class Slot {
    public:
     Slot(Descriptors& owner, Side side) : used_(side == Side::kClient ? owner.clients_ : owner.upstreams_) {
@@ -30,21 +31,22 @@
     std::size_t& used_;
   };
 
-  // Is there room for one more? Each side has half for its own: clients that connect and stay must not leave
-  // nothing to serve them with, nor make the pools close what the next request needs. A request takes one
-  // descriptor on either side, and a second copy one more.
+  // Whether one more socket of that side keeps to the limit. Each side has half for itself: clients that
+  // connect and stay must not take the descriptors to serve them with, nor make the pools close the
+  // connections that the next request needs. A request takes one descriptor on either side, and a hedged
+  // request one more.
   bool Room(Side side) const {
     const std::size_t limit = Limit();
     return side == Side::kClient ? clients_ < limit / 2 : upstreams_ < limit - limit / 2;
   }
 
-  // For as long as another process of the same sidecar runs: they keep the limit together.
+  // Shared while another process of the same sidecar runs (hot restart): each keeps to half of the limit.
   void Share(bool shared) { shared_ = shared; }
 
  private:
   std::size_t Limit() const {
-    const std::size_t mine = shared_ ? limit_ / 2 : limit_;
-    return mine > fixed_ ? mine - fixed_ : 1;
+    const std::size_t own = shared_ ? limit_ / 2 : limit_;
+    return own > fixed_ ? own - fixed_ : 1;
   }
 
   std::size_t limit_;
--- a/sidecar/upstream_connection.cpp
+++ b/sidecar/upstream_connection.cpp
@@ -38,17 +38,14 @@
   if (!error) socket_.non_blocking(true, error);
   if (error) return error;
   connect_result_ = BeginConnect(socket_, endpoint);
-  return connect_result_ && connect_result_->local ? connect_result_->error : error_code();
+  return connect_result_ && connect_result_->is_local ? connect_result_->error : error_code();
 }
 
 // ---- The way to the first byte ----
 
 void UpstreamConnection::Start(ExchangeId id, ExchangeRequest request) {
   const TimePoint now = Now();
-  exchange_ = {};
-  exchange_.id = id;
-  exchange_.request = std::move(request);
-  exchange_.deadlines = ExchangeDeadlines(exchange_.request, now);
+  exchange_ = Exchange(id, std::move(request), now);
   framing_.StartExchange();
   ++history_.exchanges;
   if (state_ == State::kNew) {
@@ -77,7 +74,7 @@
 
 void UpstreamConnection::OnConnected(ConnectResult result) {
   if (IsClosed()) return;
-  if (result.error) return Fail(result.local ? Failure::kLocal : Failure::kBroken, result.error);
+  if (result.error) return Fail(result.is_local ? Failure::kLocal : Failure::kBroken, result.error);
   history_.idle_since = Now();
   BeginRequest();
 }
@@ -206,7 +203,7 @@
   exchange_.request.on_response_started(std::move(head), std::move(stream));
 }
 
-// A read is under way, and goes on.
+// The read that is under way goes on.
 void UpstreamConnection::OnHoldBackTimer() {
   if (body_.collected() > 0) return StartStreaming();
   if (Now() >= exchange_.deadlines.response()) return Fail(Failure::kTimeout);
@@ -370,7 +367,8 @@
 
 // ---- Time ----
 
-// Before it completes: everything. A completion on its way when the timer is set anew finds the new time.
+// Before it completes: any other event. A completion that is on its way when the timer is set anew must not
+// be taken for the new one, so it looks at the time.
 void UpstreamConnection::ArmTimer(TimePoint at) {
   timer_.expires_at(ToSteady(at));
   timer_.async_wait([self = shared_from_this()](error_code error) {
@@ -380,8 +378,6 @@
   });
 }
 
-void UpstreamConnection::DisarmTimer() { timer_.expires_at(std::chrono::steady_clock::time_point::max()); }
-
 void UpstreamConnection::OnTimer() {
   switch (state_) {
     case State::kHoldingBackBody:
--- a/sidecar/upstream_connection.h
+++ b/sidecar/upstream_connection.h
@@ -11,6 +11,7 @@
 #include <cstdint>
 #include <memory>
 #include <optional>
+#include <utility>
 
 #include "balancer/balancer.h"
 #include "settings/config.h"
@@ -27,37 +28,45 @@
 
 struct UpstreamPool;
 
-// After a response the connection gets nothing new for this long. Upstreams have been seen to send a second
-// response some milliseconds after the first, which would be read as the response to the next request.
+// After a response the connection gets nothing new for this long. An upstream may send a second response
+// some milliseconds after the first, which would be read as the response to the next request.
 constexpr Duration kSecondAnswer = std::chrono::milliseconds(20);
 
-// A state machine. The request is written and the response read at the same time (full duplex), and a
-// response may begin before the request is complete; so the state follows the response, and the progress of
-// the request is RequestWriter's.
+// A state machine. The request is written and the response read at the same time, and a response may begin
+// before the request is complete; so the state follows the response, and how far the request has come is
+// RequestWriter's to say.
 //
-// | state             | what is under way               | leaves on (to) | | ----------------- |
-// ------------------------------- | ----------------------------------------------------- | | kNew | nothing;
-// connect() has begun    | Start (kConnecting)                                    | | kConnecting       |
-// connect(), timer                | connected (kAwaitingHead, or kIdle: nothing to send);  | | | | timer,
-// failure (kClosed)                               | | kAwaitingReuse    | timer to usable_from()          |
-// timer (kAwaitingHead, kIdle or kClosed)                | | kAwaitingHead     | head read, write, timer |
-// head (itself for an interim one, kCollectingBody,      | |                   | | kHoldingBackBody,
-// kStreamingBody); timer, failure      | | kCollectingBody   | body read, write, timer         | body
-// complete (kIdle, kClosed); over kMostBody         | |                   |                                 |
-// (kStreamingBody); timer, failure                       | | kHoldingBackBody  | body read, timer of the hold
-// | as kCollectingBody; timer (kStreamingBody, or itself   | |                   | | while nothing has come;
-// kClosed at the deadline)       | | kStreamingBody    | body read, timer of a stall     | body complete
-// (kIdle, kClosed); no capacity            | |                   |                                 |
-// (kStreamPaused); reader gone, timer, failure           | | kStreamPaused     | nothing read, no timer |
-// capacity (kStreamingBody, or the body is complete);    | |                   | | reader gone | | kIdle |
-// wait for bytes or a close       | Start (kAwaitingHead, kAwaitingReuse; kIdle where      | | | | nothing is
-// to be sent); bytes, close (kClosed)         | | kAwaitingWrite    | socket closed; a write's        | write
-// completed (kClosed)                              | |                   | completion is on its way        |
-// | | kClosed           | nothing                         | never |
+// clang-format off
+// | state            | Start    | connected | written     | head          | body part   | timer          |
+// | ---------------- | -------- | --------- | ----------- | ------------- | ----------- | -------------- |
+// | kNew             | connect  | -         | -           | -             | -           | -              |
+// | kConnecting      | -        | send      | -           | -             | -           | end            |
+// | kAwaitingReuse   | -        | -         | -           | -             | -           | send or end    |
+// | kAwaitingHead    | -        | -         | next piece  | examine       | -           | end            |
+// | kCollectingBody  | -        | -         | next piece  | -             | keep        | end            |
+// | kHoldingBackBody | -        | -         | -           | -             | keep        | stream or wait |
+// | kStreamingBody   | -        | -         | -           | -             | pass on     | end            |
+// | kStreamPaused    | -        | -         | -           | -             | -           | -              |
+// | kIdle            | send     | -         | -           | -             | -           | -              |
+// | kAwaitingWrite   | -        | -         | finish      | -             | -           | -              |
+// | kClosed          | -        | drop      | drop        | drop          | drop        | drop           |
 //
-// Cancel() and FailUnsent() are legal in each state; they change nothing in kNew, kIdle, kAwaitingWrite and
-// kClosed, and nothing runs in kClosed: completions that still arrive there return at once. An exchange that
-// fails goes to kAwaitingWrite where a write is under way, else to kClosed.
+//   connect     to kConnecting
+//   send        to kAwaitingHead, with the request's head on its way; to kAwaitingReuse while the connection is
+//               not usable yet; or to kIdle where there is nothing to send any more
+//   next piece  of a streamed request, as its body comes; after the last the time for the response runs
+//   examine     ResponseFraming says: the next head, kCollectingBody, kHoldingBackBody, kStreamingBody, or end
+//   keep        collect; beyond kMostBody stream a served response (to kStreamingBody) and end any other
+//   stream      to kStreamingBody, unless nothing of the body has come
+//   pass on     to the stream; to kStreamPaused, with no read under way, while it has no capacity
+//   end         the exchange without a response: close, and finish it in kClosed; first to kAwaitingWrite where
+//               a write's completion, which says whether the system took the bytes, is still on its way
+// clang-format on
+//
+// The last part of a body leads from each of the three body states to kIdle, or to kClosed where the
+// connection can't be used again. The stream's reader makes kStreamPaused go on, or, where it has gone, ends
+// the exchange. Errors, Cancel() and FailUnsent() end the exchange in each state that has one, and change
+// nothing in the others. Bytes or a close in kIdle lead to kClosed, and so does Close() everywhere.
 //
 // Owned by its own asynchronous steps, by the pool while idle and by Upstreams during an exchange.
 class UpstreamConnection : public std::enable_shared_from_this<UpstreamConnection> {
@@ -93,8 +102,8 @@
   void Cancel() { Fail(Failure::kCancelled); }
   // Ends an exchange that is unsent() as not sent and closes the connection.
   void FailUnsent() { Fail(Failure::kNotSent); }
-  // The request has been answered elsewhere: from now on nothing of it is written. An exchange whose response
-  // is awaited goes on, as its outcome tells something of the upstream.
+  // The request has been answered elsewhere: from now on nothing of it is written. An exchange
+  // without a write under way goes on, as its outcome tells something of the upstream.
   void AbandonUnsent();
   // Closes without an end of the exchange. Does nothing the second time.
   void Close();
@@ -129,6 +138,10 @@
   // Why an exchange ends without a response.
   enum class Failure { kBroken, kTimeout, kCancelled, kNotSent, kLocal };
   struct Exchange {
+    Exchange() = default;
+    Exchange(ExchangeId exchange, ExchangeRequest to_send, TimePoint now)
+        : id(exchange), request(std::move(to_send)), deadlines(request, now) {}
+
     ExchangeId id{};
     ExchangeRequest request;
     // False once AbandonUnsent() was called. Independent of the state: the connection comes up all the same.
@@ -177,7 +190,8 @@
   ExchangeRequest::OnFinished EndExchange(State next);
   ExchangeResult Result(lb::Outcome outcome) const;
   void ArmTimer(TimePoint at);
-  void DisarmTimer();
+  // A completion that is on its way finds that its time has not come.
+  void DisarmTimer() { timer_.expires_at(std::chrono::steady_clock::time_point::max()); }
   void DetachRequestBody();
   void Clear();
 
