--- a/sidecar/acceptor.cpp
+++ b/sidecar/acceptor.cpp
@@ -7,7 +7,7 @@
 namespace lb::sidecar {
 namespace {
 
-// Lost ones in a row that are passed over before the event loop gets its turn.
+// Lost connections in a row that are skipped before the event loop gets its turn.
 constexpr int kMostLostAtOnce = 16;
 
 // By accept(2): Linux hands errors of the new connection's network to the call, which are to be treated as if
--- a/sidecar/acceptor.h
+++ b/sidecar/acceptor.h
@@ -1,5 +1,5 @@
-// Takes connections from a listening socket, whatever accept() fails with: the one place that tells its
-// errors apart, and the loop that every listener of the program accepts by.
+// Accepts connections from a listening socket, whatever accept() fails with: the one place that tells its
+// errors apart, and the loop that every listening socket of the program is accepted from.
 #pragma once
 
 #include <unistd.h>
@@ -20,11 +20,11 @@
 
 namespace lb::sidecar {
 
-// What one accept() came to.
+// The result of one accept().
 enum class AcceptStatus {
   kTaken,
   kNothingWaits,
-  kConnectionLost,   // one connection's own trouble, or an interruption; the next may be well
+  kConnectionLost,   // a fault of that one connection, or an interruption; the next may succeed
   kProcessShortage,  // this process has no descriptor left; what waits stays in the backlog
   kSystemShortage,   // the machine has no descriptor or memory left; likewise
   kFailed,           // anything else
@@ -32,16 +32,16 @@
 
 struct AcceptResult {
   AcceptStatus status = AcceptStatus::kNothingWaits;
-  int descriptor = -1;  // of a taken one; the caller's
+  int descriptor = -1;  // of kTaken: owned by the caller
   boost::system::error_code error{};
 };
 
-// Takes one connection that waits. `listening` has to be non-blocking; so this never blocks. Connections that
-// were lost while they waited are passed over, a few at once.
+// Accepts one connection of the backlog. `listening` has to be non-blocking, so this never blocks.
+// Connections that were lost while they waited are skipped, up to a bound.
 AcceptResult AcceptOne(int listening);
 
-// Accepts for as long as its acceptor is open: no error ends it. After an error it waits a little, longer
-// from error to error in a row, so that one that stays costs next to nothing.
+// Accepts for as long as its acceptor is open: no error ends it. After an error it pauses, for a time that
+// doubles with each further error in a row (backoff), so that an error that persists costs next to nothing.
 template <typename Protocol>
 class AcceptLoop {
  public:
@@ -49,13 +49,14 @@
   using Socket = typename Protocol::socket;
 
   struct Owner {
-    // Makes sure that one more can be held. False: it can't; asked again soon. Null: it always can.
+    // Makes capacity for one more connection. False: there is none; called again soon. Null: there always is.
     std::function<bool()> ensure_capacity;
-    // Can one more be held with nothing closed for it? False: the next one is waited for first. Null: always.
+    // Is there capacity for one more with nothing closed for it? False: the next one is waited for first.
+    // Null: always.
     std::function<bool()> has_capacity;
-    // One more is taken; the socket is non-blocking.
+    // One more is accepted; the socket is non-blocking.
     std::function<void(Socket)> on_taken;
-    // This process ran out of descriptors: the owner may close what can be spared. Null: nothing can.
+    // The process ran out of descriptors: the owner may close a connection. Null: it has none to close.
     std::function<void()> on_process_shortage;
   };
 
@@ -82,7 +83,7 @@
     Wait();
   }
 
-  // Takes all that waits by now, whatever can be held. True: nothing waits any more.
+  // Accepts all of the backlog, whatever the capacity. True: nothing waits any more.
   bool TakeWaiting() {
     while (acceptor_.is_open()) {
       const auto status = TakeOne();
@@ -92,12 +93,14 @@
   }
 
  private:
+  // All connections are busy; one may end any moment.
   static constexpr Duration kNoCapacityPause = std::chrono::milliseconds(20);
   static constexpr Duration kFirstPause = std::chrono::milliseconds(5);
   static constexpr Duration kLongestPause = std::chrono::milliseconds(100);
   static constexpr Duration kLogEvery = std::chrono::seconds(1);
 
-  // Waits for a connection before anything is closed for it, and without a descriptor of its own.
+  // Waits for a connection before anything is closed for it, and without a descriptor reserved for it. May
+  // come first: a close of the acceptor, which ends the loop.
   void Wait() {
     acceptor_.async_wait(Acceptor::wait_read, [this](boost::system::error_code error) {
       if (error == boost::asio::error::operation_aborted || !acceptor_.is_open()) return;
@@ -106,6 +109,7 @@
     });
   }
 
+  // May come first: a close of the acceptor, which ends the loop when the pause is over.
   void WaitIn(Duration pause) {
     pause_.expires_after(pause);
     pause_.async_wait([this](boost::system::error_code error) {
@@ -123,11 +127,12 @@
     if (acceptor_.is_open()) Wait();
   }
 
-  // One that was accepted but could not be watched is not let go: it waits for the next turn.
+  // A connection that was accepted but could not be registered with the event loop is kept for the next call.
   AcceptStatus TakeOne() {
     AcceptResult result;
     if (unwatched_) {
-      result = {AcceptStatus::kTaken, *std::exchange(unwatched_, std::nullopt)};
+      result = {AcceptStatus::kTaken, *unwatched_};
+      unwatched_.reset();
     } else {
       result = AcceptOne(acceptor_.native_handle());
     }
@@ -154,14 +159,16 @@
     return result.status;
   }
 
-  // Logs the first in a while, and lengthens the pause. Returns the pause.
+  // Logs an error, one a second at most, and lengthens the pause. Returns the pause before this.
   Duration Failed(boost::system::error_code error) {
     const TimePoint now = Now();
     if (!logged_ || now - *logged_ >= kLogEvery) {
       log_.Line(what_ + ": " + error.message());
       logged_ = now;
     }
-    return std::exchange(next_pause_, std::min(2 * next_pause_, kLongestPause));
+    const Duration pause = next_pause_;
+    next_pause_ = std::min(2 * next_pause_, kLongestPause);
+    return pause;
   }
 
   boost::asio::io_context& io_;
@@ -173,7 +180,7 @@
   boost::asio::steady_timer pause_;
   Duration next_pause_ = kFirstPause;
   std::optional<TimePoint> logged_;
-  std::optional<int> unwatched_;
+  std::optional<int> unwatched_;  // accepted, and not registered with the event loop
 };
 
 }  // namespace lb::sidecar
--- a/sidecar/body_stream.h
+++ b/sidecar/body_stream.h
@@ -1,4 +1,5 @@
-// A body on its way from one connection to another, of which only a piece is held.
+// A body that is streamed from one connection to another. Holds at most about its capacity: a slow reader
+// must not make the sidecar buffer the whole body.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -16,80 +17,83 @@
 
 namespace lb::sidecar {
 
-// One side puts pieces in while there is room, the other takes them out. Each hears of the other by its hook,
-// from the event loop and never from within a call, and takes its hook away before it goes.
+// The writer puts pieces in while there is capacity, the reader takes them out. Each is told of the other by
+// its hook, from the event loop and never from within a call, and clears its hook before it is destroyed.
 class BodyStream : public std::enable_shared_from_this<BodyStream> {
  public:
   using Hook = std::function<void()>;
 
-  // `length`: of the whole body, where it is known.
+  // `capacity`: bytes held before the writer has to wait. `length`: of the whole body, where it is known
+  // ahead.
   BodyStream(boost::asio::io_context& io, std::size_t capacity, boost::optional<std::uint64_t> length)
       : io_(io), capacity_(capacity), length_(length) {}
 
   boost::optional<std::uint64_t> length() const { return length_; }
 
-  // ---- Of the side that puts ----
+  // ---- The writer's side ----
 
-  Hook on_capacity;  // there is room again, or the other side has left
+  Hook on_capacity;  // there is capacity again, or the reader has left
   bool HasCapacity() const { return held_.size() < capacity_; }
   void Write(const char* bytes, std::size_t size) {
     held_.append(bytes, size);
-    Tell(&BodyStream::on_data);
+    PostHook(&BodyStream::on_data);
   }
-  // When more of it was last known to be still to be sent; asked while it is not known to be sent whole.
+  // When more of the body was last known to be still incoming; asked while it is not known to be sent whole.
   std::function<TimePoint()> last_seen_incoming;
-  // Its last byte was sent at `at`, or soon after; the rest of it may still have to be read. The first call
-  // counts.
+  // The peer sent the last byte at `at`, or soon after; the rest may still have to be read from the socket.
+  // The first call counts.
   void MarkSent(TimePoint at) {
     if (sent_at_) return;
     sent_at_ = at;
-    Tell(&BodyStream::on_sent_);
+    PostHook(&BodyStream::on_sent_);
   }
   void Finish() {
     finished_ = true;
-    Tell(&BodyStream::on_data);
+    PostHook(&BodyStream::on_data);
   }
-  // It will never be whole.
+  // The body will never be complete.
   void AbortByWriter() {
     broken_ = !finished_;
-    Tell(&BodyStream::on_data);
+    PostHook(&BodyStream::on_data);
   }
   bool left() const { return left_; }
 
-  // ---- Of the side that takes ----
+  // ---- The reader's side ----
 
   Hook on_data;  // there is more, or the end of it
-  // For whoever counts the time: called when all of it has been sent, also where that was before.
+  // `hook` is called when all of the body has been sent, also where that was before: a response time runs
+  // from there.
   void NotifyWhenSent(Hook hook) {
     on_sent_ = std::move(hook);
-    if (sent_at_) Tell(&BodyStream::on_sent_);
+    if (sent_at_) PostHook(&BodyStream::on_sent_);
   }
   std::optional<TimePoint> sent_at() const { return sent_at_; }
-  // The last byte was not sent before this time.
+  // The peer did not send the last byte before this time.
   TimePoint LastByteNotBefore() const {
     return sent_at_ ? *sent_at_ : last_seen_incoming ? last_seen_incoming() : Now();
   }
   std::string Read() {
     consumed_ = consumed_ || !held_.empty();
-    Tell(&BodyStream::on_capacity);
+    PostHook(&BodyStream::on_capacity);
     return std::exchange(held_, {});
   }
   bool ended() const { return finished_ && held_.empty(); }
   bool broken() const { return broken_; }
   bool finished() const { return finished_; }
-  // Something was taken: the whole of it can't be had again.
+  // Something was read: the body can't be sent to another upstream.
   bool consumed() const { return consumed_; }
   void AbandonByReader() {
     left_ = true;
-    Tell(&BodyStream::on_capacity);
+    PostHook(&BodyStream::on_capacity);
   }
 
  private:
-  void Tell(Hook BodyStream::*hook) {
+  void PostHook(Hook BodyStream::*hook) {
     if (!((*this).*hook)) return;
     boost::asio::post(io_, [self = shared_from_this(), hook] {
-      // The one who hears may take the hook away while it runs.
-      if (const Hook told = (*self).*hook) told();
+      // The hook may be cleared while it runs, so a copy is called.
+      const Hook called = (*self).*hook;
+      if (called) called();
     });
   }
 
--- a/sidecar/socket_io.h
+++ b/sidecar/socket_io.h
@@ -23,7 +23,7 @@
   boost::system::error_code error{};
 };
 
-// Is this the machine's own shortage, which passes, and no word about the connection?
+// True for a shortage of memory of this machine: it passes, and says nothing about the connection.
 bool IsShortage(const boost::system::error_code& error);
 
 IoResult ReadSome(int socket, void* bytes, std::size_t size);
--- a/sidecar/write_stream.h
+++ b/sidecar/write_stream.h
@@ -1,6 +1,6 @@
-// Writing on a socket for the composed operations of Asio and Beast. Asio itself takes a short write for a
-// full buffer and then waits for an edge of epoll, which never comes where there still is room; and it hands
-// a passing shortage of memory on as if the connection were broken.
+// Writes on a socket for the composed operations of Asio and Beast: the counterpart of SocketReader. Asio
+// itself takes a short write for a full send buffer and waits for an edge of epoll, which never comes while
+// there is capacity; and it reports a passing shortage of memory as if the connection were broken.
 #pragma once
 
 #include <sys/uio.h>
@@ -25,7 +25,7 @@
 class WriteStream {
  public:
   using Socket = boost::asio::ip::tcp::socket;
-  using executor_type = Socket::executor_type;
+  using executor_type = Socket::executor_type;  // NOLINT(readability-identifier-naming): Asio's name
 
   explicit WriteStream(Socket& socket) : socket_(socket), pause_(socket.get_executor()) {}
 
@@ -40,7 +40,9 @@
   }
 
  private:
-  static constexpr std::size_t kMostParts = 16;  // of one write; the rest is left for the next
+  // Buffers of one write; the rest is left for the next one.
+  static constexpr std::size_t kMostParts = 16;
+  // After ENOBUFS or ENOMEM the socket is writable, so an immediate retry would only spin.
   static constexpr auto kShortagePause = std::chrono::milliseconds(5);
 
   class Write {
@@ -60,6 +62,7 @@
       result_ = count_ > 0 ? WriteParts(stream_->socket_.native_handle(), parts_.data(), count_)
                            : IoResult{IoStatus::kDone};
       WriteStream& stream = *stream_;  // this is moved away below
+      // May come first, in each of the three: a close of the socket, which ends the wait with an error.
       if (result_.status == IoStatus::kWouldBlock) {
         stream.socket_.async_wait(Socket::wait_write, std::move(operation));
       } else if (result_.status == IoStatus::kShortage) {
