--- /dev/null
+++ b/sidecar/client_connection.cpp
@@ -0,0 +1,343 @@
+// Lifetime of a client connection, the listener's events, client bytes and the end of sending. The request
+// and response are in client_connection_exchange.cpp.
+#include "sidecar/client_connection.h"
+
+#include <linux/sockios.h>
+#include <poll.h>
+#include <sys/ioctl.h>
+
+#include <boost/asio/post.hpp>
+#include <boost/asio/socket_base.hpp>
+#include <chrono>
+
+#include "sidecar/socket_io.h"
+
+namespace lb::sidecar {
+namespace {
+
+using boost::asio::ip::tcp;
+using boost::beast::string_view;
+using boost::system::error_code;
+using std::chrono::milliseconds;
+
+// Bytes read at a time: more than usual requests have, less than would make other connections wait.
+constexpr std::size_t kReadSize = 8192;
+// While a full buffer keeps the connection from being read, the client's end and its last byte are looked for
+// so often: often enough to cancel a request soon, seldom enough to cost nothing.
+constexpr Duration kUnreadCheckInterval = milliseconds(50);
+constexpr string_view kEvictionResponse =
+    "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
+
+}  // namespace
+
+ClientConnection::ClientConnection(ClientConnectionContext& context, tcp::socket socket)
+    : context_(&context),
+      descriptor_slot_(std::in_place, context.descriptors, Descriptors::Side::kClient),
+      socket_(std::move(socket)),
+      reader_(socket_),
+      writer_(socket_, [this](ResponseWriter::Outcome outcome) { HandleResponseWritten(outcome); }),
+      probe_(socket_, writer_),
+      unread_check_(context.io),
+      body_({[this] { return IsMoreOfBodyIncoming(); }, [this] { HandleBodyCapacity(); }}) {
+  buffer_.max_size(kMostRead);
+  activity_.since = Now();
+}
+
+void ClientConnection::Start() {
+  writer_.SetOwner(weak_from_this());
+  Read();
+}
+
+void ClientConnection::Close() {
+  if (state_ == State::kClosed) return;
+  state_ = State::kClosed;
+  error_code ignored;
+  socket_.close(ignored);
+  probe_.Cancel();
+  unread_check_.cancel();
+  descriptor_slot_.reset();
+  body_.Abort();
+  writer_.Abandon();
+  if (context_ != nullptr) context_->on_closed(shared_from_this());
+  NotifyDisconnected();
+}
+
+void ClientConnection::Drop() {
+  context_ = nullptr;
+  on_disconnected_ = nullptr;
+  Close();
+}
+
+// An orderly close could be taken for the end of the response.
+void ClientConnection::Reset() {
+  error_code ignored;
+  socket_.set_option(boost::asio::socket_base::linger(true, 0), ignored);
+  Close();
+}
+
+void ClientConnection::NotifyDisconnected() {
+  const OnDisconnected notify = std::move(on_disconnected_);
+  on_disconnected_ = nullptr;
+  if (notify) notify();
+}
+
+// ---- Events of the listener ----
+
+void ClientConnection::EndIdle() {
+  if (!HasAnyRequestBegun()) return Reject({http::status::service_unavailable, "draining"});
+  close_after_response_ = true;
+  StartLinger();
+  Read();
+}
+
+void ClientConnection::Evict() {
+  const bool expects_response = HasRequestBegun() || !HasAnyRequestBegun();
+  if (state_ == State::kReadingRequest && expects_response) writer_.WriteNow(kEvictionResponse);
+  Close();
+}
+
+void ClientConnection::HandleDeadline(TimePoint now) {
+  const Duration age = now - activity_.since;
+  if (body_.IsStreaming() || (state_ == State::kReadingRequest && HasRequestBegun())) {
+    if (!IsRequestOverdue(now) || HasUnreadBytes()) return;
+    return Reject({http::status::request_timeout, "request did not come in time"});
+  }
+  switch (state_) {
+    case State::kReadingRequest:
+      // Answered, not only closed: a first request that crosses this has its response.
+      if (HasAnyRequestBegun() || age <= kFirstRequestTimeout || HasUnreadBytes()) return;
+      return Reject({http::status::request_timeout, "no request came in time"});
+    case State::kLingering:
+      if (age > linger_.timeout) Close();
+      return;
+    case State::kWritingResponse:
+      if (!writer_.IsStreaming()) {
+        if (IsResponseStalled(activity_, writer_.whole_body_size(), now)) Close();
+      } else if (writer_.IsPieceBeingWritten() && now - writer_.piece_began_at() > kStreamWriteTimeout) {
+        Reset();
+      }
+      return;
+    case State::kAwaitingResponse:
+    case State::kClosed:
+      return;
+  }
+}
+
+// A streamed request that waits for capacity is not overdue: the upstream is slow, not the client.
+bool ClientConnection::IsRequestOverdue(TimePoint now) const {
+  if (body_.IsStreaming() && (body_.IsWaitingForCapacity() || !body_.HasCapacity())) return false;
+  return IsRequestStalled(activity_, now);
+}
+
+bool ClientConnection::HasUnreadBytes() {
+  error_code error;
+  return socket_.available(error) > 0 && !error;
+}
+
+bool ClientConnection::HasUnsentBytes() {
+  int size = 0;
+  return ::ioctl(socket_.native_handle(), SIOCOUTQ, &size) == 0 && size > 0;
+}
+
+// ---- Client bytes ----
+
+void ClientConnection::Read() {
+  if (reader_.IsReading() || state_ == State::kClosed || sending_ended_) return;
+  if (buffer_.size() == buffer_.max_size()) return ScheduleUnreadCheck();
+  // May come first: any other event, as a read is pending in all states. After a close it ends with an error.
+  reader_.Read(buffer_, kReadSize,
+               [self = shared_from_this()](const IoResult& result) { self->HandleReadResult(result); });
+}
+
+void ClientConnection::HandleReadResult(const IoResult& result) {
+  if (state_ == State::kClosed) return;
+  if (result.status == IoStatus::kBroken) return Close();
+  if (result.status == IoStatus::kEnd) {
+    sending_ended_ = true;
+    return HandleSendingEnded();
+  }
+  ProcessBufferedBytes();
+}
+
+void ClientConnection::ProcessBufferedBytes() {
+  if (state_ == State::kLingering) {
+    linger_.RecordDiscarded(buffer_.size());
+    buffer_.consume(buffer_.size());
+    if (linger_.IsOverLimit()) return Close();
+  }
+  ParseRequest();
+  RecordLastByteTime();
+  HandleSendingEnded();
+  Read();
+}
+
+void ClientConnection::ParseRequest() {
+  while ((state_ == State::kReadingRequest || body_.IsStreaming()) && buffer_.size() > 0) {
+    if (body_.IsStreaming() && !body_.HasCapacity()) return body_.WaitForCapacity();
+    const bool is_first_request = !HasAnyRequestBegun();
+    RequestFraming::Piece piece;
+    const RequestFraming::Step step = framing_.Next(buffer_, piece);
+    // A first request has its time from the connection's start.
+    if (step.request_began && !is_first_request) activity_.since = Now();
+    if (step.outcome == RequestFraming::Outcome::kFault) return Reject(step.fault);
+    if (step.head_complete) SendContinueIfExpected();
+    if (!step.body.empty()) HandleBodyBytes(step.body);
+    // A streamed request may have its response already.
+    if (state_ != State::kReadingRequest && !body_.IsStreaming()) return;
+    if (step.outcome == RequestFraming::Outcome::kRequestComplete) return HandleRequestComplete();
+    if (step.outcome == RequestFraming::Outcome::kNeedsBytes) return;
+  }
+}
+
+// A client that asked whether to go on waits for this before it sends the body (RFC 9110, 10.1.1).
+void ClientConnection::SendContinueIfExpected() {
+  if (boost::beast::iequals(framing_.head()[http::field::expect], "100-continue")) writer_.WriteContinue();
+}
+
+void ClientConnection::HandleBodyBytes(string_view bytes) {
+  activity_.body_bytes += bytes.size();
+  activity_.last_body_byte_at = Now();
+  body_.Append(bytes);
+  if (body_.IsTooLargeToHold()) BeginStreamedRequest();
+}
+
+void ClientConnection::BeginStreamedRequest() {
+  const Body stream = body_.StartStream(context_->io, context_->body_capacity, framing_.content_length(),
+                                        activity_.last_body_byte_at, weak_from_this());
+  HttpRequest request;
+  request.base() = framing_.head();
+  HandleRequest(std::move(request), stream);
+  body_.DiscardHeld();
+}
+
+void ClientConnection::HandleRequestComplete() {
+  const std::optional<RequestFault> fault = framing_.CheckComplete(BufferedBytes());
+  if (fault) return Reject(*fault);
+  if (body_.IsStreaming()) return body_.Finish();
+  HttpRequest request;
+  request.base() = framing_.TakeHead();
+  request.body() = body_.TakeHeld();
+  HandleRequest(std::move(request), nullptr);
+}
+
+// The stream of a request's body can take more, or its reader has left.
+void ClientConnection::HandleBodyCapacity() {
+  if (body_.IsWaitingForCapacity()) {
+    body_.EndWaitForCapacity();
+    // The client could not send while its bytes waited: its time runs anew.
+    activity_.since = Now();
+    activity_.last_body_byte_at = activity_.since;
+    activity_.body_bytes = 1;
+  }
+  ProcessBufferedBytes();
+}
+
+string_view ClientConnection::BufferedBytes() const {
+  return {static_cast<const char*>(buffer_.data().data()), buffer_.data().size()};
+}
+
+// ---- End of sending ----
+
+// What was read ahead of the end of sending is parsed and passed on first. Then there is a response to wait
+// for, or nothing. While a response is written, that write tells whether the client is connected.
+void ClientConnection::HandleSendingEnded() {
+  if (!sending_ended_) return;
+  switch (state_) {
+    case State::kWritingResponse:
+    case State::kClosed:
+      return;
+    case State::kReadingRequest:
+    case State::kLingering:
+      return Close();  // the rest of a request will not come
+    case State::kAwaitingResponse:
+      if (body_.IsStreaming() && body_.HasCapacity()) return Close();  // nor the rest of its body
+      return SendHalfCloseProbe();
+  }
+}
+
+void ClientConnection::SendHalfCloseProbe() {
+  if (probe_.state() != HalfCloseProbe::State::kNotSent) return;
+  unread_check_.cancel();
+  // May come first: the response, which is written; more bytes, which are kept; a close, which cancels the
+  // probe.
+  const bool sent = probe_.Send(
+      [self = shared_from_this()](HalfCloseProbe::Result result) { self->HandleProbeResult(result); });
+  if (!sent) Close();
+}
+
+void ClientConnection::HandleProbeResult(HalfCloseProbe::Result result) {
+  if (state_ == State::kClosed) return;
+  if (result == HalfCloseProbe::Result::kConnectionOver) return Close();
+  if (unprobed_request_) {
+    auto [request, body] = std::move(*unprobed_request_);
+    unprobed_request_.reset();
+    PassToHandler(std::move(request), std::move(body));
+  }
+  if (state_ != State::kClosed) Read();
+}
+
+// Posted, as the caller of CheckClient() is in the middle of a decision that a close would change.
+void ClientConnection::PostHalfCloseProbe() {
+  probe_.DiscardResult();
+  // May come first: the response, after which no probe is needed, or a close.
+  boost::asio::post(context_->io, [self = shared_from_this()] {
+    if (self->state_ == State::kAwaitingResponse) self->SendHalfCloseProbe();
+  });
+}
+
+// As the kernel has it now, also where bytes ahead of the client's end are unread. Earlier results don't
+// count: the process may have been suspended since.
+ClientPresence ClientConnection::CheckClient() {
+  if (state_ == State::kClosed) return ClientPresence::kGone;
+  if (probe_.IsResultStale(Now())) PostHalfCloseProbe();
+  if (probe_.state() == HalfCloseProbe::State::kNotSent && !sending_ended_) {
+    const IoStatus status = Peek(socket_.native_handle()).status;
+    if (status == IoStatus::kBroken) return ClientPresence::kGone;
+    if (status == IoStatus::kWouldBlock) return ClientPresence::kConnected;
+    const bool may_end_behind_unread = status != IoStatus::kEnd;
+    if (may_end_behind_unread && PollNow(socket_.native_handle(), POLLRDHUP) == 0) {
+      return ClientPresence::kConnected;
+    }
+  }
+  if (IsConnectionOver(socket_)) return ClientPresence::kGone;
+  const bool connected = probe_.state() == HalfCloseProbe::State::kClientConnected;
+  return connected ? ClientPresence::kConnected : ClientPresence::kUnknown;
+}
+
+// With no capacity to read, the client's end is looked for behind what is unread, unless it is known or being
+// probed.
+void ClientConnection::ScheduleUnreadCheck() {
+  if (state_ != State::kAwaitingResponse || probe_.state() == HalfCloseProbe::State::kOutstanding) return;
+  const bool last_byte_known = !body_.IsStreaming() || body_.IsKnownToBeSent();
+  if (probe_.state() == HalfCloseProbe::State::kClientConnected && last_byte_known) return;
+  unread_check_.expires_after(kUnreadCheckInterval);
+  // May come first: capacity for the body, after which bytes are read again; the response; a probe or a
+  // close, which cancel this.
+  unread_check_.async_wait([self = shared_from_this()](error_code stopped) {
+    if (!stopped && self->state_ != State::kClosed) self->HandleUnreadCheck();
+  });
+}
+
+void ClientConnection::HandleUnreadCheck() {
+  if (buffer_.size() < buffer_.max_size()) return;
+  if (state_ == State::kAwaitingResponse) {
+    RecordLastByteTime();
+    const bool probed = probe_.state() != HalfCloseProbe::State::kNotSent;
+    if (!probed && CheckClient() != ClientPresence::kConnected) return SendHalfCloseProbe();
+  }
+  ScheduleUnreadCheck();
+}
+
+// Known where the body's length is: is some of it neither read nor in the kernel's buffer?
+bool ClientConnection::IsMoreOfBodyIncoming() {
+  error_code error;
+  const std::size_t unparsed = buffer_.size() + socket_.available(error);
+  const auto remaining = framing_.content_length_remaining();
+  return remaining ? *remaining > unparsed : unparsed == 0;
+}
+
+void ClientConnection::RecordLastByteTime() {
+  body_.RecordLastByteTime(sending_ended_ || framing_.content_length_remaining());
+}
+
+}  // namespace lb::sidecar
--- a/sidecar/http.cpp
+++ b/sidecar/http.cpp
@@ -7,43 +7,6 @@
 
 namespace lb::sidecar {
 
-namespace {
-
-bool MayBegin(boost::beast::string_view bytes, boost::beast::string_view method) {
-  const auto size = std::min(bytes.size(), method.size());
-  return bytes.substr(0, size) == method.substr(0, size);
-}
-
-}  // namespace
-
-Head LookAtHead(boost::beast::string_view bytes, std::size_t& scanned) {
-  if (!MayBegin(bytes, "GET ") && !MayBegin(bytes, "POST ")) return Head::kBad;
-  // Each line end is judged with the byte behind it, so the last byte waits for the next look.
-  for (; scanned + 1 < bytes.size(); ++scanned) {
-    const char c = bytes[scanned];
-    const char next = bytes[scanned + 1];
-    if (c == '\0' || (c == '\r') != (next == '\n')) return Head::kBad;
-    if (c != '\n') continue;
-    if (next == ' ' || next == '\t') return Head::kBad;  // a folded header
-    if (next == '\r' && scanned + 2 < bytes.size())
-      return bytes[scanned + 2] == '\n' ? Head::kWhole : Head::kBad;
-    if (next == '\r') return Head::kPartial;
-  }
-  return bytes.size() < kMostHeader ? Head::kPartial : Head::kBad;
-}
-
-std::size_t EmptyLine(boost::beast::string_view bytes) {
-  if (bytes.empty() || bytes[0] != '\r') return 0;
-  return bytes.size() > 1 && bytes[1] == '\n' ? 2 : 1;
-}
-
-boost::beast::string_view OriginForm(boost::beast::string_view target) {
-  static constexpr boost::beast::string_view kScheme = "http://";
-  if (!boost::beast::iequals(target.substr(0, kScheme.size()), kScheme)) return target;
-  const auto path = target.find('/', kScheme.size());
-  return path == boost::beast::string_view::npos ? "/" : target.substr(path);
-}
-
 const char* FramingFault(const http::request_header<>& header) {
   if (header.version() != 10 && header.version() != 11) return "unknown version";
   const auto codings = header.count(http::field::transfer_encoding);
--- /dev/null
+++ b/tests/sidecar/request_framing_test.cpp
@@ -0,0 +1,177 @@
+// Request framing by bytes alone: where requests begin and end, and what is refused.
+#include "sidecar/request_framing.h"
+
+#include <boost/asio/buffer.hpp>
+#include <boost/beast/core/flat_buffer.hpp>
+#include <string>
+
+#include "gtest/gtest.h"
+
+namespace lb::sidecar {
+namespace {
+
+using Outcome = RequestFraming::Outcome;
+
+// Feeds bytes to the framing as a connection would, up to the end of one request, a fault, or the end of the
+// bytes.
+class RequestFramingTest : public ::testing::Test {
+ protected:
+  void Receive(const std::string& bytes) {
+    buffer_.commit(boost::asio::buffer_copy(buffer_.prepare(bytes.size()), boost::asio::buffer(bytes)));
+  }
+
+  Outcome Frame() {
+    outcome_ = Outcome::kNeedsBytes;
+    while (buffer_.size() > 0) {
+      RequestFraming::Piece piece;
+      const auto step = framing_.Next(buffer_, piece);
+      body_.append(step.body.data(), step.body.size());
+      fault_ = step.fault;
+      outcome_ = step.outcome;
+      if (outcome_ != Outcome::kMoved) break;
+    }
+    return outcome_;
+  }
+
+  Outcome Frame(const std::string& bytes) {
+    Receive(bytes);
+    return Frame();
+  }
+
+  boost::beast::flat_buffer buffer_{kMostRead};
+  RequestFraming framing_;
+  std::string body_;
+  RequestFault fault_;
+  Outcome outcome_ = Outcome::kNeedsBytes;
+};
+
+const std::string kGet = "GET /page/k HTTP/1.1\r\nHost: x\r\n\r\n";
+
+std::string Post(const std::string& headers, const std::string& body) {
+  return "POST /submit/k HTTP/1.1\r\nHost: x\r\n" + headers + "\r\n" + body;
+}
+
+TEST_F(RequestFramingTest, EndsARequestWithoutABodyAtItsHead) {
+  EXPECT_EQ(Frame(kGet), Outcome::kRequestComplete);
+  EXPECT_EQ(framing_.head().target(), "/page/k");
+  EXPECT_EQ(buffer_.size(), 0U);
+}
+
+TEST_F(RequestFramingTest, LeavesThePipelinedRequestInTheBuffer) {
+  Receive(kGet + kGet);
+
+  EXPECT_EQ(Frame(), Outcome::kRequestComplete);
+  EXPECT_EQ(buffer_.size(), kGet.size());
+  framing_.StartRequest();
+  EXPECT_EQ(Frame(), Outcome::kRequestComplete);
+}
+
+TEST_F(RequestFramingTest, TakesAHeadThatComesByteByByte) {
+  for (std::size_t i = 0; i + 1 < kGet.size(); ++i) {
+    ASSERT_EQ(Frame(kGet.substr(i, 1)), Outcome::kNeedsBytes) << i;
+  }
+
+  EXPECT_EQ(Frame(kGet.substr(kGet.size() - 1)), Outcome::kRequestComplete);
+}
+
+TEST_F(RequestFramingTest, TakesABodyByItsLength) {
+  EXPECT_EQ(Frame(Post("Content-Length: 5\r\n", "hello")), Outcome::kRequestComplete);
+  EXPECT_EQ(body_, "hello");
+}
+
+TEST_F(RequestFramingTest, TellsWhatOfABodyIsStillToCome) {
+  EXPECT_EQ(Frame(Post("Content-Length: 5\r\n", "he")), Outcome::kMoved);
+  EXPECT_EQ(framing_.content_length_remaining().value_or(0), 3U);
+}
+
+TEST_F(RequestFramingTest, TakesAChunkedBodyAndItsTrailers) {
+  EXPECT_EQ(Frame(Post("Transfer-Encoding: chunked\r\n", "3\r\nabc\r\n2\r\nde\r\n0\r\nX-T: 1\r\n\r\n")),
+            Outcome::kRequestComplete);
+  EXPECT_EQ(body_, "abcde");
+  EXPECT_FALSE(framing_.CheckComplete({}));
+}
+
+TEST_F(RequestFramingTest, PassesOverOneEmptyLineAheadOfARequest) {
+  EXPECT_EQ(Frame("\r\n"), Outcome::kMoved);
+  EXPECT_FALSE(framing_.HasRequestBegun());
+  EXPECT_EQ(Frame(kGet), Outcome::kRequestComplete);
+}
+
+TEST_F(RequestFramingTest, PassesOverAnEmptyLineThatComesInTwoParts) {
+  EXPECT_EQ(Frame("\r"), Outcome::kNeedsBytes);
+  EXPECT_EQ(Frame("\n" + kGet), Outcome::kRequestComplete);
+}
+
+TEST_F(RequestFramingTest, RefusesASecondEmptyLine) {
+  EXPECT_EQ(Frame("\r\n\r\n" + kGet), Outcome::kFault);
+  EXPECT_EQ(fault_.reason, "bad request head");
+}
+
+TEST_F(RequestFramingTest, NotesThatARequestHasBegun) {
+  EXPECT_FALSE(framing_.HasAnyRequestBegun());
+
+  Frame("GE");
+  EXPECT_TRUE(framing_.HasRequestBegun());
+  framing_.StartRequest();
+
+  EXPECT_FALSE(framing_.HasRequestBegun());
+  EXPECT_TRUE(framing_.HasAnyRequestBegun());
+}
+
+TEST_F(RequestFramingTest, RefusesAnAnnouncedBodyBeyondTheLimit) {
+  const std::string length = std::to_string(kMostPassing + 1);
+
+  EXPECT_EQ(Frame(Post("Content-Length: " + length + "\r\n", "")), Outcome::kFault);
+  EXPECT_EQ(fault_.status, http::status::payload_too_large);
+}
+
+TEST_F(RequestFramingTest, RefusesAHeadBeyondTheLimit) {
+  EXPECT_EQ(Frame("GET /page/k HTTP/1.1\r\nX: " + std::string(kMostHeader, 'x')), Outcome::kFault);
+  EXPECT_EQ(fault_.status, http::status::bad_request);
+}
+
+TEST_F(RequestFramingTest, RefusesBytesBehindABodyThatBeginNoRequest) {
+  Frame(Post("Content-Length: 2\r\n", "hello"));
+
+  const auto fault = framing_.CheckComplete("llo");
+
+  ASSERT_TRUE(fault);
+  EXPECT_EQ(fault->reason, "no request behind the body");
+}
+
+struct RefusedRequest {
+  std::string name;
+  std::string bytes;
+};
+
+class RefusedFraming : public RequestFramingTest, public ::testing::WithParamInterface<RefusedRequest> {};
+
+TEST_P(RefusedFraming, EndsAsABadRequest) {
+  EXPECT_EQ(Frame(GetParam().bytes), Outcome::kFault);
+  EXPECT_EQ(fault_.status, http::status::bad_request);
+}
+
+INSTANTIATE_TEST_SUITE_P(
+    RequestFraming, RefusedFraming,
+    ::testing::Values(
+        RefusedRequest{"UnservedMethod", "PUT /k HTTP/1.1\r\nHost: x\r\n\r\n"},
+        RefusedRequest{"BareLineFeed", "GET /k HTTP/1.1\nHost: x\r\n\r\n"},
+        RefusedRequest{"BareCarriageReturn", "GET /k HTTP/1.1\rHost: x\r\n\r\n"},
+        RefusedRequest{"FoldedHeader", "GET /k HTTP/1.1\r\nX: a\r\n b\r\n\r\n"},
+        RefusedRequest{"ZeroByte", std::string("GET /k HTTP/1.1\r\nX: \0a\r\n\r\n", 26)},
+        RefusedRequest{"LengthAndCoding",
+                       Post("Content-Length: 1\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n")},
+        RefusedRequest{"TwoLengths", Post("Content-Length: 1\r\nContent-Length: 1\r\n", "x")},
+        RefusedRequest{"SignedLength", Post("Content-Length: +1\r\n", "x")},
+        RefusedRequest{"UnknownCoding", Post("Transfer-Encoding: gzip\r\n", "x")},
+        RefusedRequest{"CodingInHttp10", "POST /k HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"}),
+    [](const auto& refused) { return refused.param.name; });
+
+TEST(OriginForm, LeavesOutSchemeAndServer) {
+  EXPECT_EQ(OriginForm("http://host:80/page/k?q=1"), "/page/k?q=1");
+  EXPECT_EQ(OriginForm("HTTP://host"), "/");
+  EXPECT_EQ(OriginForm("/page/k"), "/page/k");
+}
+
+}  // namespace
+}  // namespace lb::sidecar
