--- a/tests/operator_state_test.cpp
+++ b/tests/operator_state_test.cpp
@@ -128,8 +128,8 @@
   std::set<std::string> told;
   Break();
   process.store.StopDraining();
-  process.store.NotifyAll([&](const StoredOverride& stored, OverrideAction action) {
-    told.insert(ToLine({stored, action}));
+  process.store.NotifyAll([&](const StoredOverride& operator_override, OverrideAction action) {
+    told.insert(ToLine({operator_override, action}));
   });
   EXPECT_EQ(told, std::set<std::string>{"-drained\n"}) << "what can't be removed from the folder is told";
 }
