--- a/settings/config.cpp
+++ b/settings/config.cpp
@@ -18,8 +18,8 @@
 // Fewer leave too little beside what is always open (Descriptors::kFixed) and the admin interface.
 constexpr std::size_t kLeastSockets = 64;
 // Bytes held of one streamed body. The least is a page; the most is what a connection reads at once.
-constexpr std::size_t kLeastStreamCapacity = 4 * 1024;
-constexpr std::size_t kMostStreamCapacity = 32 * 1024;
+constexpr std::size_t kLeastStreamCapacity = std::size_t{4} * 1024;
+constexpr std::size_t kMostStreamCapacity = std::size_t{32} * 1024;
 
 std::string Variable(const std::function<const char*(const char*)>& variable, const char* name) {
   const char* value = variable(name);
--- a/sidecar/discovery_call.cpp
+++ b/sidecar/discovery_call.cpp
@@ -10,7 +10,7 @@
 using boost::system::error_code;
 
 // Bounds a list, in bytes: a response beyond it is damaged.
-constexpr std::uint64_t kMostListSize = 4 * 1024 * 1024;
+constexpr std::uint64_t kMostListSize = std::uint64_t{4} * 1024 * 1024;
 
 }  // namespace
 
--- a/sidecar/neighbour_process.cpp
+++ b/sidecar/neighbour_process.cpp
@@ -14,7 +14,7 @@
 
 // Bounds what is held of a line that does not end, in bytes. An override's stored form and its sign are
 // shorter.
-constexpr std::size_t kLongestLine = 128 * 1024;
+constexpr std::size_t kLongestLine = std::size_t{128} * 1024;
 
 }  // namespace
 
--- a/sidecar/stored_override.h
+++ b/sidecar/stored_override.h
@@ -29,6 +29,7 @@
   Kind kind() const { return kind_; }
   const std::string& upstream() const { return upstream_; }  // of kUpstreamDisabled
 
+  // NOLINTNEXTLINE(modernize-use-nullptr): finds a comparison with 0 that the compiler writes.
   auto operator<=>(const StoredOverride&) const = default;
 
  private:
@@ -51,6 +52,6 @@
 bool IsLongFileName(const std::string& name);
 
 // Bounds the contents of such a file, in bytes.
-inline constexpr std::size_t kLongestStoredForm = 64 * 1024;
+inline constexpr std::size_t kLongestStoredForm = std::size_t{64} * 1024;
 
 }  // namespace lb::sidecar
