--- a/lab/real/sidecar_config.cpp
+++ b/lab/real/sidecar_config.cpp
@@ -31,7 +31,7 @@
 constexpr Duration kStartPatience = std::chrono::seconds(10);
 constexpr Duration kAnswerPatience = std::chrono::seconds(1);
 constexpr std::size_t kLogShown = 500;  // bytes of the log's end in an error
-constexpr char kListeningMark[] = ": listening on ";
+constexpr char kListeningMark[] = ": listening address=";
 
 const char* Name(lb::Idempotency idempotency) {
   switch (idempotency) {
--- a/sidecar/attempt_launcher.cpp
+++ b/sidecar/attempt_launcher.cpp
@@ -7,8 +7,11 @@
 #include <cstddef>
 #include <memory>
 #include <optional>
+#include <string_view>
 #include <utility>
 
+#include "sidecar/log_events.h"
+
 namespace lb::sidecar {
 namespace {
 
@@ -20,21 +23,21 @@
 // An attempt is never sent with less time than this: X-Timeout-Ms counts whole milliseconds.
 constexpr Duration kLeastTimeout = milliseconds(1);
 
-// What the log calls an outcome that is an upstream's or this machine's fault; null for the others.
-const char* FaultText(Outcome outcome) {
+// What the log calls an outcome that is an upstream's or this machine's fault; nothing for the others.
+std::optional<std::string_view> FaultName(Outcome outcome) {
   switch (outcome) {
     case Outcome::kError:
       return "error";
     case Outcome::kTimeout:
-      return "timed out";
+      return "timeout";
     case Outcome::kConnectFailed:
-      return "could not connect";
+      return "connect_failed";
     case Outcome::kReset:
       return "reset";
     case Outcome::kLocalFailure:
-      return "failed on this machine";
+      return "local_failure";
     default:
-      return nullptr;
+      return std::nullopt;
   }
 }
 
@@ -196,16 +199,23 @@
 void AttemptLauncher::LogFailedAttempt(const InFlightRequest& request, const DecidedAttempt& decided,
                                        const ExchangeResult& result) {
   const bool is_streaming = request.responding_attempt == decided.attempt;
-  const char* fault = FaultText(result.outcome);
-  if (is_streaming && result.outcome == Outcome::kCancelled) fault = "called off, its client left";
-  if (fault == nullptr) return;
-  const auto us = [](Duration duration) { return std::to_string(duration.count()) + " us"; };
-  log_.Line(request.wire_id + " " + std::string(request.message->target()) + " to " +
-            decided.action.upstream.value + " attempt " +
-            std::to_string(static_cast<std::size_t>(decided.attempt)) +
-            (is_streaming ? " passing through " : " ") + fault + " after " + us(result.elapsed) +
-            " as exchange " + std::to_string(result.use) + " of a connection open for " + us(result.open) +
-            ", idle for " + us(result.idle) + (result.why ? ": " + result.why.message() : ""));
+  auto outcome = FaultName(result.outcome);
+  if (is_streaming && result.outcome == Outcome::kCancelled) outcome = "client_disconnected";
+  if (!outcome) return;
+  LogEvent event(log_events::kAttemptFailed);
+  event.With("request_id", request.wire_id)
+      .With("upstream", decided.action.upstream.value)
+      .With("outcome", *outcome)
+      .With("attempt", static_cast<std::size_t>(decided.attempt))
+      .With("streaming", is_streaming ? "yes" : "no")
+      .With("elapsed_us", result.elapsed.count())
+      .With("connection_use", result.use)
+      .With("connection_open_us", result.open.count())
+      .With("connection_idle_us", result.idle.count());
+  if (result.why) event.With("error", result.why.message());
+  // Last: it may be long, and a line is cut.
+  const auto target = request.message->target();
+  log_.Write(event.With("target", std::string_view(target.data(), target.size())));
 }
 
 }  // namespace lb::sidecar
--- a/sidecar/discovery_client.cpp
+++ b/sidecar/discovery_client.cpp
@@ -4,6 +4,8 @@
 #include <boost/system/error_code.hpp>
 #include <utility>
 
+#include "sidecar/log_events.h"
+
 namespace lb::sidecar {
 namespace {
 
@@ -144,7 +146,7 @@
   }
   if (&call == late_call_.get()) std::swap(call_, late_call_);
   Drop(late_call_);
-  if (failures_ > 0) log_.Line("discovery answers again");
+  if (failures_ > 0) log_.Write(LogEvent(log_events::kDiscoveryRecovered));
   failures_ = 0;
   last_failure_.clear();
   revision_ = list.revision;
@@ -167,7 +169,9 @@
   const bool was_watching = revision_.has_value();
   if (!(is_polled && was_refused)) revision_.reset();
   ++failures_;
-  if (last_failure_ != failure.text) log_.Line("discovery: " + failure.text);
+  if (last_failure_ != failure.text) {
+    log_.Write(LogEvent(log_events::kDiscoveryFailed).With("error", failure.text));
+  }
   last_failure_ = failure.text;
   const double jitter = std::generate_canonical<double, 32>(random_);
   if (!is_polled) return StartCallIn(BackoffAfter(failures_, silence_timeout_, jitter));
--- a/sidecar/hot_restart.cpp
+++ b/sidecar/hot_restart.cpp
@@ -14,6 +14,7 @@
 #include <variant>
 
 #include "sidecar/descriptor_passing.h"
+#include "sidecar/log_events.h"
 #include "sidecar/stored_override.h"
 
 namespace lb::sidecar {
@@ -70,7 +71,7 @@
   try {
     return SocketAddress(folder_ + "/" + std::string(kHotRestartSocketName));
   } catch (const boost::system::system_error& e) {
-    log_.Line("handover: " + folder_ + ": " + e.what());
+    log_.Write(LogEvent(log_events::kHotRestartUnavailable).With("folder", folder_).With("error", e.what()));
     return std::nullopt;
   }
 }
@@ -85,7 +86,7 @@
   if (connected) inherited = ReceiveDescriptor(*connected, until);
   if (!inherited) {
     if (connected) ::close(*connected);
-    log_.Line("handover: the process before does not hand over");
+    log_.Write(LogEvent(log_events::kHotRestartInheritFailed));
     return std::nullopt;
   }
   previous_ = std::make_shared<NeighbourProcess>(Socket(io_, Local(), *connected));
@@ -133,7 +134,7 @@
   if (!parsed) return;
   pass_on(line + "\n");
   if (const auto* unknown = std::get_if<UnknownOverride>(&*parsed)) {
-    return log_.Line("operator state: the other process says " + unknown->text);
+    return log_.Write(LogEvent(log_events::kStateUnknownOverride).With("text", unknown->text));
   }
   handlers_.on_override(std::get<OverrideMessage>(*parsed));
 }
@@ -168,7 +169,9 @@
   const auto path = SocketPath();
   const auto error = Open(*path);
   if (!error) {
-    if (listen_backoff_ > Duration::zero()) log_.Line("handover: listens now");
+    if (listen_backoff_ > Duration::zero()) {
+      log_.Write(LogEvent(log_events::kHotRestartListenRecovered));
+    }
     accept_loop_.emplace(
         io_, acceptor_, log_, "handover: accept", Local(),
         AcceptLoop<Local>::Owner{.ensure_capacity = nullptr,
@@ -178,7 +181,7 @@
     return accept_loop_->Start();
   }
   if (listen_backoff_ == Duration::zero()) {
-    log_.Line("handover: " + error.message() + "; the next process listens on its own until this is over");
+    log_.Write(LogEvent(log_events::kHotRestartListenFailed).With("error", error.message()));
   }
   listen_backoff_ = std::clamp<Duration>(2 * listen_backoff_, kRetryPause, kMostListenBackoff);
   listen_retry_.expires_after(listen_backoff_);
@@ -217,7 +220,7 @@
     return handlers_.on_change();
   }
   if (tries <= 1 || !(IsTransientError(errno) || errno == ETOOMANYREFS)) {
-    log_.Line(std::string("handover: ") + std::strerror(errno));
+    log_.Write(LogEvent(log_events::kHotRestartOfferFailed).With("error", std::strerror(errno)));
     next_->Close();
     next_ = nullptr;
     return handlers_.on_change();
--- a/sidecar/log.h
+++ b/sidecar/log.h
@@ -15,6 +15,7 @@
 #include <utility>
 
 #include "sidecar/clock.h"
+#include "sidecar/log_events.h"
 
 namespace lb::sidecar {
 
@@ -82,7 +83,10 @@
       return;
     }
     allowed_ -= 1;
-    if (dropped_ > 0) out_ << name_ << ": " << std::exchange(dropped_, 0) << " lines left out\n";
+    if (dropped_ > 0) {
+      out_ << name_ << ": " << LogEvent(log_events::kLogLinesDropped).With("count", dropped_).text() << '\n';
+      dropped_ = 0;
+    }
     out_ << name_ << ": " << text.substr(0, kLongest) << std::endl;
   }
 
--- a/sidecar/main.cpp
+++ b/sidecar/main.cpp
@@ -5,14 +5,19 @@
 #include <csignal>
 #include <cstdlib>
 #include <exception>
-#include <iostream>
+#include <sstream>
 #include <string>
 
 #include "settings/config.h"
+#include "sidecar/log.h"
+#include "sidecar/log_events.h"
 #include "sidecar/sidecar.h"
 
 namespace {
 
+namespace log_events = lb::sidecar::log_events;
+using lb::sidecar::LogEvent;
+
 lb::Config LoadConfig() {
   return lb::LoadConfig([](const char* name) { return std::getenv(name); });
 }
@@ -25,7 +30,7 @@
     try {
       sidecar.Reconfigure(LoadConfig());
     } catch (const lb::ConfigError& e) {
-      sidecar.log().Line(std::string("configuration not taken: ") + e.what());
+      sidecar.log().Write(LogEvent(log_events::kConfigurationRejected).With("error", e.what()));
     }
   });
 }
@@ -38,18 +43,26 @@
   });
 }
 
-void PrintAddresses(const std::string& name, const lb::sidecar::Sidecar& sidecar) {
-  std::cerr << name << ": listening on " << sidecar.local() << std::endl;
-  if (const auto admin = sidecar.admin()) std::cerr << name << ": operators at " << *admin << std::endl;
+std::string ToString(const lb::Endpoint& endpoint) {
+  std::ostringstream text;
+  text << endpoint;
+  return text.str();
+}
+
+void LogAddresses(lb::sidecar::Sidecar& sidecar) {
+  sidecar.log().Write(LogEvent(log_events::kListening).With("address", ToString(sidecar.local())));
+  if (const auto admin = sidecar.admin()) {
+    sidecar.log().Write(LogEvent(log_events::kAdminListening).With("address", ToString(*admin)));
+  }
 }
 
 // An exception ends the step of one connection that threw it, and not the others.
-void RunUntilStopped(boost::asio::io_context& io, const std::string& name) {
+void RunUntilStopped(boost::asio::io_context& io, lb::sidecar::Logger& log) {
   while (!io.stopped()) {
     try {
       io.run();
     } catch (const std::exception& e) {
-      std::cerr << name << ": " << e.what() << std::endl;
+      log.Write(LogEvent(log_events::kUnexpectedException).With("error", e.what()));
     }
   }
 }
@@ -63,9 +76,14 @@
   const lb::Config config = LoadConfig();
   lb::sidecar::Sidecar sidecar(io, config);
   ReloadOnSignal(reload, sidecar);
-  PrintAddresses(config.name, sidecar);
+  LogAddresses(sidecar);
   ShutDownOnSignal(stop, sidecar, io);
-  RunUntilStopped(io, config.name);
+  RunUntilStopped(io, sidecar.log());
+}
+
+// Ahead of any sidecar's name: the configuration that has the name may be what is at fault.
+void LogStartFailure(const std::string& error) {
+  lb::sidecar::Logger("lb-sidecar").Write(LogEvent(log_events::kStartFailed).With("error", error));
 }
 
 }  // namespace
@@ -78,9 +96,9 @@
     return 0;
   } catch (const boost::system::system_error& e) {
     // Binding LB_LISTEN is what fails so: the admin interface's address has an error of its own.
-    std::cerr << "lb-sidecar: LB_LISTEN " << std::getenv("LB_LISTEN") << ": " << e.what() << std::endl;
+    LogStartFailure(std::string("LB_LISTEN ") + std::getenv("LB_LISTEN") + ": " + e.what());
   } catch (const std::exception& e) {
-    std::cerr << "lb-sidecar: " << e.what() << std::endl;
+    LogStartFailure(e.what());
   }
   return 1;
 }
--- a/sidecar/membership_follower.cpp
+++ b/sidecar/membership_follower.cpp
@@ -1,9 +1,10 @@
 #include "sidecar/membership_follower.h"
 
 #include <cstdlib>
-#include <string>
 #include <utility>
 
+#include "sidecar/log_events.h"
+
 namespace lb::sidecar {
 
 MembershipFollower::MembershipFollower(Duration slow_start_duration, BalancerHost& host, Upstreams& upstreams,
@@ -35,9 +36,9 @@
   const bool needs_whole_list = wall_clock_.Judge(list.update, Now());
   const auto ahead = wall_clock_.ahead();
   if (was_trusted && ahead) {
-    log_.Line("the wall clock was " + std::to_string(std::abs(ahead->count()) / 1000) + " ms " +
-              (*ahead < Duration::zero() ? "behind" : "ahead") +
-              " at the start, by the start times of upstreams; these are judged without it");
+    log_.Write(LogEvent(log_events::kWallClockDistrusted)
+                   .With("offset_ms", std::abs(ahead->count()) / 1000)
+                   .With("direction", *ahead < Duration::zero() ? "behind" : "ahead"));
   }
   return needs_whole_list ? NextList::kWhole : NextList::kChanges;
 }
--- a/sidecar/operator_control.cpp
+++ b/sidecar/operator_control.cpp
@@ -5,6 +5,8 @@
 #include <utility>
 #include <variant>
 
+#include "sidecar/log_events.h"
+
 namespace lb::sidecar {
 
 OperatorControl::OperatorControl(boost::asio::io_context& io, const Endpoint& endpoint,
@@ -91,7 +93,8 @@
 
 // The balancer hears of the override before it hears of attempts that the override ended.
 void OperatorControl::ApplyOverride(const std::string& upstream, bool disabled) {
-  targets_.log.Line(upstream + (disabled ? " is taken out" : " is put back") + " by the operators");
+  const auto event = disabled ? log_events::kUpstreamDisabled : log_events::kUpstreamEnabled;
+  targets_.log.Write(LogEvent(event).With("upstream", upstream));
   const BalancerHost::EventHold hold(targets_.host);
   targets_.host.Enqueue(lb::OperatorOverride{{upstream}, disabled});
   targets_.upstreams.SetDisabled(upstream, disabled);
--- a/sidecar/operator_state.cpp
+++ b/sidecar/operator_state.cpp
@@ -6,6 +6,8 @@
 #include <thread>
 #include <utility>
 
+#include "sidecar/log_events.h"
+
 namespace lb::sidecar {
 namespace {
 
@@ -132,8 +134,9 @@
   if (error) {
     pending_[stored] = {action, false};
     if (write_.error != error) {
-      log_.Line("operator state: " + folder_.path() + ": " + error.message() +
-                "; what operators say will not outlast this process until it is stored");
+      log_.Write(LogEvent(log_events::kStateWriteFailed)
+                     .With("folder", folder_.path())
+                     .With("error", error.message()));
     }
     write_.error = error;
     return false;
@@ -146,7 +149,7 @@
   }
   if (pending_.empty() && write_.error) {
     write_.error.clear();
-    log_.Line("operator state: all is stored again");
+    log_.Write(LogEvent(log_events::kStateWriteRecovered));
   }
   return true;
 }
@@ -197,7 +200,7 @@
   finish_timer_.expires_after(timeout);
   finish_timer_.async_wait([this](boost::system::error_code error) {
     if (error || !on_finished_) return;
-    log_.Line("operator state: " + StorageFault() + "; lost at this end");
+    log_.Write(LogEvent(log_events::kStateLost).With("fault", StorageFault()));
     const auto on_finished = std::move(on_finished_);
     on_finished_ = nullptr;
     on_finished();
@@ -222,18 +225,22 @@
     });
     Publish();
   }
-  if (read_.error != error) {
-    log_.Line("operator state: " + folder_.path() + ": " +
-              (error ? error.message() + "; what other processes store is not seen" : "read again"));
-  }
+  if (read_.error != error) LogReadResult(error);
   read_.error = error;
   return error;
 }
 
+void OperatorStateStore::LogReadResult(std::error_code error) {
+  LogEvent event(error ? log_events::kStateReadFailed : log_events::kStateReadRecovered);
+  event.With("folder", folder_.path());
+  if (error) event.With("error", error.message());
+  log_.Write(event);
+}
+
 // Nobody withdrew what was in the folder: it is stored anew. At the start there was nothing in it.
 void OperatorStateStore::RestoreVanishedFolder() {
   if (stored_.empty()) return;
-  log_.Line("operator state: " + folder_.path() + " is gone; what operators said is stored anew");
+  log_.Write(LogEvent(log_events::kStateFolderVanished).With("folder", folder_.path()));
   for (const auto& stored : stored_) pending_.emplace(stored, PendingWrite{OverrideAction::kSet, false});
   stored_.clear();
   ScheduleWrite(kReadInterval);
--- a/sidecar/operator_state.h
+++ b/sidecar/operator_state.h
@@ -85,6 +85,7 @@
   std::error_code ReadFolder();
   void ScheduleRead(Duration wait);
   void RestoreVanishedFolder();
+  void LogReadResult(std::error_code error);
 
   OperatorStateFolder folder_;
   Logger& log_;
--- a/sidecar/operator_state_folder.cpp
+++ b/sidecar/operator_state_folder.cpp
@@ -5,6 +5,8 @@
 #include <utility>
 #include <vector>
 
+#include "sidecar/log_events.h"
+
 namespace lb::sidecar {
 namespace {
 
@@ -62,7 +64,7 @@
 
 void OperatorStateFolder::LogForeign(const std::string& name) {
   if (foreign_.size() < kMostForeign && foreign_.insert(name).second) {
-    log_.Line("operator state: not ours: " + name);
+    log_.Write(LogEvent(log_events::kStateForeignFile).With("file", name));
   }
 }
 
--- a/sidecar/sidecar.cpp
+++ b/sidecar/sidecar.cpp
@@ -5,8 +5,11 @@
 
 #include <boost/system/error_code.hpp>
 #include <string>
+#include <string_view>
 #include <utility>
 
+#include "sidecar/log_events.h"
+
 namespace lb::sidecar {
 namespace {
 
@@ -40,6 +43,13 @@
                                     : DiscoveryClient::Mode::kWatchedAgent;
 }
 
+std::string_view NeighbourEvent(const HotRestart& hot_restart) {
+  if (hot_restart.next_serves()) return log_events::kHotRestartNextServes;
+  if (hot_restart.has_next()) return log_events::kHotRestartNextConnected;
+  if (hot_restart.after_another()) return log_events::kHotRestartPreviousRuns;
+  return log_events::kHotRestartOnlyProcess;
+}
+
 std::size_t FixedDescriptors(const Config& config) {
   return Descriptors::kFixed + (config.admin ? AdminInterface::kDescriptors : 0);
 }
@@ -130,10 +140,7 @@
 }
 
 void Sidecar::HandleNeighbourChange() {
-  log_.Line(hot_restart_.next_serves()     ? "another process takes the clients, too"
-            : hot_restart_.has_next()      ? "another process has come"
-            : hot_restart_.after_another() ? "the process before is there"
-                                           : "this is the only process");
+  log_.Write(LogEvent(NeighbourEvent(hot_restart_)));
   descriptors_.Share(hot_restart_.after_another() || hot_restart_.has_next());
   upstreams_.EnforceCapacity();
   ServeIfAble();
@@ -151,7 +158,7 @@
 void Sidecar::Reconfigure(const Config& config) {
   // Checked like the rest of the file, though the list from discovery is newer.
   ParseKnownList(config.known, unix_clock_);
-  log_.Line("configuration read again");
+  log_.Write(LogEvent(log_events::kConfigurationReloaded));
   membership_.ForgetService();
   discovery_.MoveTo(config.discovery);
 }
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -33,7 +33,7 @@
   EXPECT_TRUE(BecomesServedBy(sidecar, "b /page/k"));
   first.Set(Discovery::Mood::kBreaks);
   sidecar.Reload(ConfigWithDiscovery(sidecar, first.address()));
-  ASSERT_TRUE(Eventually([&] { return sidecar.log().find("discovery: ") != std::string::npos; }));
+  ASSERT_TRUE(Eventually([&] { return sidecar.log().find("discovery_failed") != std::string::npos; }));
   EXPECT_TRUE(BecomesServedBy(sidecar, "b /page/k"));  // the old list stands
   for (int i = 0; i < 3; ++i) sidecar.Reload(ConfigWithDiscovery(sidecar, second.address()));
   second.Tell(List({Target("u1", a.address())}));
@@ -61,7 +61,8 @@
     const auto faults = [&sidecar] {
       const std::string log = sidecar.log();
       int count = 0;
-      for (auto at = log.find("not taken"); at != std::string::npos; at = log.find("not taken", at + 1))
+      for (auto at = log.find("configuration_rejected"); at != std::string::npos;
+           at = log.find("configuration_rejected", at + 1))
         ++count;
       return count;
     };
--- a/tests/graceful_shutdown_test.cpp
+++ b/tests/graceful_shutdown_test.cpp
@@ -54,8 +54,7 @@
   ASSERT_TRUE(held.Send(PostText("/submit/held", "h1", "x", 15000)));
   upstream.WaitForHeldRequest();
   for (const int signal : {SIGTERM, SIGHUP, SIGTERM}) sidecar.Signal(signal);
-  EXPECT_TRUE(
-      Eventually([&] { return sidecar.log().find("configuration read again") != std::string::npos; }));
+  EXPECT_TRUE(Eventually([&] { return sidecar.log().find("configuration_reloaded") != std::string::npos; }));
   upstream.Release();
   const auto response = held.Read();
   ASSERT_TRUE(response);
--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -23,9 +23,9 @@
   ASSERT_EQ(Says(*node, "POST", "/upstreams/disable/u1"), "200 u1 is out\n");
   auto next = Start("127.0.0.1:" + std::to_string(node->port()));
   ASSERT_TRUE(Ready(*next));
-  ASSERT_TRUE(Logs(*next, "u1 is taken out"));
+  ASSERT_TRUE(Logs(*next, "upstream_disabled upstream=u1\n"));
   ASSERT_EQ(Says(*next, "POST", "/upstreams/enable/u1"), "200 u1 is back\n");
-  EXPECT_TRUE(Logs(*node, "u1 is put back"));
+  EXPECT_TRUE(Logs(*node, "upstream_enabled upstream=u1\n"));
   EXPECT_FALSE(fs::exists(path_ + "/out-7531"));
   ASSERT_EQ(Says(*node, "POST", "/drain"), "200 clients are sent away\n");
   EXPECT_TRUE(Eventually([&] { return next->Status("GET", "/ready") == 503; }));
@@ -40,17 +40,18 @@
   {
     auto never = Start(listen);
     ASSERT_TRUE(
-        Eventually([&] { return node->log().find("another process has come") != std::string::npos; }));
+        Eventually([&] { return node->log().find("hot_restart_next_connected") != std::string::npos; }));
     never->Signal(SIGTERM);
     EXPECT_EQ(never->Wait(), 0);
   }
-  EXPECT_TRUE(Logs(*node, "this is the only process"));
+  EXPECT_TRUE(Logs(*node, "hot_restart_only_process"));
   Client still(node->port());
   EXPECT_TRUE(still.Get("/page/k", "a"));
   auto next = Start(listen);
   ASSERT_TRUE(Eventually([&] {
     const auto text = node->log();
-    return text.find("another process has come", text.find("the only process")) != std::string::npos;
+    return text.find("hot_restart_next_connected", text.find("hot_restart_only_process")) !=
+           std::string::npos;
   }));
   node->Signal(SIGTERM);
   EXPECT_EQ(node->Wait(), 0);
@@ -85,8 +86,8 @@
   auto next = Start("127.0.0.1:" + std::to_string(node->port()), !row.earlier);
   ASSERT_TRUE(Ready(*next));
   EXPECT_TRUE(faults_.WaitUntilForced(fault, 2));
-  EXPECT_EQ(next->log().find("does not hand over"), std::string::npos) << next->log();
-  EXPECT_TRUE(Logs(*node, "takes the clients, too"));
+  EXPECT_EQ(next->log().find("hot_restart_inherit_failed"), std::string::npos) << next->log();
+  EXPECT_TRUE(Logs(*node, "hot_restart_next_serves"));
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -117,7 +118,7 @@
   }
   EXPECT_EQ(Says(*node, "POST", "/drain"), "200 clients are sent away\n");
   auto next = Start("127.0.0.1:" + std::to_string(node->port()));
-  EXPECT_TRUE(Logs(*node, "takes the clients, too"));
+  EXPECT_TRUE(Logs(*node, "hot_restart_next_serves"));
 }
 
 // The process before stands still with its backlog full: the next one goes on without it.
@@ -138,7 +139,7 @@
   }
   auto node = Start();
   EXPECT_TRUE(Ready(*node));
-  EXPECT_TRUE(Logs(*node, "does not hand over"));
+  EXPECT_TRUE(Logs(*node, "hot_restart_inherit_failed"));
 }
 
 std::string ProcessField(pid_t pid, const std::string& name) {
@@ -169,8 +170,8 @@
   for (int i = 0; i < 5; ++i) next.Signal(SIGHUP);
   node->Signal(SIGCONT);
   ASSERT_TRUE(next.Listening());
-  EXPECT_EQ(next.log().find("does not hand over"), std::string::npos) << next.log();
-  EXPECT_TRUE(Logs(*node, "takes the clients, too"));
+  EXPECT_EQ(next.log().find("hot_restart_inherit_failed"), std::string::npos) << next.log();
+  EXPECT_TRUE(Logs(*node, "hot_restart_next_serves"));
 }
 
 }  // namespace
--- a/tests/lab_processes_test.cpp
+++ b/tests/lab_processes_test.cpp
@@ -794,8 +794,9 @@
   std::istringstream stream(log);
   std::uint64_t count = 0;
   for (std::string line; std::getline(stream, line);) {
-    const bool there = line.find(" to " + upstream + " attempt ") != std::string::npos;
-    if (there && line.find(" " + how + " after ") != std::string::npos) ++count;
+    const bool failed = line.find(": attempt_failed ") != std::string::npos;
+    const std::string fields = " upstream=" + upstream + " outcome=" + how + " ";
+    if (failed && line.find(fields) != std::string::npos) ++count;
   }
   return count;
 }
@@ -817,7 +818,7 @@
   ASSERT_TRUE(stage.RunUntil([&] { return load->under_way() == 0; }));
   const std::string log = sidecar->process().Log();
   EXPECT_GE(AttemptsThatEnded(log, "u0", "reset"), held_at_crash) << log;
-  const std::uint64_t timeouts = AttemptsThatEnded(log, "u1", "timed out");
+  const std::uint64_t timeouts = AttemptsThatEnded(log, "u1", "timeout");
   EXPECT_GT(timeouts, 0U) << log;
   EXPECT_LE(timeouts, stage.upstreams().counters(1).abandoned) << log;
   const TrafficCounters traffic = load->Take().traffic;
--- a/tests/operations_test.cpp
+++ b/tests/operations_test.cpp
@@ -201,7 +201,7 @@
   ASSERT_TRUE(node.Listening());
   EXPECT_EQ(node.Status("POST", "/upstreams/disable/u1"), 200U);
   EXPECT_EQ(Shares(node, "a", 20), std::pair(0, 20));
-  EXPECT_NE(node.log().find("will not outlast"), std::string::npos);
+  EXPECT_NE(node.log().find("operator_state_write_failed"), std::string::npos);
 }
 
 // ---- Sending clients away ----
@@ -330,7 +330,7 @@
     Node never(options);
     ASSERT_TRUE(never.Listening());
     EXPECT_TRUE(
-        Eventually([&] { return node->log().find("another process has come") != std::string::npos; }));
+        Eventually([&] { return node->log().find("hot_restart_next_connected") != std::string::npos; }));
     EXPECT_EQ(never.Status("GET", "/ready"), 503U);
     const int before = crowd.served();
     EXPECT_TRUE(Eventually([&] { return crowd.served() > before + 20; }));
@@ -425,7 +425,7 @@
   ASSERT_TRUE(front.Send("GET /up HT"));  // on its way when the old one is told to stop
   auto next = StartNode(Address(*node));
   ASSERT_TRUE(Ready(*next));
-  ASSERT_TRUE(Eventually([&] { return node->log().find("takes the clients, too") != std::string::npos; }));
+  ASSERT_TRUE(Eventually([&] { return node->log().find("hot_restart_next_serves") != std::string::npos; }));
   node->Signal(SIGTERM);
   ASSERT_TRUE(Eventually([&] { return node->Status("GET", "/ready") == 503; }));
   ASSERT_TRUE(front.Send("TP/1.1\r\nHost: x\r\n\r\n"));
--- a/tests/operator_state_fixture.h
+++ b/tests/operator_state_fixture.h
@@ -100,7 +100,9 @@
     return Eventually([&] { return node.Status("GET", "/ready") == 200; });
   }
 
-  bool IsOut(Node& node, const std::string& id) { return Logs(node, id + " is taken out by"); }
+  bool IsOut(Node& node, const std::string& id) {
+    return Logs(node, "upstream_disabled upstream=" + id + "\n");
+  }
   static bool Logs(Node& node, const std::string& text) {
     return Eventually([&] { return node.log().find(text) != std::string::npos; });
   }
--- a/tests/operator_state_test.cpp
+++ b/tests/operator_state_test.cpp
@@ -48,8 +48,8 @@
   Touch("handover");
   const Process process(path_);
   EXPECT_EQ(process.disabled(), Ids{"u1"});
-  EXPECT_NE(process.text.str().find("not ours: out-7z"), std::string::npos);
-  EXPECT_NE(process.text.str().find("not ours: long-0123"), std::string::npos);
+  EXPECT_NE(process.text.str().find("operator_state_foreign_file file=out-7z\n"), std::string::npos);
+  EXPECT_NE(process.text.str().find("operator_state_foreign_file file=long-0123\n"), std::string::npos);
   EXPECT_EQ(process.text.str().find("tmp-"), std::string::npos);
 }
 
@@ -65,8 +65,8 @@
   EXPECT_EQ(process.disabled(), Ids{"during"}) << "it holds here all the same";
   EXPECT_NE(process.store.StorageFault().find("not stored yet: 3 changes"), std::string::npos)
       << process.store.StorageFault();
-  EXPECT_TRUE(
-      process.Eventually([&] { return process.text.str().find("is not seen") != std::string::npos; }));
+  EXPECT_TRUE(process.Eventually(
+      [&] { return process.text.str().find("operator_state_read_failed") != std::string::npos; }));
   EXPECT_EQ(process.disabled(), Ids{"during"}) << "a failed look changes nothing";
   EXPECT_TRUE(process.store.state().draining);
   Mend();
@@ -150,7 +150,7 @@
   process.store.Enable("u1");
   process.store.Finish(milliseconds(300), [&] { ++ends; });
   EXPECT_TRUE(process.Eventually([&] { return ends == 3; }));
-  EXPECT_NE(process.text.str().find("lost at this end"), std::string::npos);
+  EXPECT_NE(process.text.str().find("operator_state_lost"), std::string::npos);
 }
 
 // ---- The real program ----
@@ -183,7 +183,8 @@
                                         .path = path_});
       EXPECT_EQ(node->Status("POST", "/upstreams/" + call + "/" + id), 200U);
       const bool out = call == "disable";
-      EXPECT_TRUE(Logs(*node, id + (out ? " is taken out" : " is put back")));
+      EXPECT_TRUE(Logs(
+          *node, std::string(out ? "upstream_disabled" : "upstream_enabled") + " upstream=" + id + "\n"));
       EXPECT_TRUE(Eventually([&] { return Says(*node, "GET", "/ready") == "200 ready\n"; })) << node->log();
       EXPECT_EQ(Process(path_).disabled(), out ? Ids{id} : Ids{}) << call;
       // The look that reads the new file meets it; else it is met by what stores and withdraws.
@@ -248,7 +249,7 @@
   auto next = Start();
   ASSERT_TRUE(Ready(*next));
   EXPECT_TRUE(IsOut(*next, "u1"));
-  EXPECT_EQ(next->log().find("not ours"), std::string::npos) << next->log();
+  EXPECT_EQ(next->log().find("operator_state_foreign_file"), std::string::npos) << next->log();
   EXPECT_EQ(Says(*next, "POST", "/upstreams/enable/u1"), "200 u1 is back\n");
   EXPECT_EQ(next->Status("POST", "/upstreams/disable/" + kLongId), 200U);
   EXPECT_EQ(Process(path_).disabled(), Ids{kLongId});
@@ -278,7 +279,7 @@
     auto next = Start("127.0.0.1:" + std::to_string(node->port()));
     ASSERT_TRUE(Ready(*next));
     EXPECT_TRUE(IsOut(*next, kLongId));
-    EXPECT_TRUE(Logs(*next, "u1 is put back"));
+    EXPECT_TRUE(Logs(*next, "upstream_enabled upstream=u1\n"));
     node->Signal(SIGKILL);
     node->Wait();
     EXPECT_TRUE(Eventually([&] { return !fs::exists(path_ + "/out-7531"); }));
@@ -288,7 +289,7 @@
   }
   auto last = Start();
   EXPECT_TRUE(IsOut(*last, kLongId));
-  EXPECT_EQ(last->log().find("u1 is taken out"), std::string::npos);
+  EXPECT_EQ(last->log().find("upstream_disabled upstream=u1"), std::string::npos);
 }
 
 // At the start as well: what is read in the end is what counts, and it counts before much is sent.
@@ -299,8 +300,8 @@
   auto node = Start("127.0.0.1:0", true);
   EXPECT_TRUE(IsOut(*node, "u1"));
   EXPECT_EQ(faults_.forced(fault), 8);
-  EXPECT_TRUE(Logs(*node, "what other processes store is not seen"));
-  EXPECT_TRUE(Logs(*node, "read again"));
+  EXPECT_TRUE(Logs(*node, "operator_state_read_failed"));
+  EXPECT_TRUE(Logs(*node, "operator_state_read_recovered"));
 }
 
 TEST_F(FailingFolder, TheCallIsYesAndSaysWhatIsNotStored) {
@@ -310,14 +311,14 @@
   Break();
   EXPECT_EQ(Says(*node, "POST", "/upstreams/disable/u1").find("200 u1 is out; not stored yet"), 0U);
   EXPECT_EQ(Says(*node, "GET", "/ready").find("200 ready; not stored yet: 1 change ("), 0U);
-  EXPECT_TRUE(Logs(*node, "will not outlast"));
+  EXPECT_TRUE(Logs(*node, "operator_state_write_failed"));
   Mend();
   EXPECT_TRUE(Eventually([&] { return Says(*node, "GET", "/ready") == "200 ready\n"; }));
   node->Signal(SIGKILL);
   node->Wait();
   auto next = Start();
   EXPECT_EQ(Says(*next, "POST", "/upstreams/disable/u1"), "200 u1 is out\n");
-  EXPECT_TRUE(Logs(*next, "u1 is taken out"));
+  EXPECT_TRUE(Logs(*next, "upstream_disabled upstream=u1\n"));
 }
 
 }  // namespace
--- a/tests/peers.cpp
+++ b/tests/peers.cpp
@@ -324,7 +324,7 @@
 }
 
 bool SidecarProcess::Listening() {
-  return Eventually([this] { return (port_ = PortBehind("listening on 127.0.0.1:")) != 0; });
+  return Eventually([this] { return (port_ = PortBehind(": listening address=127.0.0.1:")) != 0; });
 }
 
 std::uint16_t SidecarProcess::PortBehind(const std::string& mark) const {
@@ -336,7 +336,7 @@
 
 std::uint16_t SidecarProcess::admin_port() {
   std::uint16_t port = 0;
-  Eventually([&] { return (port = PortBehind("operators at 127.0.0.1:")) != 0; });
+  Eventually([&] { return (port = PortBehind(": admin_listening address=127.0.0.1:")) != 0; });
   return port;
 }
 
