--- a/adapter/action_writer.cpp
+++ b/adapter/action_writer.cpp
@@ -14,8 +14,8 @@
   static constexpr char kDigits[] = "0123456789abcdef";
   auto value = static_cast<std::uint64_t>(id);
   std::string text(kRequestIdDigits, '0');
-  for (auto digit = text.rbegin(); digit != text.rend(); ++digit) {
-    *digit = kDigits[value % 16];
+  for (std::size_t place = text.size(); place > 0; --place) {
+    text[place - 1] = kDigits[value % 16];
     value /= 16;
   }
   return text;
--- a/balancer/load_prober.cpp
+++ b/balancer/load_prober.cpp
@@ -10,14 +10,13 @@
 
 // The share of the service that probes may cost.
 constexpr double kMaxCost = 0.01;
-// Beyond this number of choices the load spreads hardly better.
+// Probes for one request, at most.
 constexpr double kMaxProbes = 3;
 // Where probes cost too much to be sent for each request: the first choice and one to turn to.
 constexpr std::size_t kProbesAtRisk = 2;
 // A cost of zero would make the number of probes infinite.
 constexpr double kLeastCost = 1e-9;
-// The share of the connect time-out that a request waits for reports: a report comes within it or tells
-// nothing.
+// The share of the connect time-out that a request waits for reports.
 constexpr double kWaitShare = 0.1;
 // An upstream that has more in flight than it serves in this share of the latency objective is overloaded: a
 // request would be late and keep it so.
--- a/balancer/retry_budget.h
+++ b/balancer/retry_budget.h
@@ -14,9 +14,10 @@
   void SpendOne() { saved_ -= 1; }
 
  private:
-  static constexpr double kShare =
-      0.3;  // retries for each request: the loss of a quarter of the fleet is repaired
-  static constexpr double kBurst = 10;  // retries: the requests in flight at one upstream that dies
+  // Retries and hedged requests for each request.
+  static constexpr double kShare = 0.3;
+  // Retries that are saved up at most, and that a sidecar begins with.
+  static constexpr double kBurst = 10;
   double saved_ = kBurst;
 };
 
--- a/settings/json_fields.h
+++ b/settings/json_fields.h
@@ -61,9 +61,9 @@
 
 // A named part of the settings; an empty object where it is missing.
 inline const nlohmann::json& Part(const nlohmann::json& params, const char* name) {
-  static const nlohmann::json empty = nlohmann::json::object();
+  static const nlohmann::json kEmpty = nlohmann::json::object();
   const auto it = params.find(name);
-  return it == params.end() || it->is_null() ? empty : *it;
+  return it == params.end() || it->is_null() ? kEmpty : *it;
 }
 
 // The value behind one of the names in `words`. Throws FieldError for any other.
--- a/sidecar/acceptor.h
+++ b/sidecar/acceptor.h
@@ -17,6 +17,7 @@
 
 #include "sidecar/clock.h"
 #include "sidecar/log.h"
+#include "sidecar/log_events.h"
 
 namespace lb::sidecar {
 
@@ -60,15 +61,15 @@
     std::function<void()> on_process_shortage;
   };
 
-  // `what`: the log's name for it. `protocol`: of the acceptor. `acceptor` is the owner's, and has to outlive
-  // this.
-  AcceptLoop(boost::asio::io_context& io, Acceptor& acceptor, Logger& log, std::string what,
+  // `listener`: the log's name for it. `protocol`: of the acceptor. `acceptor` is the owner's, and has to
+  // outlive this.
+  AcceptLoop(boost::asio::io_context& io, Acceptor& acceptor, Logger& log, std::string listener,
              Protocol protocol, Owner owner)
       : io_(io),
         acceptor_(acceptor),
         protocol_(protocol),
         log_(log),
-        what_(std::move(what)),
+        listener_(std::move(listener)),
         owner_(std::move(owner)),
         pause_(io) {}
   ~AcceptLoop() {
@@ -163,7 +164,8 @@
   Duration Failed(boost::system::error_code error) {
     const TimePoint now = Now();
     if (!logged_ || now - *logged_ >= kLogEvery) {
-      log_.Line(what_ + ": " + error.message());
+      log_.Write(
+          LogEvent(log_events::kAcceptFailed).With("listener", listener_).With("error", error.message()));
       logged_ = now;
     }
     const Duration pause = next_pause_;
@@ -175,7 +177,7 @@
   Acceptor& acceptor_;
   const Protocol protocol_;
   Logger& log_;
-  const std::string what_;
+  const std::string listener_;
   const Owner owner_;
   boost::asio::steady_timer pause_;
   Duration next_pause_ = kFirstPause;
--- a/sidecar/admin.cpp
+++ b/sidecar/admin.cpp
@@ -124,7 +124,7 @@
     : on_request_(std::move(on_request)),
       acceptor_(io),
       accept_loop_(
-          io, acceptor_, log, "admin: accept", endpoint.protocol(),
+          io, acceptor_, log, "admin", endpoint.protocol(),
           {[this] { return EnsureCapacity(); }, [this] { return connections_.size() < kMostConnections; },
            [this](tcp::socket socket) { Admit(std::move(socket)); }, nullptr}) {
   acceptor_.open(endpoint.protocol());
--- a/sidecar/hot_restart.cpp
+++ b/sidecar/hot_restart.cpp
@@ -173,7 +173,7 @@
       log_.Write(LogEvent(log_events::kHotRestartListenRecovered));
     }
     accept_loop_.emplace(
-        io_, acceptor_, log_, "handover: accept", Local(),
+        io_, acceptor_, log_, "hot_restart", Local(),
         AcceptLoop<Local>::Owner{.ensure_capacity = nullptr,
                                  .has_capacity = nullptr,
                                  .on_taken = [this](Socket next) { HandleNextConnected(std::move(next)); },
--- a/sidecar/listener.cpp
+++ b/sidecar/listener.cpp
@@ -8,6 +8,8 @@
 #include <utility>
 #include <vector>
 
+#include "sidecar/log_events.h"
+
 namespace lb::sidecar {
 namespace {
 
@@ -40,7 +42,7 @@
       acceptor_(io),
       // Capacity for the next connection is made only once it is there: else the one closed for it would be
       // the newest, which has said nothing yet.
-      accept_loop_(io, acceptor_, log, "accept", endpoint.protocol(),
+      accept_loop_(io, acceptor_, log, "clients", endpoint.protocol(),
                    {[this] { return EnsureCapacity(); },
                     [this] { return descriptors_.Room(Descriptors::Side::kClient); },
                     [this](tcp::socket socket) { AddConnection(std::move(socket)); }, [this] { Evict(); }}),
@@ -157,7 +159,7 @@
 void Listener::CloseAcceptorOnceEmpty() {
   const bool emptied = accept_loop_.TakeWaiting();
   if (!emptied && Now() - stop_began_ < kAcceptWhileStopping + kEmptyBacklogWithin) return;
-  if (!emptied) log_.Line("accept: not all that waited could be taken before the stop");
+  if (!emptied) log_.Write(LogEvent(log_events::kAcceptBacklogAbandoned));
   error_code ignored;
   acceptor_.close(ignored);
 }
--- a/sidecar/log_events.h
+++ b/sidecar/log_events.h
@@ -16,6 +16,8 @@
 inline constexpr std::string_view kLogLinesDropped = "log_lines_dropped";
 
 // Clients and upstreams.
+inline constexpr std::string_view kAcceptFailed = "accept_failed";
+inline constexpr std::string_view kAcceptBacklogAbandoned = "accept_backlog_abandoned";
 inline constexpr std::string_view kAttemptFailed = "attempt_failed";
 
 // Discovery.
--- a/tests/sidecar/log_events_test.cpp
+++ b/tests/sidecar/log_events_test.cpp
@@ -67,8 +67,6 @@
   for (const auto& source : Sources()) {
     const std::string name = source.filename();
     if (name == "log.h") continue;  // the logger itself
-    // The lines of the accept loops have no event name yet.
-    if (name == "acceptor.h" || name == "listener.cpp") continue;
     const std::string text = Read(source);
 
     EXPECT_TRUE(Matches(text, "LogEvent\\(\\s*(\")").empty()) << name;
