--- a/sidecar/exchange.h
+++ b/sidecar/exchange.h
@@ -17,7 +17,8 @@
 // Chosen by the caller; unique among the exchanges that have not finished.
 enum class ExchangeId : std::uint64_t {};
 
-// How an exchange ended.
+// How an exchange ended. The move assignment of Beast's fields may throw.
+// NOLINTNEXTLINE(bugprone-exception-escape)
 struct ExchangeResult {
   lb::Outcome outcome = lb::Outcome::kServed;
   // From the start of the exchange; where the request's body is streamed, from its last byte.
