--- a/adapter/action_writer.cpp
+++ b/adapter/action_writer.cpp
@@ -3,13 +3,13 @@
 #include <cstddef>
 #include <variant>
 
+#include "adapter/event_reader.h"
+
 namespace lb::adapter {
 namespace {
 
 using nlohmann::json;
 
-constexpr std::size_t kRequestIdDigits = 16;
-
 std::string FormatRequestId(RequestId id) {
   static constexpr char kDigits[] = "0123456789abcdef";
   auto value = static_cast<std::uint64_t>(id);
--- a/adapter/event_reader.cpp
+++ b/adapter/event_reader.cpp
@@ -13,7 +13,6 @@
 
 using Reader = Event (*)(const json& item, const NameTables& names, const Rosters& rosters);
 
-constexpr std::size_t kRequestIdDigits = 16;
 constexpr int kHexadecimal = 16;
 
 RequestId ReadRequestId(const json& item) {
--- a/adapter/event_reader.h
+++ b/adapter/event_reader.h
@@ -15,6 +15,9 @@
 // Endpoint lists by the number that the simulator gave each. A roster is sent once and referred to by number.
 using Rosters = std::map<std::int64_t, std::vector<UpstreamInfo>>;
 
+// Hexadecimal digits of a request id on the wire ("Handle").
+inline constexpr std::size_t kRequestIdDigits = 16;
+
 // The indices into an instance's settings of the names that its events use.
 struct NameTables {
   std::map<std::string, std::size_t> classes;
--- a/adapter/host.cpp
+++ b/adapter/host.cpp
@@ -39,7 +39,7 @@
 
 void Host::HandleInstanceEvent(const std::string& type, const json& item, TimePoint now, json& commands) {
   const auto number = Get<std::int64_t>(item, "I");
-  std::vector<Action> actions;
+  actions_.clear();
   try {
     if (type == "Halt") {
       instances_.erase(number);
@@ -47,7 +47,7 @@
       Launch(number, item);
     } else if (const auto instance = instances_.find(number); instance != instances_.end()) {
       const Event event = ReadEvent(type, item, instance->second.names, rosters_);
-      instance->second.balancer.Handle(now, event, actions);
+      instance->second.balancer.Handle(now, event, actions_);
     }
   } catch (const FieldError&) {
     throw;
@@ -55,7 +55,7 @@
     commands.push_back(WriteFault(number, error.what()));
     return;
   }
-  for (const Action& action : actions) commands.push_back(WriteAction(number, action));
+  for (const Action& action : actions_) commands.push_back(WriteAction(number, action));
 }
 
 void Host::Launch(std::int64_t number, const json& item) {
--- a/adapter/host.h
+++ b/adapter/host.h
@@ -35,6 +35,7 @@
 
   std::map<std::int64_t, Instance> instances_;
   Rosters rosters_;
+  std::vector<Action> actions_;  // of the event in hand; kept so that its memory is
 };
 
 }  // namespace lb::adapter
