--- a/tests/client_time_test.cpp
+++ b/tests/client_time_test.cpp
@@ -41,14 +41,10 @@
 
 int Told(const Request& request) { return std::stoi(std::string(request["X-Timeout-Ms"])); }
 
-// Sends a request, and waits until its first attempt waits for a connection. Discovery's are there by then.
-void SendAndConnect(Node& node, Client& client, const Discovery& discovery, const std::string& text) {
-  ASSERT_TRUE(Eventually([&] { return discovery.calls() > 1; }));
-  ASSERT_TRUE(client.Send("GET /up HTTP/1.1\r\nHost: x\r\n\r\n"));
-  ASSERT_TRUE(client.Read());
-  const int before = node.descriptors();
+// Sends a request, and waits until the connect of its first attempt hangs at `upstream`.
+void SendAndConnect(Client& client, const std::string& text, const BlackHole& upstream) {
   ASSERT_TRUE(client.Send(text));
-  ASSERT_TRUE(Eventually([&] { return node.descriptors() > before; }));
+  ASSERT_TRUE(Eventually([&] { return upstream.HasHangingConnect(); }));
 }
 
 // ---- The time that an upstream is told ----
@@ -100,7 +96,8 @@
     ASSERT_TRUE(node.Listening());
     Client client(node.port());
     const std::string text = PostText("/submit/k", "a1", std::string(size, 'x'), kTimeout);
-    ASSERT_NO_FATAL_FAILURE(SendAndConnect(node, client, discovery, text));
+    ASSERT_TRUE(Eventually([&] { return discovery.calls() > 1; }));  // it watches the list
+    ASSERT_NO_FATAL_FAILURE(SendAndConnect(client, text, never));
     discovery.Tell(List({Target("u1", never.address()), Target("u2", upstream.address())}));
     const auto answer = client.Read();
     ASSERT_TRUE(answer);
@@ -269,9 +266,8 @@
     Client marker(node.port());
     ASSERT_TRUE(marker.Send("GET /up HTTP/1.1\r\nHost: x\r\n\r\n"));
     ASSERT_TRUE(marker.Read());  // both were accepted
-    const int before = node.descriptors();
-    ASSERT_TRUE(client.Send(PostText("/submit/k", "a", std::string(size, 'x'), 15000)));
-    ASSERT_TRUE(Eventually([&] { return node.descriptors() > before; }));  // it connects
+    const std::string text = PostText("/submit/k", "a", std::string(size, 'x'), 15000);
+    ASSERT_NO_FATAL_FAILURE(SendAndConnect(client, text, late));
     std::unique_ptr<Wire> wire;
     HeldUp(node, client, [&] { wire = late.Accept(); });
     ASSERT_TRUE(marker.Send(GetText("/page/k", "b", 15000)));
@@ -316,7 +312,8 @@
   ASSERT_TRUE(node.Listening());
   Client client(node.port());
   const std::string text = PostText("/submit/k", "a", "x", 15000);
-  ASSERT_NO_FATAL_FAILURE(SendAndConnect(node, client, discovery, text));
+  ASSERT_TRUE(Eventually([&] { return discovery.calls() > 1; }));  // it watches the list
+  ASSERT_NO_FATAL_FAILURE(SendAndConnect(client, text, never));
   discovery.Tell(List({Target("u1", never.address()), Target("u2", upstream.address())}));
   const int calls = discovery.calls();
   ASSERT_TRUE(Eventually([&] { return discovery.calls() > calls; }));
--- a/tests/membership_updates_test.cpp
+++ b/tests/membership_updates_test.cpp
@@ -77,10 +77,9 @@
   options.discovery = discovery.address();
   SidecarProcess sidecar(options);
   ASSERT_TRUE(sidecar.Listening());
-  const int idle = sidecar.descriptors();
   Client client(sidecar.port());
   ASSERT_TRUE(client.Send(PostText("/submit/k", "a1", "x", 15000)));
-  ASSERT_TRUE(Eventually([&] { return sidecar.descriptors() >= idle + 2; }));  // the client and the attempt
+  ASSERT_TRUE(Eventually([&] { return hole.HasHangingConnect(); }));
   discovery.Tell(List({Target("u1", hole.address(), "leaving"), Target("u2", staying.address())}), false);
   const auto response = client.Read();
   ASSERT_TRUE(response);
--- a/tests/peers.cpp
+++ b/tests/peers.cpp
@@ -13,6 +13,7 @@
 #include <boost/beast/http/read.hpp>
 #include <chrono>
 #include <csignal>
+#include <cstdio>
 #include <cstdlib>
 #include <filesystem>
 #include <fstream>
@@ -33,6 +34,24 @@
 
 tcp::endpoint Loopback(std::uint16_t port) { return {boost::asio::ip::make_address_v4("127.0.0.1"), port}; }
 
+// The local ports of this machine's sockets whose connect to `port` is not answered yet, by the kernel's
+// table.
+std::vector<std::uint16_t> PortsConnectingTo(std::uint16_t port) {
+  std::ifstream table("/proc/net/tcp");
+  std::string line;
+  std::getline(table, line);  // the names of the columns
+  std::vector<std::uint16_t> ports;
+  while (std::getline(table, line)) {
+    unsigned local = 0;
+    unsigned remote = 0;
+    unsigned state = 0;
+    const int fields = std::sscanf(line.c_str(), " %*u: %*8X:%4X %*8X:%4X %2X", &local, &remote, &state);
+    if (fields == 3 && remote == port && state == TCP_SYN_SENT)
+      ports.push_back(static_cast<std::uint16_t>(local));
+  }
+  return ports;
+}
+
 }  // namespace
 
 bool Eventually(const std::function<bool()>& condition) {
@@ -177,6 +196,14 @@
   throw std::runtime_error("the backlog never fills");
 }
 
+bool BlackHole::HasHangingConnect() const {
+  const std::uint16_t port = acceptor_.local_endpoint().port();
+  return std::ranges::any_of(PortsConnectingTo(port), [&](std::uint16_t from) {
+    return std::ranges::none_of(waiting_,
+                                [&](const auto& own) { return own.local_endpoint().port() == from; });
+  });
+}
+
 std::unique_ptr<Wire> BlackHole::Accept() {
   while (true) {
     auto wire = std::make_unique<Wire>(io_);
--- a/tests/peers.h
+++ b/tests/peers.h
@@ -114,6 +114,8 @@
   explicit BlackHole(bool full = true);
   std::string address() const;
   void Fill();
+  // True while the connect of another process hangs here.
+  bool HasHangingConnect() const;
   // The next connection that this class did not open itself. Accepting frees the backlog for those that hang.
   std::unique_ptr<Wire> Accept();
 
