--- a/balancer/concurrency_limiter.cpp
+++ b/balancer/concurrency_limiter.cpp
@@ -15,7 +15,7 @@
 constexpr double kIncrease = 0.05;
 // Of a request, admitted by chance: even the smallest limit lets one through now and then, by which recovery
 // shows, and over all sidecars still sheds.
-constexpr double kLeastLimit = 0.5;
+constexpr double kMinLimit = 0.5;
 // The class with the least priority weight for its time is shed from this share of the limit on.
 constexpr double kSheddingFrom = 0.7;
 // Each class keeps this share of its requests: no class is shed altogether.
@@ -80,7 +80,7 @@
   late_ = 0;
   outcomes_ = 0;
   if (late_share > kMaxLateShare) {
-    const double floor = std::max(kLeastLimit, UsualInFlight());
+    const double floor = std::max(kMinLimit, UsualInFlight());
     limit_ = std::max(floor, std::min(limit_, peak_in_flight_) * (1 - kDecrease * late_share));
   } else if (peak_in_flight_ > limit_ * kSheddingFrom) {
     limit_ += std::max(1.0, limit_ * kIncrease);
--- a/balancer/connection_tracker.cpp
+++ b/balancer/connection_tracker.cpp
@@ -8,7 +8,7 @@
 
 // A connection found dropped halves the trust, but not below this: a call that follows another at once finds
 // the connection in order.
-constexpr Duration kLeastTrustedIdle = std::chrono::milliseconds(100);
+constexpr Duration kMinTrustedIdleTime = std::chrono::milliseconds(100);
 // Growth of the trust at each housekeeping: twice in some ten seconds.
 constexpr double kTrustGrowth = 1.02;
 // The share of a connect time-out within which a reset counts as "at once": the connection was dropped before
@@ -57,7 +57,7 @@
   // repeated fails by that, so idle connections are closed before that age from now on.
   const bool at_once = elapsed < Scaled(limits_.connect_timeout, kResetAtOnce);
   if (outcome == Outcome::kReset && !attempt.connects && at_once) {
-    trusted_idle_ = std::max(kLeastTrustedIdle, std::min(trusted_idle_, attempt.connection_idle_for / 2));
+    trusted_idle_ = std::max(kMinTrustedIdleTime, std::min(trusted_idle_, attempt.connection_idle_for / 2));
   }
   if (!attempt.connects || (outcome != Outcome::kServed && outcome != Outcome::kConnectFailed)) return;
   const double excess = Seconds(elapsed) / Seconds(usual_time) - 1;
--- a/balancer/failure_statistics.h
+++ b/balancer/failure_statistics.h
@@ -25,11 +25,11 @@
 
   // The share of failures among the recent calls to `upstream`.
   static double FailureShare(const Upstream& upstream) {
-    return upstream.failures.failures / std::max(upstream.failures.calls, kLeastCalls);
+    return upstream.failures.failures / std::max(upstream.failures.calls, kMinCalls);
   }
   // Likewise of time-outs.
   static double TimeoutShare(const Upstream& upstream) {
-    return upstream.failures.timeouts / std::max(upstream.failures.calls, kLeastCalls);
+    return upstream.failures.timeouts / std::max(upstream.failures.calls, kMinCalls);
   }
   // About how many calls the shares rest on.
   static double RecentCalls(const Upstream& upstream) { return upstream.failures.calls; }
@@ -53,7 +53,7 @@
  private:
   // Shares rest on this many calls at least, so that a first failure does not count as all calls failing. It
   // is the run that ejects an upstream.
-  static constexpr double kLeastCalls = 5;
+  static constexpr double kMinCalls = 5;
   // Keeps the logarithm of the share, by which runs are lengthened, away from zero.
   static constexpr double kMaxPeersFailureShare = 0.95;
 
--- a/balancer/load_prober.cpp
+++ b/balancer/load_prober.cpp
@@ -15,7 +15,7 @@
 // Where probes cost too much to be sent for each request: the first choice and one to turn to.
 constexpr std::size_t kProbesAtRisk = 2;
 // A cost of zero would make the number of probes infinite.
-constexpr double kLeastCost = 1e-9;
+constexpr double kMinCost = 1e-9;
 // The share of the connect time-out that a request waits for reports.
 constexpr double kWaitShare = 0.1;
 // An upstream that has more in flight than it serves in this share of the latency objective is overloaded: a
@@ -35,7 +35,7 @@
       locality_(locality),
       requests_(requests) {
   if (!settings.load_by_probe || !settings.limits.load_probes_allowed) return;
-  cost_ = std::max(settings.decision_costs.probe, kLeastCost);
+  cost_ = std::max(settings.decision_costs.probe, kMinCost);
   probes_ = static_cast<std::size_t>(std::clamp(kMaxCost / cost_, 1.0, kMaxProbes));
 }
 
--- a/balancer/overload_backoff.h
+++ b/balancer/overload_backoff.h
@@ -16,14 +16,14 @@
   // Jittered between 0.5 and 1.5 times the usual time of a response, so that sidecars that were rejected
   // together do not come back together.
   void Start(Upstream& upstream, Duration usual_time, TimePoint now) {
-    upstream.overloaded_until = now + Scaled(usual_time, kLeastBackoff + random_.Uniform());
+    upstream.overloaded_until = now + Scaled(usual_time, kMinBackoff + random_.Uniform());
   }
   static bool IsBackingOff(const Upstream& upstream, TimePoint now) {
     return now < upstream.overloaded_until;
   }
 
  private:
-  static constexpr double kLeastBackoff = 0.5;  // of the usual response time: about half of it may be over
+  static constexpr double kMinBackoff = 0.5;  // of the usual response time: about half of it may be over
   RandomSource& random_;
 };
 
--- a/balancer/poll_schedule.cpp
+++ b/balancer/poll_schedule.cpp
@@ -13,7 +13,7 @@
 // The jitter is up to twice the backoff, and the next housekeeping acts on it.
 Duration MaxBackoff(const Settings& settings, Duration resolution) {
   return std::min(settings.fleet_limits.poll_interval_limit / kPollsWithinLimit,
-                  (kLongestPollPause - resolution) / 2);
+                  (kMaxPollPause - resolution) / 2);
 }
 
 }  // namespace
--- a/balancer/settings.h
+++ b/balancer/settings.h
@@ -53,7 +53,7 @@
 };
 
 // Polled membership: after a failure the next Subscribe comes within this time.
-constexpr Duration kLongestPollPause = std::chrono::milliseconds(1750);
+constexpr Duration kMaxPollPause = std::chrono::milliseconds(1750);
 
 // What the fleet as a whole must keep to, and for how long.
 struct FleetLimits {
--- a/balancer/subsetting.cpp
+++ b/balancer/subsetting.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 // Upstreams: where one fails and one is busy, one is left.
-constexpr double kLeastSize = 3;
+constexpr double kMinSubsetSize = 3;
 // Connections at each upstream, were all sidecars alike, before the rate of requests is known; and beyond
 // which a subset only grows where its members are busy.
 constexpr double kFirstConnections = 5;
@@ -31,11 +31,11 @@
   const auto listed = static_cast<double>(membership_.size());
   const double for_one_connection_each = listed / sidecar_count_;
   if (!traffic_.IsRateKnown(now))
-    return std::max(kLeastSize, std::min(listed, kFirstConnections * for_one_connection_each));
+    return std::max(kMinSubsetSize, std::min(listed, kFirstConnections * for_one_connection_each));
   const double met_often =
       traffic_.request_rate() * Seconds(failure_memory_) / OutlierDetector::kFailuresToEject;
   const double busy = limiter_.UsualInFlight() / kBusyInFlight;
-  return std::max(kLeastSize,
+  return std::max(kMinSubsetSize,
                   std::min(met_often, std::max(kFairConnections * for_one_connection_each, busy)));
 }
 
--- a/balancer/weighted_round_robin.cpp
+++ b/balancer/weighted_round_robin.cpp
@@ -12,7 +12,7 @@
 // Of the share of successes in a weight: errors come fast, and without this attract requests.
 constexpr int kSuccessPower = 3;
 // The part of its weight that an upstream keeps at least, so that it shows when it recovers.
-constexpr double kLeastSuccess = 0.02;
+constexpr double kMinSuccess = 0.02;
 
 }  // namespace
 
@@ -28,7 +28,7 @@
   const double failing = FailureStatistics::FailureShare(upstream) - swallowed;
   const double latency = LatencyStatistics::RelativeLatency(upstream);
   return upstream.info.weight * slow_start_.WarmUpFraction(upstream, now) / (latency * latency) *
-         std::max(kLeastSuccess, std::pow(1 - failing, kSuccessPower) * (1 - swallowed));
+         std::max(kMinSuccess, std::pow(1 - failing, kSuccessPower) * (1 - swallowed));
 }
 
 Upstream& WeightedRoundRobin::ChooseNext(const std::vector<WeightedUpstream>& candidates) {
--- a/lab/measure/fleet_rules.cpp
+++ b/lab/measure/fleet_rules.cpp
@@ -3,6 +3,8 @@
 #include <algorithm>
 #include <cmath>
 
+#include "lab/spec/durations.h"
+
 namespace lb::lab {
 namespace {
 
@@ -11,12 +13,10 @@
 constexpr double kFewRequests = 30;            // below, the budget's slack is wider
 constexpr double kShareOfTheTold = 2.0 / 3.0;  // of a fall's requests, beyond which it breaks the rule
 
-double Seconds(Duration duration) { return std::chrono::duration<double>(duration).count(); }
-
 double MeanWorkSeconds(const std::vector<ClassSpec>& classes) {
   double work = 0, share = 0;
   for (const ClassSpec& spec : classes) {
-    work += spec.share * Seconds(spec.mean_work);
+    work += spec.share * ToSeconds(spec.mean_work);
     share += spec.share;
   }
   return work / share;
@@ -85,7 +85,7 @@
     count(cold->window.front(), -1);
     cold->window.pop_front();
   }
-  cold->window.push_back({at, Seconds(work) / mean_work_s_, cold->told.contains(sidecar)});
+  cold->window.push_back({at, ToSeconds(work) / mean_work_s_, cold->told.contains(sidecar)});
   count(cold->window.back(), 1);
   if (cold->fallen || cold->requests <= SlowStartBudget(Allowed(upstream, at - cold->since))) return;
   cold->fallen = true;
@@ -97,9 +97,9 @@
   const UpstreamInstance& instance = deployment_.upstreams[upstream];
   const double warm_per_s = instance.kind->cores * instance.speed / mean_work_s_;
   const double warmth = rules_.slow_start_initial_share + (1 - rules_.slow_start_initial_share) *
-                                                              Seconds(age) /
-                                                              Seconds(rules_.slow_start_duration);
-  return rules_.overload_multiple * std::min(warmth, 1.0) * warm_per_s * Seconds(rules_.overload_window);
+                                                              ToSeconds(age) /
+                                                              ToSeconds(rules_.slow_start_duration);
+  return rules_.overload_multiple * std::min(warmth, 1.0) * warm_per_s * ToSeconds(rules_.overload_window);
 }
 
 }  // namespace lb::lab
--- a/lab/measure/report.cpp
+++ b/lab/measure/report.cpp
@@ -77,10 +77,10 @@
 
 // As many digits as it takes to tell the value from the bound.
 int DistinctDigits(double value, double bound) {
-  constexpr int kFewestDigits = 4;
-  constexpr int kMostDigits = 17;
-  int digits = kFewestDigits;
-  while (digits < kMostDigits && value != bound && FormatShort(value, digits) == FormatShort(bound, digits))
+  constexpr int kMinDigits = 4;
+  constexpr int kMaxDigits = 17;
+  int digits = kMinDigits;
+  while (digits < kMaxDigits && value != bound && FormatShort(value, digits) == FormatShort(bound, digits))
     ++digits;
   return digits;
 }
--- a/lab/measure/slopes.cpp
+++ b/lab/measure/slopes.cpp
@@ -10,7 +10,7 @@
 namespace lb::lab {
 namespace {
 
-constexpr std::size_t kFewestSizes = 3;
+constexpr std::size_t kMinSizes = 3;
 constexpr double kManyUpstreams = 100;
 
 double Mean(const std::vector<Metrics>& runs, double Metrics::*value) {
@@ -64,7 +64,7 @@
 
 std::vector<Slope> FitSlopes(const std::vector<Metrics>& runs) {
   std::vector<Slope> slopes;
-  if (CountSizes(runs) < kFewestSizes) return slopes;
+  if (CountSizes(runs) < kMinSizes) return slopes;
   for (const MetricDescription& metric : AllMetrics())
     if (IsWorthFitting(metric, runs)) slopes.push_back(Fit(metric, runs));
   return slopes;
--- a/lab/measure/text_table.cpp
+++ b/lab/measure/text_table.cpp
@@ -38,10 +38,10 @@
   if (size >= kWholeFrom || value == std::floor(value)) return Print("%.*f", 0, value);
   if (size < kExponentBelow) return Print("%.*e", kSignificantDigits - 1, value);
   if (size > 1) return Fixed(value, kSignificantDigits);
-  constexpr int kMostDigits = 15;
+  constexpr int kMaxDigits = 15;
   int digits = kSignificantDigits;
   std::string text = Fixed(value, digits);
-  while (digits < kMostDigits && std::abs(std::stod(text)) >= 1) text = Fixed(value, ++digits);
+  while (digits < kMaxDigits && std::abs(std::stod(text)) >= 1) text = Fixed(value, ++digits);
   return text;
 }
 
--- a/lab/model/chain.cpp
+++ b/lab/model/chain.cpp
@@ -10,6 +10,7 @@
 #include <string>
 
 #include "lab/measure/text_table.h"
+#include "lab/spec/durations.h"
 
 namespace lb::lab {
 namespace {
@@ -33,8 +34,6 @@
   return FormatShort(value, kDigits);
 }
 
-double ToMilliseconds(Duration duration) { return Milliseconds(duration).count(); }
-
 // The table of chains: the description and the unit of each row, then one cell a depth.
 class ChainTable {
  public:
@@ -119,8 +118,8 @@
                            std::uint64_t seed) {
   if (hop.count() == 0) throw std::invalid_argument("no hop was measured");
   if (depth == 0) throw std::invalid_argument("a chain has at least one hop");
-  if (draws == 0 || draws > kMostChainDraws)
-    throw std::invalid_argument("draws of chains have to be 1 to " + std::to_string(kMostChainDraws));
+  if (draws == 0 || draws > kMaxChainDraws)
+    throw std::invalid_argument("draws of chains have to be 1 to " + std::to_string(kMaxChainDraws));
   const std::vector<double>& values = hop.SortedValues();
   std::mt19937_64 random(seed);
   std::uniform_int_distribution<std::size_t> pick(0, values.size() - 1);
--- a/lab/model/chain.h
+++ b/lab/model/chain.h
@@ -13,14 +13,14 @@
 
 namespace lb::lab {
 
-constexpr std::size_t kMostChainDraws = 100'000;
+constexpr std::size_t kMaxChainDraws = 100'000;
 
 // A lognormal distribution with this median and 99th percentile, as `draws` draws: what one hop adds where
 // only those two figures of a run are at hand. Throws std::invalid_argument unless 0 < p50 <= p99 and draws >
 // 0.
 Distribution LognormalHop(double p50, double p99, std::size_t draws, std::uint64_t seed);
 
-// The time that chains of `depth` hops add, in the unit of `hop`, by `draws` (1 to kMostChainDraws) draws of
+// The time that chains of `depth` hops add, in the unit of `hop`, by `draws` (1 to kMaxChainDraws) draws of
 // one value a hop, each hop independent of the others: a cause that slows several hops at once is not in it.
 // The same arguments give the same result. Throws std::invalid_argument for draws out of range, an empty
 // `hop` or a depth of 0.
@@ -59,7 +59,7 @@
 // What the table of chains is made of.
 struct ChainQuestion {
   std::vector<std::size_t> depths = {2, 8, 29};
-  std::size_t draws = kMostChainDraws;
+  std::size_t draws = kMaxChainDraws;
   std::uint64_t seed = 1;
   double limit_ms = 1;  // a hop that adds more counts as slow
   std::vector<double> leaf_failures = {0.01, 0.1, 0.5, 0.9};
--- a/lab/real/control_client.cpp
+++ b/lab/real/control_client.cpp
@@ -7,11 +7,11 @@
 namespace lb::lab {
 namespace {
 
-constexpr std::size_t kMostThreads = 4;
+constexpr std::size_t kMaxThreads = 4;
 
 std::size_t ThreadCount(std::size_t sidecars) {
   const std::size_t half_of_cores = std::thread::hardware_concurrency() / 2;
-  return std::max<std::size_t>(1, std::min({kMostThreads, half_of_cores, sidecars}));
+  return std::max<std::size_t>(1, std::min({kMaxThreads, half_of_cores, sidecars}));
 }
 
 sidecar::DiscoveryClient::Mode ModeOf(const ControlClientOptions& options) {
--- a/lab/real/cpu_clock.cpp
+++ b/lab/real/cpu_clock.cpp
@@ -17,7 +17,7 @@
 constexpr double kNanosecondsPerSecond = 1e9;
 constexpr double kBytesPerMegabyte = 1024 * 1024;
 
-double Seconds(clockid_t clock) {
+double SecondsOf(clockid_t clock) {
   timespec time{};
   ::clock_gettime(clock, &time);
   return static_cast<double>(time.tv_sec) + static_cast<double>(time.tv_nsec) / kNanosecondsPerSecond;
@@ -43,9 +43,9 @@
 
 }  // namespace
 
-double ThreadCpuSeconds() { return Seconds(CLOCK_THREAD_CPUTIME_ID); }
+double ThreadCpuSeconds() { return SecondsOf(CLOCK_THREAD_CPUTIME_ID); }
 
-double ProcessCpuSeconds() { return Seconds(CLOCK_PROCESS_CPUTIME_ID); }
+double ProcessCpuSeconds() { return SecondsOf(CLOCK_PROCESS_CPUTIME_ID); }
 
 double ResidentMemoryMb() {
   std::ifstream stream("/proc/self/statm");
--- a/lab/real/http_load.h
+++ b/lab/real/http_load.h
@@ -41,7 +41,7 @@
  public:
   // `scheduler`, which has to go by the same io_context, `clients` and `classes` have to outlive it.
   HttpLoad(boost::asio::io_context& io, Scheduler& scheduler, const ClientSpec& clients,
-           const std::vector<ClassSpec>& classes, std::vector<LoadTarget> targets, std::uint64_t seed);
+           const std::vector<ClassSpec>& classes, const std::vector<LoadTarget>& targets, std::uint64_t seed);
   ~HttpLoad();
 
   void Start();
--- a/lab/real/real_engine.cpp
+++ b/lab/real/real_engine.cpp
@@ -1,4 +1,5 @@
-// RunReal(): the phases of a run on the machine's clock, its guard rails, samples and totals.
+// RunReal(): the phases of a run on the machine's clock. What it measures: real_measurements.h; what it may
+// take of the machine: machine_limits.h.
 //
 // Threads: discovery; the hollow sidecars with their models, clients and the faults; a few for their control
 // clients; the HTTP upstreams and the HTTP load of real sidecars. The caller's thread starts processes, takes
@@ -20,11 +21,14 @@
 #include "lab/model/scheduler.h"
 #include "lab/real/cpu_clock.h"
 #include "lab/real/discovery_server.h"
+#include "lab/real/machine_limits.h"
 #include "lab/real/real_fault_target.h"
 #include "lab/real/real_fleet.h"
+#include "lab/real/real_measurements.h"
 #include "lab/real/sidecar_operator.h"
 #include "lab/real/upstream_operator.h"
 #include "lab/real/worker_thread.h"
+#include "lab/spec/durations.h"
 #include "lab/virtual/hollow_fleet.h"
 
 namespace lb::lab {
@@ -33,20 +37,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// ---- Guard rails ----
-constexpr std::size_t kMostProcesses = 300;
-constexpr double kMemoryShare = 0.5;  // of the machine's
-constexpr int kTimeLimitFactor = 3;   // of the planned time
-// What a run takes by reckoning, in MB: the program, a hollow sidecar and each line of its list, an upstream.
-constexpr double kProgramMb = 100;
-constexpr double kHollowSidecarMb = 0.25;
-constexpr double kListLineMb = 0.002;
-constexpr double kUpstreamMb = 0.05;
-// Sockets of a hollow sidecar beside those of its agent; what else the program holds.
-constexpr std::size_t kDescriptorsPerSidecar = 6;
-constexpr std::size_t kOtherDescriptors = 1000;
-// The hollow sidecars' thread has nothing to spare where it is so busy: requests take longer for it.
-constexpr double kSaturatedShare = 0.97;
+// A run that takes so many times the planned time is given up.
+constexpr int kTimeLimitFactor = 3;
 
 // ---- Phases ----
 constexpr Duration kStartTime = seconds(10);  // planned, until all hold lists
@@ -54,65 +46,18 @@
 constexpr Duration kSettleTime = milliseconds(500);
 constexpr int kTrialChanges = 6;  // one by one, before the load
 constexpr Duration kResultsMargin = seconds(1);
-// Beyond the end, for notices under way; what is not told by then counts as missing.
+// Beyond the end, for notices in flight; what is not heard by then counts as missing.
 constexpr Duration kNoticesMargin = seconds(15);
-constexpr Duration kAskPatience = seconds(10);  // of a busy thread
-constexpr Duration kLookEvery = milliseconds(200);
+constexpr Duration kThreadTimeout = seconds(10);  // of a busy thread
+constexpr Duration kCheckInterval = milliseconds(200);
 
-constexpr std::uint64_t kTellingRequests = 100;  // a sample with fewer tells nothing of the worst second
-constexpr const char* kNobodysEndpoint = "127.0.0.1:9";
-
-double Seconds(Duration duration) { return std::chrono::duration<double>(duration).count(); }
-double Share(double part, double whole) { return whole > 0 ? part / whole : 0; }
-double Share(std::uint64_t part, std::uint64_t whole) {
-  return Share(static_cast<double>(part), static_cast<double>(whole));
-}
-
-std::size_t RealSidecars(const Deployment& deployment) {
-  return static_cast<std::size_t>(std::count_if(deployment.sidecars.begin(), deployment.sidecars.end(),
-                                                [](const SidecarInstance& s) { return s.real; }));
-}
-
-std::size_t HollowSidecars(const Experiment& experiment, const Deployment& deployment) {
-  return experiment.hollow_absent ? 0 : deployment.sidecars.size() - RealSidecars(deployment);
-}
-
-double ReckonedMemoryMb(const Experiment& experiment, const Deployment& deployment) {
-  const auto upstreams = static_cast<double>(deployment.upstreams.size());
-  const auto real = static_cast<double>(RealSidecars(deployment));
-  const auto hollow = static_cast<double>(HollowSidecars(experiment, deployment));
-  const double services =
-      experiment.list == ListScope::kService ? static_cast<double>(experiment.services) : 1;
-  return kProgramMb + hollow * (kHollowSidecarMb + upstreams / services * kListLineMb) +
-         upstreams * kUpstreamMb + real * experiment.sidecars.memory_mb;
-}
-
-void CheckFitsMachine(const Experiment& experiment, const Deployment& deployment) {
-  const double reckoned_mb = ReckonedMemoryMb(experiment, deployment);
-  const double most_mb = MachineMemoryMb() * kMemoryShare;
-  if (reckoned_mb > most_mb) {
-    throw std::runtime_error("the run would take about " + std::to_string(reckoned_mb) + " MB, more than " +
-                             std::to_string(most_mb));
-  }
-  const std::size_t processes = 1 + ChildProcesses() + RealSidecars(deployment);
-  if (processes > kMostProcesses) {
-    throw std::runtime_error("the run would be " + std::to_string(processes) + " processes, more than " +
-                             std::to_string(kMostProcesses));
-  }
-}
+constexpr const char* kUnusedEndpoint = "127.0.0.1:9";  // of upstreams that no real sidecar calls
 
 std::unique_ptr<RealFleet> MakeRealFleet(const Experiment& experiment, const Deployment& deployment,
                                          const std::string& program, FleetRules& rules) {
   CheckFitsMachine(experiment, deployment);
-  const std::size_t real = RealSidecars(deployment);
-  // A real sidecar holds no more connections to upstreams than it may have sockets; each sidecar has an
-  // agent.
-  const std::size_t connections =
-      std::min(deployment.upstreams.size(), static_cast<std::size_t>(experiment.sidecars.sockets));
-  EnsureDescriptorLimit(deployment.sidecars.size() +
-                        (HollowSidecars(experiment, deployment) + real) * kDescriptorsPerSidecar +
-                        deployment.upstreams.size() + real * connections + kOtherDescriptors);
-  if (real == 0) return nullptr;
+  EnsureDescriptorsForRun(experiment, deployment);
+  if (CountRealSidecars(deployment) == 0) return nullptr;
   HttpUpstreamOptions options;
   options.on_attempt = [&rules](const ArrivedAttempt& attempt) {
     if (attempt.sidecar) rules.Attempted(*attempt.sidecar, attempt.upstream, attempt.work, attempt.at);
@@ -135,7 +80,7 @@
     entry.service = upstream.service;
     entry.zone = upstream.zone;
     entry.kind = upstream.kind->name;
-    entry.endpoint = real != nullptr ? real->UpstreamAddress(upstream.index) : kNobodysEndpoint;
+    entry.endpoint = real != nullptr ? real->UpstreamAddress(upstream.index) : kUnusedEndpoint;
     entry.weight = upstream.weight;
     entries.push_back(std::move(entry));
   }
@@ -146,7 +91,7 @@
                                      FleetRules& rules) {
   DiscoveryServerOptions options;
   options.on_request = experiment.discovery.on_request;
-  options.on_told = [&rules](std::size_t sidecar, const MembershipEntry& entry, TimePoint at) {
+  options.on_known = [&rules](std::size_t sidecar, const MembershipEntry& entry, TimePoint at) {
     rules.Told(sidecar, entry, at);
   };
   options.notice_delay_s = experiment.discovery.notice_delay_s;
@@ -159,13 +104,6 @@
   return options;
 }
 
-// Of the hollow sidecars together, over some time.
-struct ControlCost {
-  double cpu_s = 0;
-  double bytes_to_sidecars = 0;
-  double told = 0;  // changes, over all sidecars
-};
-
 class RealRun {
  public:
   RealRun(const Experiment& experiment, const Deployment& deployment, const std::string& program,
@@ -191,21 +129,12 @@
   Duration PlannedTime() const;
 
   void TakeSample();
-  void AddHollow(const HollowWindow& window, double passed_s, Sample& sample) const;
-  void AddReal(const RealWindow& window, double passed_s, Sample& sample) const;
-  void AddDiscovery(double passed_s, Sample& sample);
-  std::size_t PlayedSidecars() const { return hollow_.sidecars() + (real_ ? real_->sidecars() : 0); }
-  void AddRealTotals(Metrics& metrics) const;
-  void CountRealMeasured(const RealWindow& window, TimePoint now);
   Metrics Totals();
-  void AddRequestTotals(Metrics& metrics) const;
-  void AddTrafficTotals(Metrics& metrics) const;
-  void AddRuleTotals(Metrics& metrics);
 
   // On the hollow sidecars' thread.
   template <typename Read>
   auto AskHollow(Read read) {
-    return hollow_thread_.Ask(std::move(read), kAskPatience);
+    return hollow_thread_.Ask(std::move(read), kThreadTimeout);
   }
 
   const Experiment& experiment_;
@@ -213,7 +142,7 @@
   const OnSample& on_sample_;
   const TimePoint began_ = sidecar::Now();
   const TimePoint time_limit_ = began_ + kTimeLimitFactor * PlannedTime();
-  const double memory_limit_mb_ = MachineMemoryMb() * kMemoryShare;
+  const double memory_limit_mb_ = MemoryLimitMb();
 
   boost::asio::io_context tasks_{1};  // what other threads ask of the caller's thread
   const boost::asio::executor_work_guard<boost::asio::io_context::executor_type> tasks_stay_{
@@ -230,29 +159,7 @@
   RealFaultTarget fault_target_;
   FaultSchedule faults_;
 
-  TimePoint start_;  // of the load and the faults' time
-  TimePoint sample_start_;
-  DiscoveryCounters discovery_at_sample_;
-  Duration saturated_{};
-  double worst_second_ = 1;
-  bool any_telling_second_ = false;
-  // Of the measured time.
-  bool measuring_ = false;
-  TimePoint measured_until_;
-  RealWindow measured_real_;
-  std::uint64_t dropped_ = 0;      // over the whole run
-  StalledClientCounters stalled_;  // likewise
-  TrafficCounters real_last_third_;
-  RealWindow last_real_;   // for what each has now or has had at most
-  double real_cpu_s_ = 0;  // of all, since their start
-  DiscoveryCounters discovery_at_start_;
-  DiscoveryCounters discovery_at_end_;
-  // Of the phases before the load.
-  double hollow_memory_mb_ = 0;  // all, without the models
-  double rest_s_ = 0;
-  ControlCost rest_;
-  double changes_s_ = 0;
-  ControlCost changes_;
+  RealMeasurements measurements_;
 };
 
 RealRun::RealRun(const Experiment& experiment, const Deployment& deployment, const std::string& program,
@@ -269,7 +176,8 @@
       real_operator_(MakeOperator()),
       fault_target_(deployment, scheduler_, discovery_, hollow_, real_.get(), real_operator_.get(),
                     upstreams_),
-      faults_(deployment, scheduler_, fault_target_) {}
+      faults_(deployment, scheduler_, fault_target_),
+      measurements_(experiment, deployment) {}
 
 // Its handlers refer to all the rest.
 RealRun::~RealRun() { hollow_thread_.Stop(); }
@@ -287,21 +195,21 @@
   StartSidecars();
   MeasureRest();
   MeasureChanges();
-  start_ = sidecar::Now();
-  sample_start_ = start_;
-  AskHollow([this] {
+  const TimePoint start = sidecar::Now();
+  measurements_.StartLoad(start);
+  AskHollow([this, start] {
     hollow_.Take();
     hollow_.StartLoad();
-    faults_.Schedule(start_);
+    faults_.Schedule(start);
   });
   if (real_) real_->StartLoad();
-  PlayUntil(start_ + experiment_.warm_up);
+  PlayUntil(start + experiment_.warm_up);
   BeginMeasuring();
-  PlayUntil(measured_until_);
+  PlayUntil(measurements_.measured_until());
   EndMeasuring();
   PlayOut();
-  if (saturated_ > Duration::zero()) {
-    std::cerr << "warning: for " << Seconds(saturated_)
+  if (measurements_.saturated() > Duration::zero()) {
+    std::cerr << "warning: for " << ToSeconds(measurements_.saturated())
               << " s one thread could not carry the hollow sidecars; their requests took longer for it\n";
   }
   return Totals();
@@ -315,9 +223,9 @@
   hollow_thread_.Start();
   const bool all = Await([this] { return AskHollow([this] { return hollow_.AllHoldLists(); }); }, kStartTime);
   if (!all && !experiment_.discovery.on_request) throw std::runtime_error("hollow sidecars got no list");
-  hollow_memory_mb_ = std::max(0.0, ResidentMemoryMb() - before_mb);
+  measurements_.SetHollowMemory(std::max(0.0, ResidentMemoryMb() - before_mb));
   if (real_) real_->StartSidecars(discovery_, first_registry_);
-  discovery_at_sample_ = discovery_.Counters();
+  measurements_.SetDiscoveryCounters(discovery_.Counters());
 }
 
 void RealRun::MeasureRest() {
@@ -327,8 +235,7 @@
   const ControlCost before = ControlCostSoFar();
   RunTasksUntil(from + kRestTime);
   const ControlCost after = ControlCostSoFar();
-  rest_s_ = Seconds(sidecar::Now() - from);
-  rest_ = {after.cpu_s - before.cpu_s, after.bytes_to_sidecars - before.bytes_to_sidecars, 0};
+  measurements_.SetRest(ToSeconds(sidecar::Now() - from), after - before);
 }
 
 // Those of an experiment's changes, ahead of time: each alone, with no load beside it. Every second one takes
@@ -345,9 +252,7 @@
     ChangeAndWait(upstream, i % 2 == 0 ? kChangedWeight : 1);
   }
   const ControlCost after = ControlCostSoFar();
-  changes_s_ = Seconds(sidecar::Now() - from);
-  changes_ = {after.cpu_s - before.cpu_s, after.bytes_to_sidecars - before.bytes_to_sidecars,
-              after.told - before.told};
+  measurements_.SetChanges(ToSeconds(sidecar::Now() - from), after - before);
 }
 
 void RealRun::ChangeAndWait(std::size_t upstream, double factor) {
@@ -374,22 +279,20 @@
 
 void RealRun::PlayUntil(TimePoint end) {
   while (sidecar::Now() < end) {
-    RunTasksUntil(std::min(end, sample_start_ + std::max(experiment_.sample_every, kLookEvery)));
+    RunTasksUntil(
+        std::min(end, measurements_.sample_start() + std::max(experiment_.sample_every, kCheckInterval)));
     TakeSample();
   }
 }
 
 void RealRun::BeginMeasuring() {
   const TimePoint now = sidecar::Now();
-  measured_until_ = now + experiment_.length;
-  AskHollow([this, now] { hollow_.BeginMeasuring(now, measured_until_); });
-  discovery_at_start_ = discovery_.Counters();
-  measuring_ = true;
+  AskHollow([this, now] { hollow_.BeginMeasuring(now, now + experiment_.length); });
+  measurements_.BeginMeasuring(now, discovery_.Counters());
 }
 
 void RealRun::EndMeasuring() {
-  measuring_ = false;
-  discovery_at_end_ = discovery_.Counters();
+  measurements_.EndMeasuring(discovery_.Counters());
   AskHollow([this] { hollow_.EndMeasuring(); });
 }
 
@@ -413,7 +316,7 @@
 
 void RealRun::RunTasksUntil(TimePoint end) {
   do {
-    tasks_.run_until(sidecar::ToSteady(std::min(end, sidecar::Now() + kLookEvery)));
+    tasks_.run_until(sidecar::ToSteady(std::min(end, sidecar::Now() + kCheckInterval)));
     CheckLimits();
   } while (sidecar::Now() < end);
 }
@@ -422,7 +325,7 @@
   const TimePoint end = sidecar::Now() + patience;
   while (!condition()) {
     if (sidecar::Now() >= end) return false;
-    RunTasksUntil(sidecar::Now() + kLookEvery);
+    RunTasksUntil(sidecar::Now() + kCheckInterval);
   }
   return true;
 }
@@ -446,184 +349,32 @@
          deadline + kResultsMargin;
 }
 
-// ---- Samples ----
+// ---- Results ----
 
 void RealRun::TakeSample() {
-  const HollowWindow hollow = AskHollow([this] { return hollow_.Take(); });
-  RealWindow real;
-  if (real_) real = real_->Take();
-  dropped_ += real.load.dropped;
-  stalled_ += real.stalled;
-  const TimePoint now = sidecar::Now();
-  const Duration passed = now - sample_start_;
-  Sample sample;
-  sample.at_s = Seconds(now - start_);
-  AddHollow(hollow, Seconds(passed), sample);
-  AddReal(real, Seconds(passed), sample);
-  AddDiscovery(Seconds(passed), sample);
-  sample.in_time_share = Share(sample.traffic.in_time, sample.traffic.requests);
-  Distribution latency_ms = hollow.results.latency_ms;
-  latency_ms.Merge(real.load.latency_ms);
-  sample.latency_p50_ms = latency_ms.Percentile(0.5);
-  sample.latency_p99_ms = latency_ms.Percentile(0.99);
-  real_cpu_s_ += real.cpu_s;
-  if (measuring_) CountRealMeasured(real, now);
-  if (measuring_ && sample.traffic.requests >= kTellingRequests) {
-    worst_second_ = std::min(worst_second_, sample.in_time_share);
-    any_telling_second_ = true;
-  }
-  sample_start_ = now;
-  if (hollow.thread_cpu_s > kSaturatedShare * Seconds(passed)) saturated_ += passed;
+  RealWindows windows;
+  windows.hollow = AskHollow([this] { return hollow_.Take(); });
+  if (real_) windows.real = real_->Take();
+  windows.discovery = discovery_.Counters();
+  const Sample sample = measurements_.AddWindows(windows, sidecar::Now());
   if (on_sample_) on_sample_(sample);
 }
 
-void RealRun::AddHollow(const HollowWindow& window, double passed_s, Sample& sample) const {
-  const auto sidecars = static_cast<double>(hollow_.sidecars());
-  sample.traffic += window.results.counters;
-  sample.traffic += window.traffic;
-  sample.notice_p50_ms = window.notice_delays_ms.Percentile(0.5);
-  sample.notice_p99_ms = window.notice_delays_ms.Percentile(0.99);
-  sample.notice_last_ms = window.notice_delays_ms.Percentile(1);
-  sample.hollow_cpu = Share(window.thread_cpu_s + window.control_cpu_s, passed_s * sidecars);
-  sample.hollow_memory_mb = Share(hollow_memory_mb_, sidecars);
-  sample.load_spread = window.load_spread;
-  sample.crowded_upstreams += window.crowded_upstreams;
-  sample.held += window.held;
-}
-
-void RealRun::AddReal(const RealWindow& window, double passed_s, Sample& sample) const {
-  if (!real_) return;
-  sample.traffic += window.load.traffic;
-  sample.traffic += window.traffic;
-  sample.added_p50_ms = window.load.added_ms.Percentile(0.5);
-  sample.added_p99_ms = window.load.added_ms.Percentile(0.99);
-  sample.real_cpu = Share(window.cpu_s, passed_s * static_cast<double>(real_->sidecars()));
-  sample.real_memory_mb = window.memory_mb;
-  sample.crowded_upstreams += window.crowded_upstreams;
-  sample.held += window.held;
-}
-
-void RealRun::AddDiscovery(double passed_s, Sample& sample) {
-  const DiscoveryCounters now = discovery_.Counters();
-  const DiscoveryCounters before = std::exchange(discovery_at_sample_, now);
-  sample.discovery_cpu = Share(Seconds(now.processor_time - before.processor_time), passed_s);
-  const auto bytes = now.Total().bytes() - before.Total().bytes();
-  sample.control_bytes_per_s =
-      Share(static_cast<double>(bytes), passed_s * static_cast<double>(PlayedSidecars()));
-}
-
-void RealRun::CountRealMeasured(const RealWindow& window, TimePoint now) {
-  measured_real_.load.traffic += window.load.traffic;
-  measured_real_.load.latency_ms.Merge(window.load.latency_ms);
-  measured_real_.load.added_ms.Merge(window.load.added_ms);
-  measured_real_.traffic += window.traffic;
-  measured_real_.cpu_s += window.cpu_s;
-  last_real_ = window;
-  if (now > measured_until_ - experiment_.length / 3) real_last_third_ += window.load.traffic;
-}
-
-// ---- Totals ----
-
 Metrics RealRun::Totals() {
-  const double length_s = Seconds(experiment_.length);
-  const auto hollow = static_cast<double>(hollow_.sidecars());
-  Metrics metrics;
-  metrics.upstreams = static_cast<double>(deployment_.upstreams.size());
-  metrics.sidecars = static_cast<double>(PlayedSidecars());
-  metrics.notices_missing =
+  RealRunEnd end;
+  end.notices_missing =
       static_cast<double>(AskHollow([this] { return hollow_.propagation().Missing(sidecar::Now()); }));
   hollow_thread_.Stop();
-  AddRequestTotals(metrics);
-  AddTrafficTotals(metrics);
-  AddRuleTotals(metrics);
-  const Distribution& notices_ms = hollow_.propagation().delays_ms();
-  metrics.notice_p50_ms = notices_ms.Percentile(0.5);
-  metrics.notice_p99_ms = notices_ms.Percentile(0.99);
-  metrics.notice_last_ms = notices_ms.Percentile(1);
-  metrics.hollow_cpu = Share(rest_.cpu_s, rest_s_ * hollow);
-  metrics.hollow_memory_mb = Share(hollow_memory_mb_, hollow);
-  AddRealTotals(metrics);
-  metrics.discovery_cpu =
-      Share(Seconds(discovery_at_end_.processor_time - discovery_at_start_.processor_time), length_s);
-  const auto bytes = discovery_at_end_.Total().bytes() - discovery_at_start_.Total().bytes();
-  metrics.control_bytes_per_s = Share(static_cast<double>(bytes), length_s * metrics.sidecars);
-  const double rest_share = Share(changes_s_, rest_s_);
-  metrics.change_cpu_ms =
-      1e3 * Share(std::max(0.0, changes_.cpu_s - rest_.cpu_s * rest_share), changes_.told);
-  metrics.change_bytes =
-      Share(std::max(0.0, changes_.bytes_to_sidecars - rest_.bytes_to_sidecars * rest_share), changes_.told);
-  metrics.load_spread = hollow_.totals().load_spread;
-  metrics.seconds = Seconds(sidecar::Now() - began_);
-  return metrics;
-}
-
-void RealRun::AddRequestTotals(Metrics& metrics) const {
-  const HollowTotals& hollow = hollow_.totals();
-  TrafficCounters results = hollow.results.counters;
-  results += measured_real_.load.traffic;
-  TrafficCounters last_third = hollow.last_third.counters;
-  last_third += real_last_third_;
-  Distribution latency_ms = hollow.results.latency_ms;
-  latency_ms.Merge(measured_real_.load.latency_ms);
-  metrics.requests = static_cast<double>(results.requests);
-  metrics.in_time_share = Share(results.in_time, results.requests);
-  metrics.late_share = Share(results.late, results.requests);
-  metrics.refused_share = Share(results.refused, results.requests);
-  metrics.failed_share = Share(results.failed, results.requests);
-  metrics.worst_second_share = any_telling_second_ ? worst_second_ : metrics.in_time_share;
-  metrics.last_third_share = Share(last_third.in_time, last_third.requests);
-  metrics.latency_p50_ms = latency_ms.Percentile(0.5);
-  metrics.latency_p99_ms = latency_ms.Percentile(0.99);
-  metrics.added_p50_ms = measured_real_.load.added_ms.Percentile(0.5);
-  metrics.added_p99_ms = measured_real_.load.added_ms.Percentile(0.99);
-}
-
-void RealRun::AddRuleTotals(Metrics& metrics) {
-  if (!real_) return;
-  const RealWindow rest = real_->Take();
-  dropped_ += rest.load.dropped;
-  stalled_ += rest.stalled;
-  const FleetRuleCounters rules = rules_.counters();
-  metrics.dropped_requests = static_cast<double>(dropped_);
-  metrics.stalled_clients = static_cast<double>(stalled_.begun);
-  metrics.stalled_unanswered = static_cast<double>(stalled_.unanswered);
-  metrics.late_to_draining = static_cast<double>(rules.late_to_draining);
-  metrics.cold_overloads = static_cast<double>(rules.cold_overloads);
-  metrics.sidecars_stopped = static_cast<double>(real_operator_->counters().stopped);
-  metrics.killed_at_limit = static_cast<double>(real_operator_->counters().killed_at_limit);
-  for (const std::size_t i : real_->SidecarIndices()) metrics.sidecars_ended += real_->SidecarRuns(i) ? 0 : 1;
-}
-
-void RealRun::AddRealTotals(Metrics& metrics) const {
-  if (!real_) return;
-  const auto real = static_cast<double>(real_->sidecars());
-  metrics.real_cpu = Share(measured_real_.cpu_s, Seconds(experiment_.length) * real);
-  metrics.real_memory_mb = last_real_.memory_mb;
-  metrics.real_cpu_s = Share(real_cpu_s_, real);
-  metrics.real_peak_memory_mb = last_real_.peak_memory_mb;
-  metrics.real_descriptors = last_real_.peak_descriptors;
-  double bytes = 0;
-  for (const SidecarInstance& sidecar : deployment_.sidecars) {
-    if (!sidecar.real) continue;
-    const std::size_t i = sidecar.index;
-    bytes += static_cast<double>(discovery_at_end_.agents[i].bytes_out) -
-             static_cast<double>(discovery_at_start_.agents[i].bytes_out);
+  end.hollow = hollow_.totals();
+  end.notice_delays_ms = hollow_.propagation().delays_ms();
+  if (real_) {
+    measurements_.AddRest(real_->Take());
+    end.rules = rules_.counters();
+    end.stops = real_operator_->counters();
+    for (const std::size_t i : real_->SidecarIndices()) end.sidecars_ended += real_->SidecarRuns(i) ? 0 : 1;
   }
-  metrics.real_list_bytes = Share(bytes, real);
-}
-
-// Crossings of zones are known of hollow sidecars alone.
-void RealRun::AddTrafficTotals(Metrics& metrics) const {
-  const auto requests = static_cast<std::uint64_t>(metrics.requests);
-  const TrafficCounters& hollow = hollow_.totals().traffic;
-  TrafficCounters traffic = hollow;
-  traffic += measured_real_.traffic;
-  metrics.attempts_per_request = Share(traffic.attempts, requests);
-  metrics.connects_per_request = Share(traffic.connects, requests);
-  metrics.connects_per_sidecar = Share(static_cast<double>(traffic.connects), metrics.sidecars);
-  metrics.connects_failed_share = Share(traffic.connects_failed, traffic.connects);
-  metrics.crossings_share = Share(hollow.crossings, hollow.attempts);
-  metrics.probes_per_request = Share(traffic.probes, requests);
+  end.seconds = ToSeconds(sidecar::Now() - began_);
+  return measurements_.Totals(end);
 }
 
 }  // namespace
--- a/lab/real/real_fault_target.cpp
+++ b/lab/real/real_fault_target.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 // With fewer configurations than this none of them is malformed.
-constexpr std::size_t kLeastWithMalformed = 3;
+constexpr std::size_t kMinUpstreamsWithMalformed = 3;
 
 }  // namespace
 
@@ -62,7 +62,7 @@
 void RealFaultTarget::SendConfigurations(std::size_t count, Duration over) {
   if (real_operator_ == nullptr) return;
   SpreadEvenly(scheduler_, over, count, [this, count](std::size_t i) {
-    const bool malformed = count >= kLeastWithMalformed && i == count / 2;
+    const bool malformed = count >= kMinUpstreamsWithMalformed && i == count / 2;
     real_operator_->Reconfigure(malformed);
   });
 }
--- a/lab/real/sidecar_operator.cpp
+++ b/lab/real/sidecar_operator.cpp
@@ -15,7 +15,7 @@
 
 using std::chrono::milliseconds;
 
-constexpr Duration kLongestDeadlineCounted = std::chrono::seconds(3);
+constexpr Duration kMaxCountedDeadline = std::chrono::seconds(3);
 constexpr Duration kShutdownMargin = milliseconds(700);
 // After SIGTERM, new connections keep coming for so long.
 constexpr Duration kConnectsAfterTerm = milliseconds(300);
@@ -25,7 +25,7 @@
 }  // namespace
 
 Duration ShutdownTime(Duration longest_deadline) {
-  return std::min(longest_deadline, kLongestDeadlineCounted) + kShutdownMargin;
+  return std::min(longest_deadline, kMaxCountedDeadline) + kShutdownMargin;
 }
 
 SidecarOperator::SidecarOperator(boost::asio::io_context& tasks, RealFleet& fleet, DiscoveryServer& discovery,
--- a/lab/spec/deployment.cpp
+++ b/lab/spec/deployment.cpp
@@ -12,6 +12,8 @@
 #include <random>
 #include <utility>
 
+#include "lab/spec/durations.h"
+
 namespace lb::lab {
 namespace {
 
@@ -23,8 +25,6 @@
 
 using Generator = std::mt19937_64;
 
-double Seconds(Duration time) { return std::chrono::duration<double>(time).count(); }
-
 // Of mean 1 and the given standard deviation.
 std::lognormal_distribution<double> LognormalAroundOne(double variation) {
   const double variance = std::log1p(variation * variation);
@@ -109,7 +109,7 @@
   double work = 0;
   double shares = 0;
   for (const ClassSpec& spec : classes) {
-    work += spec.share * Seconds(spec.mean_work);
+    work += spec.share * ToSeconds(spec.mean_work);
     shares += spec.share;
   }
   return work / shares;
--- a/lab/spec/experiment.cpp
+++ b/lab/spec/experiment.cpp
@@ -9,6 +9,7 @@
 #include <set>
 
 #include "lab/measure/metrics.h"
+#include "lab/spec/fault_reader.h"
 #include "lab/spec/growth_spec.h"
 #include "lab/spec/toml_reader.h"
 
@@ -19,11 +20,10 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr std::size_t kMostUpstreams = 5000;
-constexpr std::size_t kMostSidecars = 20000;
-constexpr std::size_t kMostRealSidecars = 300;
-constexpr std::size_t kLongestName = 64;
-constexpr double kLongestStepS = 86'400;  // of a wall clock
+constexpr std::size_t kMaxUpstreams = 5000;
+constexpr std::size_t kMaxSidecars = 20000;
+constexpr std::size_t kMaxRealSidecars = 300;
+constexpr std::size_t kMaxNameLength = 64;
 constexpr Bounds kShare{0, 1};
 // Of one class or kind against the others.
 constexpr Bounds kPart{0, 1e6};
@@ -36,68 +36,16 @@
                                                            {"keyed", lb::Idempotency::kIdempotencyKey},
                                                            {"unsafe", lb::Idempotency::kNotIdempotent}};
 
-enum class KeyUse { kRefused, kOptional, kRequired };
-
-// Which keys a kind of fault takes beside `kind` and `at_s`.
-struct FaultForm {
-  FaultKind kind;
-  std::string_view name;
-  KeyUse lasts = KeyUse::kRefused;
-  KeyUse share = KeyUse::kRefused;
-  KeyUse factor = KeyUse::kRefused;
-  KeyUse count = KeyUse::kRefused;
-  KeyUse zone = KeyUse::kRefused;
-  KeyUse step = KeyUse::kRefused;
-  double least_factor = 1;
-};
-
-const std::vector<FaultForm>& FaultForms() {
-  constexpr KeyUse kNeeded = KeyUse::kRequired;
-  constexpr KeyUse kMay = KeyUse::kOptional;
-  static const std::vector<FaultForm> kForms = {
-      {.kind = FaultKind::kCrash, .name = "crash", .lasts = kNeeded, .share = kNeeded},
-      {.kind = FaultKind::kHang, .name = "hang", .lasts = kNeeded, .share = kNeeded},
-      {.kind = FaultKind::kSlow, .name = "slow", .lasts = kNeeded, .share = kNeeded, .factor = kNeeded},
-      {.kind = FaultKind::kRestart, .name = "restart", .lasts = kNeeded, .share = kNeeded},
-      {.kind = FaultKind::kChange, .name = "change", .lasts = kMay, .count = kMay},
-      {.kind = FaultKind::kZoneLost, .name = "zone_lost", .lasts = kNeeded, .zone = kMay},
-      {.kind = FaultKind::kRegionCut, .name = "region_cut", .lasts = kNeeded},
-      {.kind = FaultKind::kDiscoveryDown, .name = "discovery_down", .lasts = kNeeded},
-      {.kind = FaultKind::kNoticesLate, .name = "notices_late", .lasts = kNeeded, .factor = kNeeded},
-      {.kind = FaultKind::kNoticesSilent, .name = "notices_silent"},
-      {.kind = FaultKind::kNoticesLost, .name = "notices_lost", .lasts = kNeeded, .share = kNeeded},
-      {.kind = FaultKind::kSidecarsKilled, .name = "sidecars_killed", .share = kNeeded},
-      {.kind = FaultKind::kSidecarsStopped, .name = "sidecars_stopped", .lasts = kMay, .share = kNeeded},
-      {.kind = FaultKind::kClientsStalled, .name = "clients_stalled", .lasts = kMay, .count = kMay},
-      {.kind = FaultKind::kNewConfigurations, .name = "new_configurations", .lasts = kMay, .count = kMay},
-      {.kind = FaultKind::kDiscoverySlow, .name = "discovery_slow", .lasts = kNeeded},
-      {.kind = FaultKind::kClockStepped, .name = "clock_stepped", .share = kNeeded, .step = kNeeded},
-      {.kind = FaultKind::kBurst, .name = "burst", .lasts = kNeeded, .factor = kNeeded, .least_factor = 0.01},
-  };
-  return kForms;
-}
-
-const FaultForm& FormOf(FaultKind kind) {
-  const auto& forms = FaultForms();
-  return *std::find_if(forms.begin(), forms.end(), [kind](const FaultForm& f) { return f.kind == kind; });
-}
-
-std::vector<NamedValue<FaultKind>> FaultNames() {
-  std::vector<NamedValue<FaultKind>> names;
-  for (const FaultForm& form : FaultForms()) names.push_back({form.name, form.kind});
-  return names;
-}
-
 bool IsName(const std::string& text) {
   const auto allowed = [](unsigned char c) { return std::isalnum(c) || c == '_' || c == '-' || c == '.'; };
-  return !text.empty() && text.size() <= kLongestName && std::all_of(text.begin(), text.end(), allowed);
+  return !text.empty() && text.size() <= kMaxNameLength && std::all_of(text.begin(), text.end(), allowed);
 }
 
 void ReadName(TableReader& table, std::string& name) {
   table.Require({"name"});
   table.ReadText("name", name);
   if (!IsName(name)) {
-    table.Fail("name", "name has to be 1 to " + std::to_string(kLongestName) + " of A-Z a-z 0-9 . _ -");
+    table.Fail("name", "name has to be 1 to " + std::to_string(kMaxNameLength) + " of A-Z a-z 0-9 . _ -");
   }
 }
 
@@ -221,73 +169,12 @@
   table.ReadCount("max_attempts", spec.max_attempts, 1, 20);
   table.ReadNumber("cross_zone_price", spec.cross_zone_price, {0, 1000});
   table.ReadNumber("probe_price", spec.probe_price, {0, 1000});
-  table.ReadCount("real", spec.real, 0, kMostRealSidecars);
+  table.ReadCount("real", spec.real, 0, kMaxRealSidecars);
   table.ReadCount("memory_mb", spec.memory_mb, 32, 4096);
   table.ReadCount("sockets", spec.sockets, 256, 65'536);
   table.Finish();
 }
 
-void CheckFaultKeys(const TableReader& table, const FaultForm& form) {
-  const NamedValue<KeyUse> uses[] = {{"lasts_s", form.lasts}, {"share", form.share}, {"factor", form.factor},
-                                     {"count", form.count},   {"zone", form.zone},   {"step_s", form.step}};
-  for (const auto& [key, use] : uses) {
-    if (use == KeyUse::kRequired) table.Require({key});
-    if (use == KeyUse::kRefused && table.Has(key)) {
-      table.Fail(key, "a fault " + std::string(form.name) + " has no " + std::string(key));
-    }
-  }
-}
-
-void CheckZone(const TableReader& table, const Experiment& experiment, const std::string& zone) {
-  const std::vector<ZoneSpec> zones = ZonesOf(experiment);
-  const auto named = [&](const ZoneSpec& z) { return z.name == zone; };
-  if (std::none_of(zones.begin(), zones.end(), named)) {
-    table.Fail("zone", "there is no zone \"" + zone + "\"");
-  }
-}
-
-bool NeedsRealSidecars(FaultKind kind) {
-  return kind == FaultKind::kClientsStalled || kind == FaultKind::kNewConfigurations ||
-         kind == FaultKind::kClockStepped;
-}
-
-FaultSpec ReadFault(TableReader& table, const Experiment& experiment) {
-  FaultSpec spec;
-  table.Require({"kind", "at_s"});
-  table.ReadChoice("kind", spec.kind, FaultNames());
-  const FaultForm& form = FormOf(spec.kind);
-  CheckFaultKeys(table, form);
-  table.ReadTime("at_s", spec.at, seconds(1), {0, 3600});
-  table.ReadTime("lasts_s", spec.lasts, seconds(1), {0.001, 3600});
-  table.ReadNumber("share", spec.share, {0.0001, 1});
-  table.ReadNumber("factor", spec.factor, {form.least_factor, 1000});
-  table.ReadCount("count", spec.count, 1, 100'000);
-  table.ReadText("zone", spec.zone);
-  table.ReadTime("step_s", spec.step, seconds(1), {-kLongestStepS, kLongestStepS});
-  table.Finish();
-  if (spec.at >= experiment.length) table.Fail("at_s", "the fault begins after the run's end (length_s)");
-  if (spec.at + spec.lasts > experiment.length) {
-    table.Fail("lasts_s", "the fault lasts beyond the run's end (length_s)");
-  }
-  if (table.Has("zone")) CheckZone(table, experiment, spec.zone);
-  if (NeedsRealSidecars(spec.kind) && experiment.sidecars.real == 0) {
-    table.Fail("kind", "a fault " + std::string(form.name) + " needs real sidecars");
-  }
-  if (spec.kind == FaultKind::kDiscoverySlow && experiment.clock == ClockKind::kVirtual) {
-    table.Fail("kind", "a fault discovery_slow needs clock = \"real\"");
-  }
-  if (spec.kind == FaultKind::kRegionCut && experiment.regions < 2) {
-    table.Fail("kind", "a fault region_cut needs two regions");
-  }
-  return spec;
-}
-
-void ReadFaults(TableReader& file, Experiment& experiment) {
-  for (TableReader& table : file.Tables("fault")) experiment.faults.push_back(ReadFault(table, experiment));
-  std::stable_sort(experiment.faults.begin(), experiment.faults.end(),
-                   [](const FaultSpec& a, const FaultSpec& b) { return a.at < b.at; });
-}
-
 Expectation ReadExpectation(TableReader& table) {
   constexpr Bounds kAny{-1e12, 1e12};
   Expectation expectation;
@@ -320,7 +207,7 @@
   file.Require({"sizes"});
   file.ReadCounts("sizes", experiment.sizes);
   file.ReadNumber("sidecars_per_upstream", experiment.sidecars_per_upstream, {0.001, 1000});
-  file.ReadCount("services", experiment.services, 1, kMostUpstreams);
+  file.ReadCount("services", experiment.services, 1, kMaxUpstreams);
   file.ReadCount("regions", experiment.regions, 1, 100);
   file.ReadCount("zones", experiment.zones, 1, 1000);
   file.ReadChoice("list", experiment.list, kLists);
@@ -371,8 +258,6 @@
     : std::runtime_error(OneLine(file + ":" + std::to_string(std::max<std::size_t>(1, line)) + ": " + what)),
       line_(std::max<std::size_t>(1, line)) {}
 
-std::string_view FaultName(FaultKind kind) { return FormOf(kind).name; }
-
 std::vector<ZoneSpec> ZonesOf(const Experiment& experiment) {
   std::vector<ZoneSpec> zones;
   for (std::size_t i = 0; i < experiment.zones; ++i) {
@@ -394,16 +279,15 @@
     if (sizes[i] <= sizes[i - 1]) return "sizes has to grow from each to the next";
   }
   const std::size_t least = sizes.front();
-  if (least < 1 || sizes.back() > kMostUpstreams) {
-    return "sizes may hold 1 to " + std::to_string(kMostUpstreams) + " upstreams";
+  if (least < 1 || sizes.back() > kMaxUpstreams) {
+    return "sizes may hold 1 to " + std::to_string(kMaxUpstreams) + " upstreams";
   }
   if (least < experiment.services) {
     return "size " + std::to_string(least) + " leaves some of the " + std::to_string(experiment.services) +
            " services without upstreams";
   }
-  if (SidecarsFor(experiment, sizes.back()) > kMostSidecars) {
-    return "size " + std::to_string(sizes.back()) + " has over " + std::to_string(kMostSidecars) +
-           " sidecars";
+  if (SidecarsFor(experiment, sizes.back()) > kMaxSidecars) {
+    return "size " + std::to_string(sizes.back()) + " has over " + std::to_string(kMaxSidecars) + " sidecars";
   }
   if (SidecarsFor(experiment, least) < experiment.sidecars.real) {
     return "size " + std::to_string(least) + " has fewer sidecars than are to be real";
--- a/lab/spec/growth_spec.cpp
+++ b/lab/spec/growth_spec.cpp
@@ -11,9 +11,9 @@
 namespace lb::lab {
 namespace {
 
-constexpr std::int64_t kMostUpstreams = 5000;
-constexpr std::int64_t kMostSidecars = 20'000;
-constexpr std::int64_t kMostRealSidecars = 100;
+constexpr std::int64_t kMaxUpstreams = 5000;
+constexpr std::int64_t kMaxSidecars = 20'000;
+constexpr std::int64_t kMaxRealSidecars = 100;
 
 const std::vector<NamedValue<GrowthPart>> kParts = {{"fleet", GrowthPart::kFleet},
                                                     {"real", GrowthPart::kReal}};
@@ -56,9 +56,9 @@
   GrowthSpec spec;
   TableReader table = file.Table("growth");
   table.Require({"upstreams", "sidecars", "real"});
-  table.ReadCount("upstreams", spec.upstreams, 1, kMostUpstreams);
-  table.ReadCount("sidecars", spec.sidecars, 1, kMostSidecars);
-  table.ReadCount("real", spec.real, 1, kMostRealSidecars);
+  table.ReadCount("upstreams", spec.upstreams, 1, kMaxUpstreams);
+  table.ReadCount("sidecars", spec.sidecars, 1, kMaxSidecars);
+  table.ReadCount("real", spec.real, 1, kMaxRealSidecars);
   table.Finish();
   spec.limits = ReadLimits(std::move(limits));
   if (spec.limits.empty()) file.Fail("growth", "[growth] without a [[growth_limit]]");
--- a/lab/spec/schedule.cpp
+++ b/lab/spec/schedule.cpp
@@ -5,6 +5,8 @@
 #include <iomanip>
 #include <ostream>
 
+#include "lab/spec/durations.h"
+
 namespace lb::lab {
 namespace {
 
@@ -28,8 +30,6 @@
   std::streamsize precision_;
 };
 
-double Seconds(Duration time) { return std::chrono::duration<double>(time).count(); }
-
 std::size_t RealSidecars(const Deployment& deployment) {
   return static_cast<std::size_t>(std::count_if(deployment.sidecars.begin(), deployment.sidecars.end(),
                                                 [](const SidecarInstance& s) { return s.real; }));
@@ -44,12 +44,12 @@
 
 // When and what, without a line's end.
 void PrintFault(std::ostream& out, const FaultEvent& event) {
-  out << "fault " << FaultName(event.kind) << " from " << Seconds(event.at) << " s to "
-      << Seconds(event.until) << " s";
+  out << "fault " << FaultName(event.kind) << " from " << ToSeconds(event.at) << " s to "
+      << ToSeconds(event.until) << " s";
   if (!event.zone.empty()) out << " zone " << event.zone;
   if (event.share > 0) out << " share " << event.share;
   if (event.factor != 1) out << " factor " << event.factor;
-  if (event.step != Duration::zero()) out << " step " << Seconds(event.step) << " s";
+  if (event.step != Duration::zero()) out << " step " << ToSeconds(event.step) << " s";
   if (event.kind == FaultKind::kChange) out << " count " << event.count;
 }
 
--- /dev/null
+++ b/lab/virtual/hollow_connection_pool.cpp
@@ -0,0 +1,100 @@
+#include "lab/virtual/hollow_connection_pool.h"
+
+#include <algorithm>
+#include <chrono>
+#include <utility>
+
+namespace lb::lab {
+namespace {
+
+using std::chrono::milliseconds;
+
+// As the real sidecar has them (sidecar/connection_pool.cpp).
+constexpr int kIdleShare = 10;
+constexpr Duration kIdleMargin = milliseconds(500);
+constexpr Duration kSweepInterval = milliseconds(250);
+
+Duration TrustedIdle(Duration limit) {
+  return std::max(limit / 2, limit - std::max(limit / kIdleShare, kIdleMargin));
+}
+
+}  // namespace
+
+HollowConnectionPool::HollowConnectionPool(const UpstreamDirectory& upstreams, Scheduler& scheduler,
+                                           Duration idle_close)
+    : upstreams_(upstreams), scheduler_(scheduler), trusted_idle_(TrustedIdle(idle_close)) {}
+
+std::optional<HollowConnection> HollowConnectionPool::Take(std::size_t upstream, Duration max_idle) {
+  const auto it = idle_.find(upstream);
+  if (it == idle_.end()) return std::nullopt;
+  std::vector<HollowConnection>& pool = it->second;
+  const Duration trusted = std::min(trusted_idle_, max_idle);
+  const TimePoint now = scheduler_.Now();
+  for (std::size_t i = pool.size(); i-- > 0;) {
+    if (now < pool[i].usable_from) continue;
+    HollowConnection connection = pool[i];
+    pool.erase(pool.begin() + static_cast<std::ptrdiff_t>(i));
+    --size_;
+    connection.idle_for = now - connection.idle_since;
+    if (LooksAlive(upstream, connection) && *connection.idle_for < trusted) return connection;
+    Close(upstream, connection);
+  }
+  return std::nullopt;
+}
+
+bool HollowConnectionPool::LooksAlive(std::size_t upstream, const HollowConnection& connection) const {
+  return connection.process > upstreams_.model(upstream).last_reset_process();
+}
+
+void HollowConnectionPool::Return(std::size_t upstream, const HollowConnection& connection) {
+  idle_[upstream].push_back(connection);
+  ++size_;
+  ArmSweep();
+}
+
+void HollowConnectionPool::Close(std::size_t upstream, const HollowConnection& connection) {
+  UpstreamModel& model = upstreams_.model(upstream);
+  if (model.process() == connection.process) model.Disconnect();
+}
+
+void HollowConnectionPool::CloseIdleOf(std::size_t upstream) {
+  const auto it = idle_.find(upstream);
+  if (it == idle_.end()) return;
+  const std::vector<HollowConnection> pool = std::move(it->second);
+  idle_.erase(it);
+  size_ -= pool.size();
+  for (const HollowConnection& connection : pool) Close(upstream, connection);
+}
+
+void HollowConnectionPool::CloseAll() {
+  ++epoch_;
+  is_sweep_armed_ = false;
+  for (std::size_t place = 0; place < upstreams_.size(); ++place) CloseIdleOf(place);
+}
+
+void HollowConnectionPool::ArmSweep() {
+  if (is_sweep_armed_) return;
+  is_sweep_armed_ = true;
+  scheduler_.After(kSweepInterval, [this, epoch = epoch_] {
+    if (epoch == epoch_) RetireIdle();
+  });
+}
+
+void HollowConnectionPool::RetireIdle() {
+  const TimePoint now = scheduler_.Now();
+  std::vector<std::pair<std::size_t, HollowConnection>> retired;
+  for (auto& [upstream, pool] : idle_) {
+    std::erase_if(pool, [&, place = upstream](const HollowConnection& connection) {
+      if (now - connection.idle_since < trusted_idle_ && LooksAlive(place, connection)) return false;
+      retired.emplace_back(place, connection);
+      return true;
+    });
+  }
+  size_ -= retired.size();
+  std::sort(retired.begin(), retired.end(), [](const auto& a, const auto& b) { return a.first < b.first; });
+  for (const auto& [upstream, connection] : retired) Close(upstream, connection);
+  is_sweep_armed_ = false;
+  if (size_ > 0) ArmSweep();
+}
+
+}  // namespace lb::lab
--- a/lab/virtual/hollow_sidecar.cpp
+++ b/lab/virtual/hollow_sidecar.cpp
@@ -8,9 +8,7 @@
 namespace lb::lab {
 namespace {
 
-using lb::AttemptFinished;
 using lb::AttemptId;
-using lb::LoadReport;
 using lb::MembershipUpdate;
 using lb::Outcome;
 using lb::RequestId;
@@ -18,16 +16,8 @@
 using lb::UpstreamState;
 using std::chrono::milliseconds;
 
-// As the real sidecar has them (sidecar/sidecar.cpp, sidecar/upstreams.cpp).
-constexpr Duration kTrip = milliseconds(2);           // from a client to its sidecar, taken off its deadline
-constexpr Duration kSecondAnswer = milliseconds(20);  // after an answer a connection carries nothing so long
-constexpr int kIdleShare = 10;
-constexpr Duration kIdleMargin = milliseconds(500);
-constexpr Duration kSweep = milliseconds(250);
-
-Duration TrustedIdle(Duration limit) {
-  return std::max(limit / 2, limit - std::max(limit / kIdleShare, kIdleMargin));
-}
+// As the real sidecar has them (sidecar/request_intake.cpp, sidecar/connection_pool.cpp).
+constexpr Duration kTrip = milliseconds(2);  // from a client to its sidecar, taken off its deadline
 
 TimePoint Later(TimePoint from, Duration wait) {
   return wait >= TimePoint::max() - from ? TimePoint::max() : from + wait;
@@ -35,19 +25,6 @@
 
 }  // namespace
 
-// ---- The upstreams ----
-
-void UpstreamDirectory::Add(UpstreamModel& model) {
-  const UpstreamInstance& instance = model.instance();
-  places_.emplace(instance.id, entries_.size());
-  entries_.push_back({&model, {instance.region, instance.zone}});
-}
-
-std::optional<std::size_t> UpstreamDirectory::Find(const std::string& id) const {
-  const auto it = places_.find(id);
-  return it == places_.end() ? std::nullopt : std::optional(it->second);
-}
-
 // ---- The process, its clients and its list ----
 
 HollowSidecar::HollowSidecar(const SidecarInstance& instance, lb::Settings settings,
@@ -56,12 +33,12 @@
     : instance_(instance),
       settings_(std::move(settings)),
       location_{instance.region, instance.zone},
-      trusted_idle_(TrustedIdle(settings_.limits.idle_close)),
       upstreams_(upstreams),
       network_(network),
       scheduler_(scheduler),
       counters_(counters),
-      on_subscribe_(std::move(on_subscribe)) {}
+      on_subscribe_(std::move(on_subscribe)),
+      connections_(upstreams, scheduler, settings_.limits.idle_close) {}
 
 HollowSidecar::~HollowSidecar() = default;
 
@@ -80,12 +57,11 @@
   host_.reset();
   ++process_;
   armed_for_ = TimePoint::max();
-  sweeping_ = false;
   for (const auto& [id, exchange] : std::exchange(exchanges_, {})) {
     if (exchange.call) upstreams_.model(exchange.upstream).Abandon(*exchange.call);
-    if (exchange.connection.process != 0) Close(exchange.upstream, exchange.connection);
+    if (exchange.connection.process != 0) connections_.Close(exchange.upstream, exchange.connection);
   }
-  for (std::size_t place = 0; place < upstreams_.size(); ++place) CloseIdleOf(place);
+  connections_.CloseAll();
   std::vector<std::pair<RequestId, OnAnswer>> waiting;
   for (auto& [id, pending] : std::exchange(requests_, {})) {
     if (pending.on_answer) waiting.emplace_back(id, std::move(pending.on_answer));
@@ -155,7 +131,7 @@
 
 void HollowSidecar::GiveUpConnections(std::size_t upstream) {
   ++listed_[upstream].generation;
-  CloseIdleOf(upstream);
+  connections_.CloseIdleOf(upstream);
   AbortUnsent(upstream);
 }
 
@@ -201,234 +177,6 @@
   host_->FireDueTimers();
 }
 
-// ---- Exchanges ----
-
-void HollowSidecar::Begin(ExchangeId id, Exchange exchange, Duration max_idle) {
-  const std::size_t upstream = exchange.upstream;
-  if (listed_[upstream].state != UpstreamState::kServing) {
-    return TellModule(exchange, Outcome::kNotSent, {});
-  }
-  auto connection = TakeIdle(upstream, max_idle);
-  Exchange& begun = exchanges_.emplace(id, exchange).first->second;
-  if (!connection) return OpenConnection(id, begun);
-  begun.connection = *connection;
-  begun.phase = Phase::kWaiting;
-  Write(id, begun);
-}
-
-void HollowSidecar::OpenConnection(ExchangeId id, Exchange& exchange) {
-  ++counters_.connects;
-  exchange.connection.generation = listed_[exchange.upstream].generation;
-  const TimePoint until =
-      std::min({exchange.gives_up, exchange.sent + settings_.limits.connect_timeout, exchange.begin_by});
-  scheduler_.At(until, [this, id] {
-    const auto it = exchanges_.find(id);
-    if (it == exchanges_.end() || it->second.phase != Phase::kConnecting) return;
-    const bool too_late = scheduler_.Now() >= it->second.begin_by;
-    EndExchange(id, too_late ? Outcome::kNotSent : Outcome::kConnectFailed, false);
-  });
-  const Location& place = upstreams_.location(exchange.upstream);
-  if (!network_.Reaches(location_, place)) return;
-  scheduler_.After(network_.Delay(location_, place),
-                   [this, id, upstream = exchange.upstream] { ArriveToConnect(id, upstream); });
-}
-
-void HollowSidecar::ArriveToConnect(ExchangeId id, std::size_t upstream) {
-  if (!exchanges_.contains(id)) return;
-  UpstreamModel& model = upstreams_.model(upstream);
-  model.Connect([this, id, upstream, process = model.process()](ConnectResult result) {
-    const auto it = exchanges_.find(id);
-    // Whoever connected has given up.
-    if (it == exchanges_.end() && result == ConnectResult::kAccepted) {
-      return Close(upstream, {process, 0, {}, {}, {}});
-    }
-    if (it == exchanges_.end()) return;
-    if (result == ConnectResult::kAccepted) it->second.connection.process = process;
-    SendBack(upstream, [this, id, result] { Connected(id, result); });
-  });
-}
-
-void HollowSidecar::Connected(ExchangeId id, ConnectResult result) {
-  const auto it = exchanges_.find(id);
-  if (it == exchanges_.end()) return;
-  if (result != ConnectResult::kAccepted) return EndExchange(id, Outcome::kConnectFailed, false);
-  Exchange& exchange = it->second;
-  exchange.phase = Phase::kWaiting;
-  // It is up, and there is nothing to send on it.
-  const bool late = scheduler_.Now() >= exchange.begin_by;
-  if (!exchange.wanted || late) return EndExchange(id, Outcome::kNotSent, true);
-  Write(id, exchange);
-}
-
-void HollowSidecar::Write(ExchangeId id, Exchange& exchange) {
-  const Location& place = upstreams_.location(exchange.upstream);
-  if (exchange.request) {
-    ++counters_.attempts;
-    if (place.zone != location_.zone) ++counters_.crossings;
-  } else {
-    ++counters_.probes;
-  }
-  scheduler_.At(exchange.gives_up, [this, id] { EndExchange(id, Outcome::kTimeout, false); });
-  if (!network_.Reaches(location_, place)) return;
-  scheduler_.After(network_.Delay(location_, place), [this, id] { ArriveToServe(id); });
-}
-
-void HollowSidecar::ArriveToServe(ExchangeId id) {
-  const auto it = exchanges_.find(id);
-  if (it == exchanges_.end()) return;
-  Exchange& exchange = it->second;
-  const std::size_t upstream = exchange.upstream;
-  UpstreamModel& model = upstreams_.model(upstream);
-  const auto answer = [this, id, upstream](ServeResult result, const LoadReport& load) {
-    SendBack(upstream, [this, id, result, load] { Answered(id, result, load); });
-  };
-  if (model.silent()) return;
-  if (!model.running() || model.process() != exchange.connection.process) {
-    return answer(ServeResult::kReset, {});
-  }
-  if (exchange.request) {
-    exchange.call = model.Serve(exchange.work, [answer](ServeResult result) { answer(result, {}); });
-  } else {
-    model.Probe([answer](LoadReport load) { answer(ServeResult::kServed, load); });
-  }
-}
-
-void HollowSidecar::SendBack(std::size_t upstream, std::function<void()> task) {
-  const Location& place = upstreams_.location(upstream);
-  if (!network_.Reaches(place, location_)) return;
-  scheduler_.After(network_.Delay(place, location_), std::move(task));
-}
-
-void HollowSidecar::Answered(ExchangeId id, ServeResult result, const LoadReport& load) {
-  switch (result) {
-    case ServeResult::kServed:
-      return EndExchange(id, Outcome::kServed, true, settings_.load_by_probe ? load : LoadReport{});
-    case ServeResult::kTurnedAway:
-      return EndExchange(id, Outcome::kRejected, true);
-    case ServeResult::kReset:
-      return EndExchange(id, Outcome::kReset, false);
-  }
-}
-
-void HollowSidecar::EndExchange(ExchangeId id, Outcome outcome, bool keep_connection,
-                                const LoadReport& load) {
-  const auto it = exchanges_.find(id);
-  if (it == exchanges_.end()) return;
-  const Exchange exchange = it->second;
-  exchanges_.erase(it);
-  Count(exchange, outcome);
-  if (keep_connection) {
-    Connection connection = exchange.connection;
-    const bool spare = outcome == Outcome::kNotSent;
-    connection.idle_since = scheduler_.Now();
-    connection.usable_from = connection.idle_since + (spare ? Duration::zero() : kSecondAnswer);
-    Release(exchange.upstream, connection);
-  } else {
-    if (exchange.call) upstreams_.model(exchange.upstream).Abandon(*exchange.call);
-    if (exchange.connection.process != 0) Close(exchange.upstream, exchange.connection);
-  }
-  TellModule(exchange, outcome, load);
-}
-
-void HollowSidecar::Count(const Exchange& exchange, Outcome outcome) {
-  if (outcome == Outcome::kConnectFailed) ++counters_.connects_failed;
-  if (!exchange.request) return;
-  if (outcome == Outcome::kRejected) ++counters_.attempts_full;
-  if (outcome == Outcome::kTimeout) ++counters_.attempts_timed_out;
-}
-
-void HollowSidecar::TellModule(const Exchange& exchange, Outcome outcome, const LoadReport& load) {
-  const Duration elapsed = scheduler_.Now() - exchange.sent;
-  if (!exchange.request) {
-    const std::string& id = upstreams_.model(exchange.upstream).instance().id;
-    return host_->Deliver(lb::LoadProbeFinished{{id}, outcome, elapsed, load});
-  }
-  const RequestId request = *exchange.request;
-  const auto it = requests_.find(request);
-  if (it == requests_.end()) return;
-  Pending& pending = it->second;
-  --pending.out;
-  if (outcome == Outcome::kServed && pending.on_answer) AnswerClient(pending, {AnswerKind::kServed, {}});
-  const bool finished = !pending.on_answer;
-  host_->Deliver(AttemptFinished{request, exchange.attempt, outcome, elapsed, finished, load,
-                                 exchange.connection.idle_for, false});
-  ForgetIfDone(request);
-}
-
-// ---- Connections ----
-
-std::optional<HollowSidecar::Connection> HollowSidecar::TakeIdle(std::size_t upstream, Duration max_idle) {
-  const auto it = idle_.find(upstream);
-  if (it == idle_.end()) return std::nullopt;
-  std::vector<Connection>& pool = it->second;
-  const Duration trusted = std::min(trusted_idle_, max_idle);
-  const TimePoint now = scheduler_.Now();
-  for (std::size_t i = pool.size(); i-- > 0;) {
-    if (now < pool[i].usable_from) continue;
-    Connection connection = pool[i];
-    pool.erase(pool.begin() + static_cast<std::ptrdiff_t>(i));
-    --idle_connections_;
-    connection.idle_for = now - connection.idle_since;
-    if (LooksAlive(upstream, connection) && *connection.idle_for < trusted) return connection;
-    Close(upstream, connection);
-  }
-  return std::nullopt;
-}
-
-// A machine that vanished has closed nothing; of one that came back unseen the sidecar hears at the next use.
-bool HollowSidecar::LooksAlive(std::size_t upstream, const Connection& connection) const {
-  return connection.process > upstreams_.model(upstream).last_reset_process();
-}
-
-void HollowSidecar::Release(std::size_t upstream, Connection connection) {
-  const Listed& listed = listed_[upstream];
-  if (listed.state != UpstreamState::kServing || listed.generation != connection.generation) {
-    return Close(upstream, connection);
-  }
-  idle_[upstream].push_back(connection);
-  ++idle_connections_;
-  ArmSweep();
-}
-
-void HollowSidecar::Close(std::size_t upstream, const Connection& connection) {
-  UpstreamModel& model = upstreams_.model(upstream);
-  if (model.process() == connection.process) model.Disconnect();
-}
-
-void HollowSidecar::CloseIdleOf(std::size_t upstream) {
-  const auto it = idle_.find(upstream);
-  if (it == idle_.end()) return;
-  const std::vector<Connection> pool = std::move(it->second);
-  idle_.erase(it);
-  idle_connections_ -= pool.size();
-  for (const Connection& connection : pool) Close(upstream, connection);
-}
-
-void HollowSidecar::ArmSweep() {
-  if (std::exchange(sweeping_, true)) return;
-  scheduler_.After(kSweep, [this, process = process_] {
-    if (process == process_) Sweep();
-  });
-}
-
-// Retires what has been idle nearly as long as the upstream allows.
-void HollowSidecar::Sweep() {
-  const TimePoint now = scheduler_.Now();
-  std::vector<std::pair<std::size_t, Connection>> retired;
-  for (auto& [upstream, pool] : idle_) {
-    std::erase_if(pool, [&, place = upstream](const Connection& connection) {
-      if (now - connection.idle_since < trusted_idle_ && LooksAlive(place, connection)) return false;
-      retired.emplace_back(place, connection);
-      return true;
-    });
-  }
-  idle_connections_ -= retired.size();
-  std::sort(retired.begin(), retired.end(), [](const auto& a, const auto& b) { return a.first < b.first; });
-  for (const auto& [upstream, connection] : retired) Close(upstream, connection);
-  sweeping_ = false;
-  if (idle_connections_ > 0) ArmSweep();
-}
-
 // ---- Requests ----
 
 void HollowSidecar::AnswerClient(Pending& pending, const Answer& answer) {
@@ -511,7 +259,7 @@
 }
 
 void HollowSidecar::CloseIdleConnections(const lb::CloseIdleConnections& action) {
-  if (const auto place = upstreams_.Find(action.upstream.value)) CloseIdleOf(*place);
+  if (const auto place = upstreams_.Find(action.upstream.value)) connections_.CloseIdleOf(*place);
 }
 
 void HollowSidecar::Subscribe(const lb::Subscribe&) {
--- a/lab/virtual/hollow_sidecar.h
+++ b/lab/virtual/hollow_sidecar.h
@@ -20,30 +20,12 @@
 #include "lab/model/scheduler.h"
 #include "lab/model/upstream_model.h"
 #include "lab/spec/deployment.h"
+#include "lab/virtual/hollow_connection_pool.h"
+#include "lab/virtual/upstream_directory.h"
 #include "sidecar/balancer_host.h"
 
 namespace lb::lab {
 
-// The upstream machines by id, shared by all hollow sidecars. It outlives them.
-class UpstreamDirectory {
- public:
-  // `model` has to outlive the directory. Ids are not used twice.
-  void Add(UpstreamModel& model);
-  // Its place, from 0 on in the order of adding; nothing for an unknown id.
-  std::optional<std::size_t> Find(const std::string& id) const;
-  UpstreamModel& model(std::size_t place) const { return *entries_[place].model; }
-  const Location& location(std::size_t place) const { return entries_[place].location; }
-  std::size_t size() const { return entries_.size(); }
-
- private:
-  struct Entry {
-    UpstreamModel* model;
-    Location location;
-  };
-  std::vector<Entry> entries_;
-  std::unordered_map<std::string, std::size_t> places_;
-};
-
 // One try of a client.
 struct OfferedRequest {
   lb::ClassId request_class{};
@@ -94,7 +76,7 @@
   // the one: both are faults of the module, or of this class.
   std::uint64_t lost() const;
   std::size_t requests_open() const { return requests_.size(); }
-  std::size_t idle_connections() const { return idle_connections_; }
+  std::size_t idle_connections() const { return connections_.size(); }
   // Real time that the module has taken so far.
   std::chrono::nanoseconds module_time() const { return module_time_; }
   const SidecarInstance& instance() const { return instance_; }
@@ -108,13 +90,6 @@
     std::uint32_t generation = 0;  // grows as its connections are given up
     std::optional<TimePoint> started{};
   };
-  struct Connection {
-    std::uint64_t process = 0;  // of the upstream; 0 while that has not accepted it
-    std::uint32_t generation = 0;
-    TimePoint idle_since;
-    TimePoint usable_from;
-    std::optional<Duration> idle_for;  // before its present exchange; absent for a new one
-  };
   enum class Phase { kConnecting, kWaiting };
   // An attempt or a probe that is out.
   struct Exchange {
@@ -127,7 +102,7 @@
     TimePoint gives_up;
     TimePoint begin_by;
     bool wanted = true;  // by the request
-    Connection connection;
+    HollowConnection connection;
     std::optional<UpstreamModel::CallId> call;
   };
   struct Pending {
@@ -157,13 +132,9 @@
   void Count(const Exchange& exchange, lb::Outcome outcome);
   void SendBack(std::size_t upstream, std::function<void()> task);
 
-  std::optional<Connection> TakeIdle(std::size_t upstream, Duration max_idle);
-  bool LooksAlive(std::size_t upstream, const Connection& connection) const;
-  void Release(std::size_t upstream, Connection connection);
-  void Close(std::size_t upstream, const Connection& connection);
-  void CloseIdleOf(std::size_t upstream);
-  void ArmSweep();
-  void Sweep();
+  // Keeps a connection for the next request, or closes it if its upstream drains, is gone or has restarted
+  // since.
+  void Release(std::size_t upstream, const HollowConnection& connection);
 
   void AnswerClient(Pending& pending, const Answer& answer);
   void ForgetIfDone(lb::RequestId id);
@@ -181,7 +152,6 @@
   const SidecarInstance& instance_;
   const lb::Settings settings_;
   const Location location_;
-  const Duration trusted_idle_;
   const UpstreamDirectory& upstreams_;
   NetworkModel& network_;
   Scheduler& scheduler_;
@@ -197,10 +167,8 @@
   std::uint64_t last_request_ = 0;
   ExchangeId last_exchange_ = 0;
   TimePoint armed_for_ = TimePoint::max();
-  std::vector<Listed> listed_;                                     // by the upstream's place
-  std::unordered_map<std::size_t, std::vector<Connection>> idle_;  // the most recently used one last
-  std::size_t idle_connections_ = 0;
-  bool sweeping_ = false;
+  std::vector<Listed> listed_;  // by the upstream's place
+  HollowConnectionPool connections_;
   std::uint64_t lost_ = 0;
 };
 
--- a/lab/virtual/membership_notices.cpp
+++ b/lab/virtual/membership_notices.cpp
@@ -12,7 +12,7 @@
 using lb::UpstreamState;
 
 // A notice that was lost, or a watch that fell silent, is made up for within this time.
-constexpr Duration kLongestSilence = std::chrono::seconds(6);
+constexpr Duration kMaxSilence = std::chrono::seconds(6);
 // Discovery answers a call so soon where it is up.
 constexpr Duration kCallTime = std::chrono::milliseconds(1);
 // So long a caller waits for discovery when it is down.
@@ -121,7 +121,7 @@
 void MembershipNotices::SetLostShare(double share) { lost_share_ = share; }
 
 void MembershipNotices::SilenceWatches() {
-  silent_until_ = scheduler_.Now() + kLongestSilence;
+  silent_until_ = scheduler_.Now() + kMaxSilence;
   for (std::size_t i = 0; i < watchers_.size(); ++i) AnnounceAll(watchers_[i], i, silent_until_);
 }
 
@@ -137,7 +137,7 @@
 void MembershipNotices::Announce(Watcher& watcher, std::size_t sidecar) {
   if (!watcher.up) return;
   const bool lost = lost_share_ > 0 && std::uniform_real_distribution<double>()(random_) < lost_share_;
-  const Duration delay = lost ? kLongestSilence : DrawDelay();
+  const Duration delay = lost ? kMaxSilence : DrawDelay();
   const TimePoint due = std::max({scheduler_.Now() + delay, watcher.last_due, silent_until_});
   // This one brings along what was to come later.
   while (!watcher.notices.empty() && watcher.notices.back().due >= due) watcher.notices.pop_back();
--- a/lab/virtual/virtual_engine.cpp
+++ b/lab/virtual/virtual_engine.cpp
@@ -7,6 +7,7 @@
 #include "lab/measure/distribution.h"
 #include "lab/model/fault_schedule.h"
 #include "lab/model/scheduler.h"
+#include "lab/spec/durations.h"
 #include "lab/virtual/virtual_fleet.h"
 
 namespace lb::lab {
@@ -21,7 +22,6 @@
 // A sample with fewer requests tells nothing of the worst second.
 constexpr std::uint64_t kTellingRequests = 100;
 
-double Seconds(Duration duration) { return std::chrono::duration<double>(duration).count(); }
 double Milliseconds(Duration duration) { return static_cast<double>(duration.count()) / 1e3; }
 double Share(double part, double whole) { return whole > 0 ? part / whole : 0; }
 double Share(std::uint64_t part, std::uint64_t whole) {
@@ -190,10 +190,10 @@
 
 Sample VirtualRun::ReadSample(const TrafficCounters& traffic, double module_seconds) const {
   const TimePoint now = scheduler_.Now();
-  const double seconds_passed = Seconds(now - sample_.start);
+  const double seconds_passed = ToSeconds(now - sample_.start);
   const auto sidecars = static_cast<double>(fleet_.sidecars());
   Sample sample;
-  sample.at_s = Seconds(now - start_);
+  sample.at_s = ToSeconds(now - start_);
   sample.traffic = sample_.results.counters;
   sample.traffic += traffic;
   sample.in_time_share = sample_.results.in_time_share();
@@ -255,7 +255,7 @@
 }
 
 void VirtualRun::AddCostTotals(Metrics& metrics) const {
-  metrics.hollow_cpu = Share(measured_.module_seconds, Seconds(experiment_.length) * metrics.sidecars);
+  metrics.hollow_cpu = Share(measured_.module_seconds, ToSeconds(experiment_.length) * metrics.sidecars);
   metrics.hollow_memory_mb = Share(measured_.memory_mb, metrics.sidecars);
   metrics.change_cpu_ms =
       1e3 * Share(fleet_.module_seconds_in_changes(), static_cast<double>(fleet_.changes_told()));
--- a/lab/virtual/virtual_fleet.cpp
+++ b/lab/virtual/virtual_fleet.cpp
@@ -5,14 +5,13 @@
 
 #include "lab/measure/distribution.h"
 #include "lab/real/cpu_clock.h"
+#include "lab/spec/durations.h"
 
 namespace lb::lab {
 namespace {
 
 constexpr double kLoadPercentile = 0.95;
 
-double Seconds(std::chrono::nanoseconds duration) { return std::chrono::duration<double>(duration).count(); }
-
 }  // namespace
 
 VirtualFleet::VirtualFleet(const Experiment& experiment, const Deployment& deployment, Scheduler& scheduler,
@@ -118,7 +117,7 @@
   const auto before = told.module_time();
   changes_told_ += update.upstreams.size();
   told.Apply(std::move(update));
-  module_seconds_in_changes_ += Seconds(told.module_time() - before);
+  module_seconds_in_changes_ += ToSeconds(told.module_time() - before);
 }
 
 // ---- Measurements ----
@@ -161,7 +160,7 @@
 double VirtualFleet::ModuleSeconds() const {
   std::chrono::nanoseconds sum{};
   for (const auto& sidecar : sidecars_) sum += sidecar->module_time();
-  return Seconds(sum);
+  return ToSeconds(sum);
 }
 
 void VirtualFleet::ResetChangeCost() {
--- a/settings/config.cpp
+++ b/settings/config.cpp
@@ -16,10 +16,10 @@
 using nlohmann::json;
 
 // Fewer leave too little beside what is always open (Descriptors::kFixed) and the admin interface.
-constexpr std::size_t kLeastSockets = 64;
+constexpr std::size_t kMinSockets = 64;
 // Bytes held of one streamed body. The least is a page; the most is what a connection reads at once.
-constexpr std::size_t kLeastStreamCapacity = std::size_t{4} * 1024;
-constexpr std::size_t kMostStreamCapacity = std::size_t{32} * 1024;
+constexpr std::size_t kMinStreamCapacity = std::size_t{4} * 1024;
+constexpr std::size_t kMaxStreamCapacity = std::size_t{32} * 1024;
 
 std::string Variable(const std::function<const char*(const char*)>& variable, const char* name) {
   const char* value = variable(name);
@@ -60,8 +60,8 @@
   const json& limits = Field(file, "", "limits");
   if (!limits.is_object()) throw ConfigError("LB_CONFIG: limits is no object");
   const json& field = Field(limits, "limits.", "sockets");
-  if (!field.is_number_unsigned() || field.get<std::uint64_t>() < kLeastSockets) {
-    throw ConfigError("LB_CONFIG: limits.sockets is no number from " + std::to_string(kLeastSockets) + " on");
+  if (!field.is_number_unsigned() || field.get<std::uint64_t>() < kMinSockets) {
+    throw ConfigError("LB_CONFIG: limits.sockets is no number from " + std::to_string(kMinSockets) + " on");
   }
   auto sockets = field.get<std::uint64_t>();
   rlimit limit{};
@@ -76,11 +76,11 @@
 std::size_t StreamCapacity(const json& file, std::size_t sockets) {
   const json& limits = file.at("limits");
   const auto field = limits.find("memory_mb");
-  if (field == limits.end()) return kMostStreamCapacity;
+  if (field == limits.end()) return kMaxStreamCapacity;
   if (!field->is_number() || !(field->get<double>() > 0))
     throw ConfigError("LB_CONFIG: limits.memory_mb is no size");
   const double share = field->get<double>() * 1024 * 1024 / 8 / (static_cast<double>(sockets) / 2);
-  return static_cast<std::size_t>(std::clamp<double>(share, kLeastStreamCapacity, kMostStreamCapacity));
+  return static_cast<std::size_t>(std::clamp<double>(share, kMinStreamCapacity, kMaxStreamCapacity));
 }
 
 // The environment goes before the file: each process of a hot restart has an address of its own there.
--- a/sidecar/acceptor.cpp
+++ b/sidecar/acceptor.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 // Lost connections in a row that are skipped before the event loop gets its turn.
-constexpr int kMostLostAtOnce = 16;
+constexpr int kMaxLostAtOnce = 16;
 
 // By accept(2): Linux hands errors of the new connection's network to the call, which are to be treated as if
 // nothing had been there yet; EPERM is a firewall's.
@@ -45,7 +45,7 @@
 
 AcceptResult AcceptOne(int listening) {
   AcceptResult result;
-  for (int i = 0; i < kMostLostAtOnce; ++i) {
+  for (int i = 0; i < kMaxLostAtOnce; ++i) {
     result.descriptor = ::accept(listening, nullptr, nullptr);
     if (result.descriptor >= 0) return {AcceptStatus::kTaken, result.descriptor};
     result.error = {errno, boost::system::system_category()};
--- a/sidecar/acceptor.h
+++ b/sidecar/acceptor.h
@@ -97,7 +97,7 @@
   // All connections are busy; one may end any moment.
   static constexpr Duration kNoCapacityPause = std::chrono::milliseconds(20);
   static constexpr Duration kFirstPause = std::chrono::milliseconds(5);
-  static constexpr Duration kLongestPause = std::chrono::milliseconds(100);
+  static constexpr Duration kMaxPause = std::chrono::milliseconds(100);
   static constexpr Duration kLogEvery = std::chrono::seconds(1);
 
   // Waits for a connection before anything is closed for it, and without a descriptor reserved for it. May
@@ -169,7 +169,7 @@
       logged_ = now;
     }
     const Duration pause = next_pause_;
-    next_pause_ = std::min(2 * next_pause_, kLongestPause);
+    next_pause_ = std::min(2 * next_pause_, kMaxPause);
     return pause;
   }
 
--- a/sidecar/admin.cpp
+++ b/sidecar/admin.cpp
@@ -20,8 +20,8 @@
 using std::chrono::milliseconds;
 
 // Bounds of a request, in bytes: a request line and a few headers. A body is read and not looked at.
-constexpr std::uint32_t kMostAdminHead = 4096;
-constexpr std::uint64_t kMostAdminBody = 4096;
+constexpr std::uint32_t kMaxAdminHead = 4096;
+constexpr std::uint64_t kMaxAdminBody = 4096;
 // How long a whole request may take to come, and its response to be sent.
 constexpr Duration kTransferTimeout = std::chrono::seconds(2);
 // How long the caller's close is waited for after the response: a reset could overtake the response.
@@ -32,9 +32,9 @@
 class AdminInterface::Connection : public std::enable_shared_from_this<Connection> {
  public:
   Connection(AdminInterface& owner, tcp::socket socket) : owner_(&owner), stream_(std::move(socket)) {
-    buffer_.max_size(std::size_t{2} * kMostAdminHead);
-    parser_.header_limit(kMostAdminHead);
-    parser_.body_limit(kMostAdminBody);
+    buffer_.max_size(std::size_t{2} * kMaxAdminHead);
+    parser_.header_limit(kMaxAdminHead);
+    parser_.body_limit(kMaxAdminBody);
   }
 
   void Start() {
@@ -125,7 +125,7 @@
       acceptor_(io),
       accept_loop_(
           io, acceptor_, log, "admin", endpoint.protocol(),
-          {[this] { return EnsureCapacity(); }, [this] { return connections_.size() < kMostConnections; },
+          {[this] { return EnsureCapacity(); }, [this] { return connections_.size() < kMaxConnections; },
            [this](tcp::socket socket) { Admit(std::move(socket)); }, nullptr}) {
   acceptor_.open(endpoint.protocol());
   acceptor_.set_option(boost::asio::socket_base::reuse_address(true));
@@ -139,7 +139,7 @@
 }
 
 bool AdminInterface::EnsureCapacity() {
-  if (connections_.size() < kMostConnections) return true;
+  if (connections_.size() < kMaxConnections) return true;
   const auto unfinished =
       std::ranges::find_if(connections_, [](const auto& connection) { return !connection->responding(); });
   const auto evicted = unfinished == connections_.end() ? connections_.front() : *unfinished;
--- a/sidecar/admin.h
+++ b/sidecar/admin.h
@@ -23,8 +23,8 @@
  public:
   // The connections that are open at a time, and the descriptors that the interface needs for them and
   // itself.
-  static constexpr std::size_t kMostConnections = 11;
-  static constexpr std::size_t kDescriptors = kMostConnections + 1;
+  static constexpr std::size_t kMaxConnections = 11;
+  static constexpr std::size_t kDescriptors = kMaxConnections + 1;
 
   // Handles one request, at once.
   using OnRequest = std::function<HttpResponse(http::verb method, const std::string& target)>;
--- a/sidecar/attempt_launcher.cpp
+++ b/sidecar/attempt_launcher.cpp
@@ -21,7 +21,7 @@
 // takes about as long on one machine.
 constexpr Duration kPresenceRecheck = milliseconds(2);
 // An attempt is never sent with less time than this: X-Timeout-Ms counts whole milliseconds.
-constexpr Duration kLeastTimeout = milliseconds(1);
+constexpr Duration kMinTimeout = milliseconds(1);
 
 // What the log calls an outcome that is an upstream's or this machine's fault; nothing for the others.
 std::optional<std::string_view> FaultName(Outcome outcome) {
@@ -135,7 +135,7 @@
   exchange.timeout = action.timeout;
   // The time for a streamed body starts with its last byte: nothing of it is spent yet.
   if (request.deadline != TimePoint::max()) {
-    exchange.timeout = std::max<Duration>(exchange.timeout - spent, kLeastTimeout);
+    exchange.timeout = std::max<Duration>(exchange.timeout - spent, kMinTimeout);
   }
   exchange.max_connection_idle = action.max_connection_idle;
   if (action.begin_within != Duration::max()) exchange.begin_within = action.begin_within - spent;
--- a/sidecar/client_connection.cpp
+++ b/sidecar/client_connection.cpp
@@ -39,7 +39,7 @@
       probe_(socket_, writer_),
       unread_check_(context.io),
       body_({[this] { return IsMoreOfBodyIncoming(); }, [this] { HandleBodyCapacity(); }}) {
-  buffer_.max_size(kMostRead);
+  buffer_.max_size(kMaxReadAhead);
   activity_.since = Now();
 }
 
--- a/sidecar/client_connection.h
+++ b/sidecar/client_connection.h
@@ -5,9 +5,9 @@
 // | kReadingRequest | parsed; a whole request, or one too large to hold, is handed to its handler:
 // kAwaitingResponse; a malformed one is rejected: kWritingResponse | kClosed | not legal | 408:
 // kWritingResponse | kClosed | | kAwaitingResponse | of a streamed body: passed on; else kept (pipelined) up
-// to kMostRead | half-close probe, kClosed if it finds the client gone; in the middle of a body kClosed |
+// to kMaxReadAhead | half-close probe, kClosed if it finds the client gone; in the middle of a body kClosed |
 // kWritingResponse | of a streamed body 408: kWritingResponse | kClosed, the handler is told | |
-// kWritingResponse | kept up to kMostRead | kept in mind until the response is written | not legal |
+// kWritingResponse | kept up to kMaxReadAhead | kept in mind until the response is written | not legal |
 // streamed: kClosed with a reset; whole: kClosed | kClosed | | kLingering | discarded, past kLingerByteLimit
 // kClosed | kClosed | not legal | kClosed | kClosed | | kClosed | - | - | its body is abandoned | - | - |
 //
--- a/sidecar/connection_pool.cpp
+++ b/sidecar/connection_pool.cpp
@@ -59,7 +59,7 @@
 // Where the system refuses a socket, closing an idle connection helps only a shortage of this very process,
 // and one is enough: the others are what requests can still be sent on.
 ConnectionPool::Opened ConnectionPool::Open(const std::shared_ptr<UpstreamPool>& pool) {
-  while (!context_.descriptors.Room(Descriptors::Side::kUpstream)) {
+  while (!context_.descriptors.HasCapacity(Descriptors::Side::kUpstream)) {
     if (!EvictLongestIdle()) return {};
   }
   Opened opened = TryOpen(pool);
@@ -117,7 +117,7 @@
 
 void ConnectionPool::EnforceCapacity() {
   bool is_evicted = true;
-  while (is_evicted && !context_.descriptors.Room(Descriptors::Side::kUpstream)) {
+  while (is_evicted && !context_.descriptors.HasCapacity(Descriptors::Side::kUpstream)) {
     is_evicted = EvictLongestIdle();
   }
 }
--- a/sidecar/connection_pool.h
+++ b/sidecar/connection_pool.h
@@ -42,7 +42,7 @@
   // The most recently used connection that can be used now and has been idle for less than `max_idle`; null
   // where there is none. Closes those that it comes across and that can't be used any more.
   std::shared_ptr<UpstreamConnection> TakeUsable(UpstreamPool& pool, Duration max_idle);
-  // One that will be usable within kSecondAnswer, for where no other can be opened; null where there is none.
+  // One that will be usable within kReuseDelay, for where no other can be opened; null where there is none.
   std::shared_ptr<UpstreamConnection> TakeSoonUsable(UpstreamPool& pool);
 
   struct Opened {
--- a/sidecar/descriptors.h
+++ b/sidecar/descriptors.h
@@ -35,23 +35,23 @@
   // connect and stay must not take the descriptors to serve them with, nor make the pools close the
   // connections that the next request needs. A request takes one descriptor on either side, and a hedged
   // request one more.
-  bool Room(Side side) const {
+  bool HasCapacity(Side side) const {
     const std::size_t limit = Limit();
     return side == Side::kClient ? clients_ < limit / 2 : upstreams_ < limit - limit / 2;
   }
 
-  // Shared while another process of the same sidecar runs (hot restart): each keeps to half of the limit.
-  void Share(bool shared) { shared_ = shared; }
+  // True while another process of the same sidecar runs (hot restart): each keeps to half of the limit.
+  void SetShared(bool shared) { is_shared_ = shared; }
 
  private:
   std::size_t Limit() const {
-    const std::size_t own = shared_ ? limit_ / 2 : limit_;
+    const std::size_t own = is_shared_ ? limit_ / 2 : limit_;
     return own > fixed_ ? own - fixed_ : 1;
   }
 
   std::size_t limit_;
   std::size_t fixed_;
-  bool shared_ = false;
+  bool is_shared_ = false;
   std::size_t clients_ = 0;
   std::size_t upstreams_ = 0;
 };
--- a/sidecar/discovery_call.cpp
+++ b/sidecar/discovery_call.cpp
@@ -10,7 +10,7 @@
 using boost::system::error_code;
 
 // Bounds a list, in bytes: a response beyond it is damaged.
-constexpr std::uint64_t kMostListSize = std::uint64_t{4} * 1024 * 1024;
+constexpr std::uint64_t kMaxListSize = std::uint64_t{4} * 1024 * 1024;
 
 }  // namespace
 
@@ -56,7 +56,7 @@
 // header.
 void DiscoveryCall::ReadHeader() {
   parser_.emplace();
-  parser_->body_limit(kMostListSize);
+  parser_->body_limit(kMaxListSize);
   http::async_read_header(stream_, buffer_, *parser_,
                           [self = shared_from_this()](error_code error, std::size_t) {
                             if (self->observer_ == nullptr) return;
--- a/sidecar/discovery_client.cpp
+++ b/sidecar/discovery_client.cpp
@@ -17,10 +17,10 @@
 // either, and from its return on what it holds counts as heard. Half of the grace is left for a new
 // connection, for the list and for acting on it.
 constexpr int kSilenceShare = 4;
-constexpr auto kLeastSilence = milliseconds(10);
+constexpr auto kMinSilence = milliseconds(10);
 // The next watch follows a response well within the 200 ms after which it would be a new one. It is not sent
 // sooner than this after the last, so that an agent that responds at once is not asked in a spin.
-constexpr auto kLeastCallInterval = milliseconds(50);
+constexpr auto kMinCallInterval = milliseconds(50);
 constexpr int kBackoffSteps = 3;  // doublings up to the longest backoff
 
 }  // namespace
@@ -31,7 +31,7 @@
 }
 
 Duration SilenceTimeout(Duration drain_grace) {
-  return std::clamp<Duration>(drain_grace / kSilenceShare, kLeastSilence, kMostSilence);
+  return std::clamp<Duration>(drain_grace / kSilenceShare, kMinSilence, kMaxSilence);
 }
 
 DiscoveryClient::DiscoveryClient(boost::asio::io_context& io, Endpoint endpoint, Mode mode,
@@ -150,7 +150,7 @@
   failures_ = 0;
   last_failure_.clear();
   revision_ = list.revision;
-  StartCallIn(std::max(Duration::zero(), Duration(asked_at_ + kLeastCallInterval - Now())));
+  StartCallIn(std::max(Duration::zero(), Duration(asked_at_ + kMinCallInterval - Now())));
   on_list_(std::move(list));
 }
 
--- a/sidecar/discovery_client.h
+++ b/sidecar/discovery_client.h
@@ -34,8 +34,8 @@
 constexpr Duration kAgentWatch = std::chrono::milliseconds(4500);
 // How long a whole response may take once it has begun, or while it is awaited beside the next call.
 constexpr Duration kAgentResponseTimeout = std::chrono::milliseconds(1000);
-constexpr Duration kMostSilence = std::chrono::milliseconds(150);  // of a call, and of a backoff
-static_assert(kAgentWatch + kAgentResponseTimeout + 3 * kMostSilence < kChangeHeardWithin);
+constexpr Duration kMaxSilence = std::chrono::milliseconds(150);  // of a call, and of a backoff
+static_assert(kAgentWatch + kAgentResponseTimeout + 3 * kMaxSilence < kChangeHeardWithin);
 
 // Of the one service for all, which works through the calls in turn: a watch that fell silent as it began,
 // then a short pause and a call; or a call in vain, the balancer's pause and another call.
@@ -45,7 +45,7 @@
 constexpr Duration kServiceCallTimeout = std::chrono::milliseconds(2000);
 static_assert(kServiceWatch + kServiceWatchTimeout + kServicePause + kServiceCallTimeout <=
               kChangeHeardWithin);
-static_assert(kServiceCallTimeout + kLongestPollPause + kServiceCallTimeout <= kChangeHeardWithin);
+static_assert(kServiceCallTimeout + kMaxPollPause + kServiceCallTimeout <= kChangeHeardWithin);
 
 // The backoff after so many failures in a row: it grows up to `longest`, and is jittered between 0.5 and 1
 // times its length, as other sidecars may have lost discovery at the same time. `jitter`: from 0 to 1.
--- a/sidecar/endpoint_list.cpp
+++ b/sidecar/endpoint_list.cpp
@@ -11,10 +11,10 @@
 using Kind = MembershipError::Kind;
 
 // Bounds beyond which a list is damaged: the year 2286, and a million times the usual machine.
-constexpr std::int64_t kMostBootMs = 9'999'999'999'999;
-constexpr double kMostWeight = 1e6;
+constexpr std::int64_t kMaxBootMs = 9'999'999'999'999;
+constexpr double kMaxWeight = 1e6;
 // Numbers beyond this would be changed by the conversion to an integer.
-constexpr double kMostInteger = 9.2e18;
+constexpr double kMaxInteger = 9.2e18;
 
 // The field that is being read, for the error that the JSON library throws.
 struct Position {
@@ -27,7 +27,7 @@
 }
 
 std::int64_t Integer(const json& number, const Position& position) {
-  if (!(std::abs(number.get<double>()) < kMostInteger)) {
+  if (!(std::abs(number.get<double>()) < kMaxInteger)) {
     Fail(Kind::kOutOfRange, position, "bad " + position.field);
   }
   return number.get<std::int64_t>();
@@ -63,9 +63,8 @@
   info.weight = target.value(at("capacity_hint"), 1.0);
   location.state = info.state;
   location.boot_ms = Integer(target.value(at("boot_ms"), json(0)), position);
-  if (location.boot_ms < 0 || location.boot_ms > kMostBootMs)
-    Fail(Kind::kOutOfRange, position, "bad boot_ms");
-  if (!(info.weight >= 0 && info.weight <= kMostWeight)) {
+  if (location.boot_ms < 0 || location.boot_ms > kMaxBootMs) Fail(Kind::kOutOfRange, position, "bad boot_ms");
+  if (!(info.weight >= 0 && info.weight <= kMaxWeight)) {
     at("capacity_hint");
     Fail(Kind::kOutOfRange, position, "bad capacity_hint");
   }
--- a/sidecar/exchange.h
+++ b/sidecar/exchange.h
@@ -62,7 +62,7 @@
   std::function<Duration(TimePoint)> time_left;
   // An upstream that takes no byte of a streamed body for this long has failed.
   Duration body_stall_timeout = Duration::max();
-  // Null where a streamed response is of no use: a body over kMostBody is a failure then.
+  // Null where a streamed response is of no use: a body over kMaxBufferedBody is a failure then.
   OnResponseStarted on_response_started;
   OnFinished on_finished;
 };
--- a/sidecar/graceful_shutdown.cpp
+++ b/sidecar/graceful_shutdown.cpp
@@ -8,8 +8,8 @@
 using std::chrono::milliseconds;
 
 // SIGKILL comes no sooner after SIGTERM than the deployment's longest deadline, of which at most
-// kMostDeadline counts, and kKillGrace (PROTOCOL, "Figures").
-constexpr Duration kMostDeadline = std::chrono::seconds(3);
+// kMaxDrainDeadline counts, and kKillGrace (PROTOCOL, "Figures").
+constexpr Duration kMaxDrainDeadline = std::chrono::seconds(3);
 constexpr Duration kKillGrace = milliseconds(700);
 // Responses are sent this much ahead of SIGKILL: the process may be held up, and the response has to reach
 // its client.
@@ -20,7 +20,7 @@
   for (const auto& request_class : settings.classes) {
     longest_deadline = std::max(longest_deadline, request_class.deadline);
   }
-  return std::min(longest_deadline, kMostDeadline) + kKillGrace - kKillMargin;
+  return std::min(longest_deadline, kMaxDrainDeadline) + kKillGrace - kKillMargin;
 }
 
 }  // namespace
--- a/sidecar/hot_restart.cpp
+++ b/sidecar/hot_restart.cpp
@@ -29,7 +29,7 @@
 constexpr Duration kInheritTimeout = std::chrono::seconds(1);
 constexpr milliseconds kConnectRetryPause{10};
 constexpr Duration kRetryPause = milliseconds(20);
-constexpr Duration kMostListenBackoff = milliseconds(1000);
+constexpr Duration kMaxListenBackoff = milliseconds(1000);
 // With kRetryPause in between: about as long as the next process waits (kInheritTimeout).
 constexpr int kSendTries = 40;
 // There is one next process; a platform that gave one up may start another at once.
@@ -152,7 +152,7 @@
 void HotRestart::NotifyPrevious(const std::string& line) {
   if (!previous_) return;
   if (offered_) return previous_->Send(line);
-  if (held_back_.size() + line.size() <= NeighbourProcess::kMostUnsent) held_back_ += line;
+  if (held_back_.size() + line.size() <= NeighbourProcess::kMaxUnsent) held_back_ += line;
 }
 
 void HotRestart::OfferListener(int listener) {
@@ -183,7 +183,7 @@
   if (listen_backoff_ == Duration::zero()) {
     log_.Write(LogEvent(log_events::kHotRestartListenFailed).With("error", error.message()));
   }
-  listen_backoff_ = std::clamp<Duration>(2 * listen_backoff_, kRetryPause, kMostListenBackoff);
+  listen_backoff_ = std::clamp<Duration>(2 * listen_backoff_, kRetryPause, kMaxListenBackoff);
   listen_retry_.expires_after(listen_backoff_);
   listen_retry_.async_wait([this](error_code stopped) {
     if (!stopped) Listen();
--- a/sidecar/http.h
+++ b/sidecar/http.h
@@ -17,14 +17,14 @@
 using HttpResponse = http::response<http::string_body>;
 
 // Bytes up to which a body is held whole, so that it can be sent again; a larger one is streamed.
-constexpr std::uint64_t kMostBody = std::uint64_t{64} * 1024;
+constexpr std::uint64_t kMaxBufferedBody = std::uint64_t{64} * 1024;
 // Bytes of a streamed body.
-constexpr std::uint64_t kMostPassing = std::uint64_t{32} * 1024 * 1024;
+constexpr std::uint64_t kMaxStreamedBody = std::uint64_t{32} * 1024 * 1024;
 // Bytes of a body that are parsed at a time.
-constexpr std::size_t kPiece = std::size_t{8} * 1024;
-constexpr std::uint32_t kMostHeader = 16 * 1024;
+constexpr std::size_t kBodyPieceSize = std::size_t{8} * 1024;
+constexpr std::uint32_t kMaxHeaderSize = 16 * 1024;
 // Bytes that a connection reads ahead of its parser.
-constexpr std::size_t kMostRead = std::size_t{32} * 1024;
+constexpr std::size_t kMaxReadAhead = std::size_t{32} * 1024;
 
 // Whether the end of a request's body is unambiguous: what one reader takes for a body may hold a request for
 // the next (request smuggling). Names the fault; null where there is none.
--- a/sidecar/listener.cpp
+++ b/sidecar/listener.cpp
@@ -44,7 +44,7 @@
       // the newest, which has said nothing yet.
       accept_loop_(io, acceptor_, log, "clients", endpoint.protocol(),
                    {[this] { return EnsureCapacity(); },
-                    [this] { return descriptors_.Room(Descriptors::Side::kClient); },
+                    [this] { return descriptors_.HasCapacity(Descriptors::Side::kClient); },
                     [this](tcp::socket socket) { AddConnection(std::move(socket)); }, [this] { Evict(); }}),
       sweep_(io),
       context_{
@@ -88,7 +88,7 @@
 }
 
 bool Listener::EnsureCapacity() {
-  while (!descriptors_.Room(Descriptors::Side::kClient)) {
+  while (!descriptors_.HasCapacity(Descriptors::Side::kClient)) {
     if (!Evict()) return false;
   }
   return true;
--- a/sidecar/membership_follower.cpp
+++ b/sidecar/membership_follower.cpp
@@ -9,13 +9,13 @@
 
 MembershipFollower::MembershipFollower(Duration slow_start_duration, BalancerHost& host, Upstreams& upstreams,
                                        Logger& log)
-    : wall_clock_(slow_start_duration), host_(host), upstreams_(upstreams), log_(log) {}
+    : start_times_(slow_start_duration), host_(host), upstreams_(upstreams), log_(log) {}
 
 // The balancer hears of the list before it hears of attempts that the list ended, and acts on it only when
 // the connections have followed: else it would forward again to an upstream that drains, or to one not known
 // yet.
 NextList MembershipFollower::Apply(EndpointList list) {
-  const NextList next = JudgeStartTimes(list);
+  const NextList next = CorrectStartTimes(list);
   {
     const BalancerHost::EventHold hold(host_);
     const bool is_whole = list.update.kind != MembershipUpdate::Kind::kChanges;
@@ -31,10 +31,10 @@
   return next;
 }
 
-NextList MembershipFollower::JudgeStartTimes(EndpointList& list) {
-  const bool was_trusted = !wall_clock_.ahead();
-  const bool needs_whole_list = wall_clock_.Judge(list.update, Now());
-  const auto ahead = wall_clock_.ahead();
+NextList MembershipFollower::CorrectStartTimes(EndpointList& list) {
+  const bool was_trusted = !start_times_.ahead();
+  const bool needs_whole_list = start_times_.Correct(list.update, Now());
+  const auto ahead = start_times_.ahead();
   if (was_trusted && ahead) {
     log_.Write(LogEvent(log_events::kWallClockDistrusted)
                    .With("offset_ms", std::abs(ahead->count()) / 1000)
--- a/sidecar/membership_follower.h
+++ b/sidecar/membership_follower.h
@@ -1,13 +1,13 @@
-// Applies endpoint lists to the balancer and the upstream connections, with start times that the wall clock's
-// error is taken out of.
+// Applies endpoint lists to the balancer and the upstream connections, with start times corrected for an
+// error of the wall clock.
 #pragma once
 
 #include "sidecar/balancer_host.h"
 #include "sidecar/clock.h"
 #include "sidecar/endpoint_list.h"
 #include "sidecar/log.h"
+#include "sidecar/start_time_corrector.h"
 #include "sidecar/upstreams.h"
-#include "sidecar/wall_clock.h"
 
 namespace lb::sidecar {
 
@@ -24,18 +24,18 @@
   [[nodiscard]] NextList Apply(EndpointList list);
 
   // The next lists come from another discovery service.
-  void ForgetService() { wall_clock_.ForgetService(); }
+  void ForgetService() { start_times_.ForgetService(); }
 
-  // Discovery has told a list.
+  // Call when discovery has sent a list.
   void MarkListReceived() { list_received_ = true; }
   bool list_received() const { return list_received_; }
   // There has been an upstream to forward to, by discovery or by the list that was held at the start.
   bool has_known_upstream() const { return has_known_upstream_; }
 
  private:
-  NextList JudgeStartTimes(EndpointList& list);
+  NextList CorrectStartTimes(EndpointList& list);
 
-  WallClock wall_clock_;
+  StartTimeCorrector start_times_;
   BalancerHost& host_;
   Upstreams& upstreams_;
   Logger& log_;
--- a/sidecar/neighbour_process.cpp
+++ b/sidecar/neighbour_process.cpp
@@ -14,7 +14,7 @@
 
 // Bounds what is held of a line that does not end, in bytes. An override's stored form and its sign are
 // shorter.
-constexpr std::size_t kLongestLine = std::size_t{128} * 1024;
+constexpr std::size_t kMaxLineLength = std::size_t{128} * 1024;
 
 }  // namespace
 
@@ -24,7 +24,7 @@
 }
 
 void NeighbourProcess::Send(const std::string& text) {
-  if (closed_ || unsent_.size() + text.size() > kMostUnsent) return;
+  if (closed_ || unsent_.size() + text.size() > kMaxUnsent) return;
   unsent_ += text;
   if (sending_.empty()) Write();
 }
@@ -54,7 +54,7 @@
       const std::string line = std::move(line_);
       line_.clear();
       handlers_.on_line(line);
-    } else if (line_.size() < kLongestLine) {
+    } else if (line_.size() < kMaxLineLength) {
       line_ += c;
     }
   }
--- a/sidecar/neighbour_process.h
+++ b/sidecar/neighbour_process.h
@@ -23,7 +23,7 @@
   };
 
   // Bounds what is held for a process that reads nothing, in bytes. What is beyond is dropped.
-  static constexpr std::size_t kMostUnsent = std::size_t{1024} * 1024;
+  static constexpr std::size_t kMaxUnsent = std::size_t{1024} * 1024;
 
   explicit NeighbourProcess(Socket socket) : socket_(std::move(socket)) {}
 
--- a/sidecar/operator_state.cpp
+++ b/sidecar/operator_state.cpp
@@ -19,15 +19,15 @@
 // An override that another process was told is likely to be stored by it within this time, so that the next
 // read finds it there.
 constexpr Duration kNeighbourWriteTime = milliseconds(250);
-constexpr Duration kMostBackoff = milliseconds(1000);
+constexpr Duration kMaxBackoff = milliseconds(1000);
 // At the start a folder that fails for a moment is waited for: there is nothing to serve yet.
 constexpr std::array kStartupRetries = {milliseconds(20), milliseconds(40), milliseconds(80),
                                         milliseconds(160)};
 // How many overrides are stored at a time: each may take two syncs, which block.
-constexpr int kMostWritesAtOnce = 8;
+constexpr int kMaxWritesAtOnce = 8;
 
 Duration NextBackoff(Duration backoff) {
-  return std::clamp<Duration>(2 * backoff, kReadInterval, kMostBackoff);
+  return std::clamp<Duration>(2 * backoff, kReadInterval, kMaxBackoff);
 }
 
 }  // namespace
@@ -158,7 +158,7 @@
 // others.
 void OperatorStateStore::WritePending() {
   bool failed = false;
-  for (int i = 0; i < kMostWritesAtOnce && !pending_.empty() && !failed; ++i) {
+  for (int i = 0; i < kMaxWritesAtOnce && !pending_.empty() && !failed; ++i) {
     auto next = last_tried_ ? pending_.upper_bound(*last_tried_) : pending_.begin();
     if (next == pending_.end()) next = pending_.begin();
     // Copies: TryWrite() removes the entry.
--- a/sidecar/operator_state_folder.cpp
+++ b/sidecar/operator_state_folder.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 // Bounds the log lines about files that are not ours.
-constexpr std::size_t kMostForeign = 16;
+constexpr std::size_t kMaxForeign = 16;
 
 }  // namespace
 
@@ -49,7 +49,7 @@
   }
   if (foreign_.contains(name)) return {};
   std::string contents;
-  const auto error = folder_.Read(name, kLongestStoredForm, contents);
+  const auto error = folder_.Read(name, kMaxStoredFormSize, contents);
   if (error == std::errc::no_such_file_or_directory) return {};  // removed just now
   if (error && error != std::errc::file_too_large) return error;
   const auto stored = error ? std::nullopt : ParseStoredForm(contents);
@@ -63,7 +63,7 @@
 }
 
 void OperatorStateFolder::LogForeign(const std::string& name) {
-  if (foreign_.size() < kMostForeign && foreign_.insert(name).second) {
+  if (foreign_.size() < kMaxForeign && foreign_.insert(name).second) {
     log_.Write(LogEvent(log_events::kStateForeignFile).With("file", name));
   }
 }
--- a/sidecar/request_body.h
+++ b/sidecar/request_body.h
@@ -1,5 +1,5 @@
-// The body of a client's request while it comes: held whole up to kMostBody, so that it can be sent to a
-// further upstream, and streamed to the upstream beyond that.
+// The body of a client's request while it comes: held whole up to kMaxBufferedBody, so that it can be sent to
+// a further upstream, and streamed to the upstream beyond that.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -32,7 +32,7 @@
   // ---- Held ----
 
   void Append(boost::beast::string_view bytes);
-  bool IsTooLargeToHold() const { return !stream_ && held_.size() > kMostBody; }
+  bool IsTooLargeToHold() const { return !stream_ && held_.size() > kMaxBufferedBody; }
   std::string TakeHeld() { return std::move(held_); }
   // Gives its memory back: most connections are idle most of the time.
   void DiscardHeld();
--- a/sidecar/request_framing.cpp
+++ b/sidecar/request_framing.cpp
@@ -35,7 +35,7 @@
     if (scanned + 2 >= bytes.size()) return HeadScan::kPartial;
     return bytes[scanned + 2] == '\n' ? HeadScan::kWhole : HeadScan::kMalformed;
   }
-  return bytes.size() < kMostHeader ? HeadScan::kPartial : HeadScan::kMalformed;
+  return bytes.size() < kMaxHeaderSize ? HeadScan::kPartial : HeadScan::kMalformed;
 }
 
 std::size_t EmptyLineLength(string_view bytes) {
@@ -52,8 +52,8 @@
 
 void RequestFraming::StartRequest() {
   parser_.emplace();
-  parser_->body_limit(kMostPassing);
-  parser_->header_limit(kMostHeader);
+  parser_->body_limit(kMaxStreamedBody);
+  parser_->header_limit(kMaxHeaderSize);
   scanned_ = 0;
   request_began_ = false;
   skipped_empty_line_ = false;
@@ -130,7 +130,7 @@
 
 std::optional<RequestFault> RequestFraming::CheckParsedHead() {
   if (const char* reason = FramingFault(head())) return RequestFault{http::status::bad_request, reason};
-  if (parser_->content_length().value_or(0) > kMostPassing) {
+  if (parser_->content_length().value_or(0) > kMaxStreamedBody) {
     return RequestFault{http::status::payload_too_large, "body too large"};
   }
   return std::nullopt;
--- a/sidecar/request_framing.h
+++ b/sidecar/request_framing.h
@@ -40,7 +40,7 @@
 class RequestFraming {
  public:
   // A piece of a body at a time is copied out of the buffer; the caller lends the memory.
-  using Piece = char[kPiece];
+  using Piece = char[kBodyPieceSize];
 
   enum class Outcome {
     kNeedsBytes,       // nothing more to be had from these bytes
--- a/sidecar/request_intake.cpp
+++ b/sidecar/request_intake.cpp
@@ -15,7 +15,7 @@
 
 // The client's clock started when it sent the request, at least this much before the request was read here.
 constexpr Duration kClientHop = milliseconds(2);
-constexpr Duration kLeastTimeout = milliseconds(1);
+constexpr Duration kMinTimeout = milliseconds(1);
 
 }  // namespace
 
@@ -40,7 +40,7 @@
   lb::RequestArrived event;
   event.request = requests_.NextId();
   event.request_class = valid.request_class;
-  event.deadline = DeadlineOf(now, std::max<Duration>(valid.timeout - kClientHop, kLeastTimeout));
+  event.deadline = DeadlineOf(now, std::max<Duration>(valid.timeout - kClientHop, kMinTimeout));
   event.tenant = valid.tenant;
   event.work = valid.work;
   event.client_retry = valid.client_retry;
--- a/sidecar/request_table.cpp
+++ b/sidecar/request_table.cpp
@@ -27,8 +27,8 @@
 }
 
 void RequestTable::ReleaseOldWireIds(TimePoint now) {
-  while (!ended_wire_ids_.empty() && (ended_wire_ids_.size() > kMostEndedIds ||
-                                      now - ended_wire_ids_.front().first > kEndedIdRetention)) {
+  while (!ended_wire_ids_.empty() &&
+         (ended_wire_ids_.size() > kMaxEndedIds || now - ended_wire_ids_.front().first > kEndedIdRetention)) {
     reserved_wire_ids_.erase(ended_wire_ids_.front().second);
     ended_wire_ids_.pop_front();
   }
--- a/sidecar/request_table.h
+++ b/sidecar/request_table.h
@@ -48,7 +48,7 @@
   // reuse ids, so none is reserved for longer than such a duplicate takes.
   static constexpr Duration kEndedIdRetention = std::chrono::seconds(5);
   // Bounds the memory for the ids of ended requests.
-  static constexpr std::size_t kMostEndedIds = 8192;
+  static constexpr std::size_t kMaxEndedIds = 8192;
 
   // False where a request that is in flight or ended recently has this X-Request-ID: two requests of one id
   // could not be told apart upstream.
--- a/sidecar/request_validation.cpp
+++ b/sidecar/request_validation.cpp
@@ -23,7 +23,7 @@
 }
 
 bool IsValidId(string_view id) {
-  return !id.empty() && id.size() <= RequestValidator::kLongestId && IsVisibleAscii(id);
+  return !id.empty() && id.size() <= RequestValidator::kMaxRequestIdLength && IsVisibleAscii(id);
 }
 
 // A request whose method contradicts its class could be repeated though its class forbids that.
@@ -91,7 +91,7 @@
   const auto timeout_text = SingleValue(request, "X-Timeout-Ms");
   const auto timeout_ms = timeout_text ? ParseNumber(*timeout_text) : std::nullopt;
   if (!timeout_ms || *timeout_ms == 0 ||
-      milliseconds(*timeout_ms) > kMostDeadlines * class_settings.deadline) {
+      milliseconds(*timeout_ms) > kMaxDeadlines * class_settings.deadline) {
     return RequestError::kBadTimeout;
   }
 
--- a/sidecar/request_validation.h
+++ b/sidecar/request_validation.h
@@ -44,9 +44,9 @@
 class RequestValidator {
  public:
   // A client that says it waits for longer than this many deadlines of its class is in error.
-  static constexpr int kMostDeadlines = 2;
+  static constexpr int kMaxDeadlines = 2;
   // Bounds X-Request-ID and Idempotency-Key, in bytes.
-  static constexpr std::size_t kLongestId = 128;
+  static constexpr std::size_t kMaxRequestIdLength = 128;
 
   // `settings` has to outlive the validator.
   explicit RequestValidator(const Settings& settings);
--- a/sidecar/response_body.cpp
+++ b/sidecar/response_body.cpp
@@ -7,7 +7,7 @@
 
 namespace lb::sidecar {
 
-std::size_t ResponseBody::PartSize() { return kPiece; }
+std::size_t ResponseBody::PartSize() { return kBodyPieceSize; }
 
 char* ResponseBody::PreparePart() {
   part_.resize(PartSize());
--- a/sidecar/response_body.h
+++ b/sidecar/response_body.h
@@ -13,7 +13,7 @@
 
 // Collects the body, so that another upstream can still answer where this one breaks off; from
 // StartStreaming() on passes each part on and keeps nothing. Bounded by its owner, which starts to stream or
-// gives up once more than kMostBody is collected.
+// gives up once more than kMaxBufferedBody is collected.
 class ResponseBody {
  public:
   // What the next read may fill, of PartSize() bytes; valid until the next call or Clear().
--- a/sidecar/response_framing.cpp
+++ b/sidecar/response_framing.cpp
@@ -28,8 +28,8 @@
 
 ResponseFraming::Parser& ResponseFraming::ExpectHead() {
   parser_.emplace();
-  parser_->body_limit(kMostPassing);
-  parser_->header_limit(kMostHeader);
+  parser_->body_limit(kMaxStreamedBody);
+  parser_->header_limit(kMaxHeaderSize);
   return *parser_;
 }
 
@@ -44,7 +44,7 @@
   if (status != 200) return HeadAction::kCollectBody;
   if (progress == RequestProgress::kIncomplete || !IsFramedOnce(head())) return HeadAction::kFail;
   if (!content_length()) return HeadAction::kHoldBackBody;
-  return *content_length() > kMostBody ? HeadAction::kStreamBody : HeadAction::kCollectBody;
+  return *content_length() > kMaxBufferedBody ? HeadAction::kStreamBody : HeadAction::kCollectBody;
 }
 
 void ResponseFraming::SetBodyBuffer(char* bytes, std::size_t size) {
--- a/sidecar/response_framing.h
+++ b/sidecar/response_framing.h
@@ -32,9 +32,9 @@
   enum class HeadAction {
     kReadNextHead,  // an interim response (1xx): the final one follows
     kFail,          // no response that can be passed on
-    kCollectBody,   // of known length up to kMostBody, or of an unsuccessful response
+    kCollectBody,   // of known length up to kMaxBufferedBody, or of an unsuccessful response
     kHoldBackBody,  // of unknown length: perhaps short enough to be collected
-    kStreamBody,    // known to be over kMostBody
+    kStreamBody,    // known to be over kMaxBufferedBody
   };
 
   // Begins with the responses to a new request.
@@ -50,7 +50,7 @@
   const http::response_header<>& head() const { return parser_->get().base(); }
   // Of the body; none where it is chunked or ends with its connection.
   boost::optional<std::uint64_t> content_length() const { return parser_->content_length(); }
-  // Only a served response may be larger than kMostBody.
+  // Only a served response may be larger than kMaxBufferedBody.
   bool IsServed() const { return parser_->get().result() == http::status::ok; }
 
   // The parser puts the next part of the body into these bytes, which have to live until it has.
--- a/sidecar/sidecar.cpp
+++ b/sidecar/sidecar.cpp
@@ -109,7 +109,7 @@
       [this](const StoredOverride& stored, OverrideAction action) {
         hot_restart_.Notify({stored, action});
       });
-  descriptors_.Share(hot_restart_.after_another());
+  descriptors_.SetShared(hot_restart_.after_another());
   first_list_timer_.expires_after(kFirstListTimeout);
   first_list_timer_.async_wait([this](boost::system::error_code error) {
     if (!error) ServeIfAble();
@@ -141,7 +141,7 @@
 
 void Sidecar::HandleNeighbourChange() {
   log_.Write(LogEvent(NeighbourEvent(hot_restart_)));
-  descriptors_.Share(hot_restart_.after_another() || hot_restart_.has_next());
+  descriptors_.SetShared(hot_restart_.after_another() || hot_restart_.has_next());
   upstreams_.EnforceCapacity();
   ServeIfAble();
 }
--- a/sidecar/stored_override.cpp
+++ b/sidecar/stored_override.cpp
@@ -11,7 +11,7 @@
 constexpr std::string_view kDisabledPrefix = "out-";
 constexpr std::string_view kLongPrefix = "long-";
 // Names of files end at 255 bytes. Earlier releases stop at this length, too.
-constexpr std::size_t kLongestFileName = 244;
+constexpr std::size_t kMaxFileNameLength = 244;
 
 std::string ToHex(const std::string& bytes) {
   std::string hex;
@@ -75,12 +75,12 @@
 
 std::string FileNameOf(const StoredOverride& stored) {
   std::string form = ToStoredForm(stored);
-  return form.size() <= kLongestFileName ? form : LongFileName(form);
+  return form.size() <= kMaxFileNameLength ? form : LongFileName(form);
 }
 
 std::string FileContentsOf(const StoredOverride& stored) {
   std::string form = ToStoredForm(stored);
-  return form.size() <= kLongestFileName ? std::string() : form;
+  return form.size() <= kMaxFileNameLength ? std::string() : form;
 }
 
 bool IsLongFileName(const std::string& name) { return name.starts_with(kLongPrefix); }
--- a/sidecar/stored_override.h
+++ b/sidecar/stored_override.h
@@ -52,6 +52,6 @@
 bool IsLongFileName(const std::string& name);
 
 // Bounds the contents of such a file, in bytes.
-inline constexpr std::size_t kLongestStoredForm = std::size_t{64} * 1024;
+inline constexpr std::size_t kMaxStoredFormSize = std::size_t{64} * 1024;
 
 }  // namespace lb::sidecar
--- a/sidecar/upstream_connection.cpp
+++ b/sidecar/upstream_connection.cpp
@@ -28,7 +28,7 @@
       socket_(context.io),
       timer_(context.io),
       writer_(socket_) {
-  buffer_.max_size(kMostRead);
+  buffer_.max_size(kMaxReadAhead);
 }
 
 error_code UpstreamConnection::OpenSocket(const Endpoint& endpoint) {
@@ -231,7 +231,7 @@
   // need_buffer: the part is full.
   if (error && error != http::error::need_buffer) return Fail(Failure::kBroken, error);
   body_.TakePart(size);
-  if (body_.collected() > kMostBody) {
+  if (body_.collected() > kMaxBufferedBody) {
     if (!framing_.IsServed()) return Fail(Failure::kBroken, http::error::body_limit);
     StartStreaming();
   }
@@ -262,7 +262,7 @@
   const auto on_finished = EndExchange(State::kIdle);
   if (can_reuse) {
     const TimePoint now = Now();
-    BecomeIdle(now, now + kSecondAnswer);
+    BecomeIdle(now, now + kReuseDelay);
   } else {
     Close();
   }
--- a/sidecar/upstream_connection.h
+++ b/sidecar/upstream_connection.h
@@ -30,7 +30,7 @@
 
 // After a response the connection gets nothing new for this long. An upstream may send a second response
 // some milliseconds after the first, which would be read as the response to the next request.
-constexpr Duration kSecondAnswer = std::chrono::milliseconds(20);
+constexpr Duration kReuseDelay = std::chrono::milliseconds(20);
 
 // A state machine. The request is written and the response read at the same time, and a response may begin
 // before the request is complete; so the state follows the response, and how far the request has come is
@@ -56,7 +56,7 @@
 //               not usable yet; or to kIdle where there is nothing to send any more
 //   next piece  of a streamed request, as its body comes; after the last the time for the response runs
 //   examine     ResponseFraming says: the next head, kCollectingBody, kHoldingBackBody, kStreamingBody, or end
-//   keep        collect; beyond kMostBody stream a served response (to kStreamingBody) and end any other
+//   keep        collect; beyond kMaxBufferedBody stream a served response (to kStreamingBody) and end any other
 //   stream      to kStreamingBody, unless nothing of the body has come
 //   pass on     to the stream; to kStreamPaused, with no read under way, while it has no capacity
 //   end         the exchange without a response: close, and finish it in kClosed; first to kAwaitingWrite where
--- a/sidecar/write_stream.h
+++ b/sidecar/write_stream.h
@@ -41,7 +41,7 @@
 
  private:
   // Buffers of one write; the rest is left for the next one.
-  static constexpr std::size_t kMostParts = 16;
+  static constexpr std::size_t kMaxParts = 16;
   // After ENOBUFS or ENOMEM the socket is writable, so an immediate retry would only spin.
   static constexpr auto kShortagePause = std::chrono::milliseconds(5);
 
@@ -50,7 +50,7 @@
     template <typename Buffers>
     Write(WriteStream& stream, const Buffers& buffers) : stream_(&stream) {
       const auto end = boost::asio::buffer_sequence_end(buffers);
-      for (auto it = boost::asio::buffer_sequence_begin(buffers); it != end && count_ < kMostParts; ++it) {
+      for (auto it = boost::asio::buffer_sequence_begin(buffers); it != end && count_ < kMaxParts; ++it) {
         const boost::asio::const_buffer part(*it);
         if (part.size() > 0) parts_[count_++] = {const_cast<void*>(part.data()), part.size()};
       }
@@ -76,7 +76,7 @@
 
    private:
     WriteStream* stream_;
-    std::array<iovec, kMostParts> parts_{};
+    std::array<iovec, kMaxParts> parts_{};
     std::size_t count_ = 0;
     IoResult result_;
     bool ended_ = false;
--- /dev/null
+++ b/tests/admin_interface_test.cpp
@@ -0,0 +1,92 @@
+// The admin interface of the real program: its commands as requests, and its bounds.
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "gtest/gtest.h"
+#include "tests/operator_steps.h"
+#include "tests/peers.h"
+
+namespace lb::sidecar::testing {
+namespace {
+
+TEST(AdminInterface, RejectsUnknownAndMalformedCommands) {
+  Upstream upstream(Upstream::Echo("u1"));
+  SidecarProcess sidecar(WithAdmin(List({Target("u1", upstream.address())})));
+  EXPECT_EQ(sidecar.Status("GET", "/nothing"), 404U);
+  EXPECT_EQ(sidecar.Status("POST", "/upstreams/disable/"), 404U);
+  EXPECT_EQ(sidecar.Status("POST", "/upstreams/disable/u2"), 404U);
+  EXPECT_EQ(sidecar.Status("POST", "/upstreams/enable/u2"), 404U);
+  EXPECT_EQ(sidecar.Status("GET", "/upstreams/disable/u1"), 405U);
+  EXPECT_EQ(sidecar.Status("GET", "/drain"), 405U);
+  EXPECT_EQ(sidecar.Status("POST", "/ready"), 405U);
+  for (const std::string& bad :
+       {std::string("nonsense\r\n\r\n"), "GET /ready HTTP/1.1\r\nX: " + std::string(9000, 'x') + "\r\n\r\n",
+        std::string("POST /drain HTTP/1.1\r\nContent-Length: 9000\r\n\r\n"),
+        std::string("POST /drain HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n")}) {
+    Client connection(sidecar.admin_port());
+    connection.Send(bad);
+    const auto response = connection.Read();
+    ASSERT_TRUE(response) << bad.substr(0, 40);
+    EXPECT_EQ(response->result_int() / 100, 4U) << bad.substr(0, 40);
+    EXPECT_TRUE(connection.wire.ReadsEnd());
+  }
+  ASSERT_TRUE(sidecar.Listening());
+  EXPECT_TRUE(HealthCheckBecomes(sidecar, 200)) << "nothing was drained";
+}
+
+TEST(AdminInterface, AcceptsACommandInPiecesAndWithABody) {
+  SidecarProcess sidecar(WithAdmin(json::array()));
+  Client connection(sidecar.admin_port());
+  for (const char c : std::string("POST /drain HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n{}")) {
+    ASSERT_TRUE(connection.Send(std::string(1, c)));
+  }
+  const auto response = connection.Read();
+  ASSERT_TRUE(response);
+  EXPECT_EQ(response->result_int(), 200U);
+}
+
+TEST(AdminInterface, ServesBesideSilentConnections) {
+  Upstream upstream(Upstream::Echo("u1"));
+  Discovery discovery(List({Target("u1", upstream.address())}));
+  SidecarProcess::Options options = WithAdmin(List({Target("u1", upstream.address())}));
+  options.discovery = discovery.address();
+  SidecarProcess sidecar(options);
+  ASSERT_TRUE(Eventually([&] { return sidecar.Status("GET", "/ready") == 200; }));
+  std::vector<std::unique_ptr<Client>> silent;
+  for (int i = 0; i < 40; ++i) {
+    silent.push_back(std::make_unique<Client>(sidecar.admin_port()));
+    if (i % 2 == 0) silent.back()->Send("GET /ready HTTP/1.1\r\nHo");
+  }
+  const int before = sidecar.descriptors();
+  EXPECT_LE(before, 40) << "they are bounded";
+  EXPECT_EQ(sidecar.Status("GET", "/ready"), 200U);
+  for (const auto& connection : silent) EXPECT_TRUE(connection->wire.ReadsEnd());
+}
+
+TEST(AdminInterface, IsReadyOnceAnEndpointListIsReceived) {
+  Upstream upstream(Upstream::Echo("u1"));
+  Discovery discovery(json::array());
+  SidecarProcess::Options options = WithAdmin(nullptr);
+  options.discovery = discovery.address();
+  SidecarProcess sidecar(options);
+  EXPECT_EQ(sidecar.Status("GET", "/ready"), 503U);
+  discovery.Tell(List({Target("u1", upstream.address())}));
+  EXPECT_TRUE(Eventually([&] { return sidecar.Status("GET", "/ready") == 200; }));
+}
+
+TEST(AdminInterface, NamesABadAddressInTheLog) {
+  Peer taken([](Wire&, int) {});
+  for (const std::string& address :
+       {std::string("nowhere"), std::string("127.0.0.1:99999"), taken.address()}) {
+    SidecarProcess::Options options = WithAdmin(nullptr);
+    options.admin = address;
+    SidecarProcess sidecar(options);
+    EXPECT_EQ(sidecar.Wait(), 1);
+    EXPECT_NE(sidecar.log().find("LB_ADMIN"), std::string::npos) << sidecar.log();
+    EXPECT_NE(sidecar.log().find(address), std::string::npos) << sidecar.log();
+  }
+}
+
+}  // namespace
+}  // namespace lb::sidecar::testing
--- a/tests/balancer/components_fixture.h
+++ b/tests/balancer/components_fixture.h
@@ -8,7 +8,7 @@
 
 #include "balancer/components.h"
 #include "gtest/gtest.h"
-#include "tests/helpers.h"
+#include "tests/balancer_harness.h"
 
 namespace lb::testing {
 
--- a/tests/balancer/concurrency_limiter_test.cpp
+++ b/tests/balancer/concurrency_limiter_test.cpp
@@ -12,7 +12,7 @@
   }
 
   ConcurrencyLimiter& limiter_ = components_.limiter;
-  const UpstreamPtr upstream_ = Adopt(Up("a"));
+  const UpstreamPtr upstream_ = Adopt(MakeUpstream("a"));
 };
 
 TEST_F(ConcurrencyLimiterTest, AdmitsEverythingWhileResponsesAreInTime) {
--- a/tests/balancer/connection_tracker_test.cpp
+++ b/tests/balancer/connection_tracker_test.cpp
@@ -14,7 +14,7 @@
   }
 
   ConnectionTracker& connections_ = components_.connections;
-  const UpstreamPtr upstream_ = Adopt(Up("a"));
+  const UpstreamPtr upstream_ = Adopt(MakeUpstream("a"));
 };
 
 TEST_F(ConnectionTrackerTest, KeepsTheConnectionOfAServedCallUntilItIsClosed) {
--- a/tests/balancer/hedging_policy_test.cpp
+++ b/tests/balancer/hedging_policy_test.cpp
@@ -17,7 +17,7 @@
     return request;
   }
 
-  const UpstreamPtr upstream_ = Adopt(Up("a"));
+  const UpstreamPtr upstream_ = Adopt(MakeUpstream("a"));
 };
 
 TEST_F(HedgingPolicyTest, SchedulesOnlyWhatMayBeRepeated) {
--- a/tests/balancer/membership_test.cpp
+++ b/tests/balancer/membership_test.cpp
@@ -1,14 +1,14 @@
 #include "balancer/membership.h"
 
 #include "gtest/gtest.h"
-#include "tests/helpers.h"
+#include "tests/balancer_harness.h"
 
 namespace lb::testing {
 namespace {
 
 Membership WithUpstreams(std::size_t count, double own_place = 0) {
   Membership membership(own_place);
-  for (std::size_t i = 0; i < count; ++i) membership.Adopt(Up("upstream-" + std::to_string(i)));
+  for (std::size_t i = 0; i < count; ++i) membership.Adopt(MakeUpstream("upstream-" + std::to_string(i)));
   membership.Settle();
   return membership;
 }
@@ -32,7 +32,7 @@
   Membership membership = WithUpstreams(3);
 
   membership.BeginWholeList();
-  membership.Adopt(Up("upstream-1"));
+  membership.Adopt(MakeUpstream("upstream-1"));
   membership.Settle();
 
   EXPECT_EQ(membership.size(), 1U);
@@ -43,7 +43,7 @@
 TEST(Membership, TakesANewStartTimeForANewProcess) {
   Membership membership = WithUpstreams(1);
   const UpstreamPtr earlier = membership.Find("upstream-0");
-  UpstreamInfo info = Up("upstream-0");
+  UpstreamInfo info = MakeUpstream("upstream-0");
   info.started = TimePoint(5s);
 
   const Membership::Adopted adopted = membership.Adopt(info);
@@ -61,7 +61,7 @@
   const auto info = membership.ApplyOverride("upstream-0", Membership::Override::kDisable, TimePoint(1s));
   ASSERT_TRUE(info);
   membership.Adopt(*info);
-  membership.Adopt(Up("upstream-0"));
+  membership.Adopt(MakeUpstream("upstream-0"));
   membership.Settle();
 
   EXPECT_EQ(membership.Find("upstream-0")->info.state, UpstreamState::kDraining);
--- a/tests/balancer/outlier_detector_test.cpp
+++ b/tests/balancer/outlier_detector_test.cpp
@@ -13,7 +13,7 @@
     ASSERT_EQ(Finish(upstream, Outcome::kError), EjectionChange::kEjected);
   }
 
-  const UpstreamPtr upstream_ = Adopt(Up("a"));
+  const UpstreamPtr upstream_ = Adopt(MakeUpstream("a"));
 };
 
 TEST_F(OutlierDetectorTest, EjectsAfterConsecutiveFailures) {
@@ -74,7 +74,7 @@
 }
 
 TEST_F(OutlierDetectorTest, RequiresALongerRunWhereItsPeersFailToo) {
-  const UpstreamPtr peer = Adopt(Up("b"));
+  const UpstreamPtr peer = Adopt(MakeUpstream("b"));
   for (int i = 0; i < 20; ++i)
     components_.failures.Record(*peer, i % 2 == 0 ? Outcome::kError : Outcome::kServed);
 
--- a/tests/balancer/retry_policy_test.cpp
+++ b/tests/balancer/retry_policy_test.cpp
@@ -18,7 +18,7 @@
   }
 
   const RetryPolicy& retries_ = components_.retries;
-  const UpstreamPtr upstream_ = Adopt(Up("a"));
+  const UpstreamPtr upstream_ = Adopt(MakeUpstream("a"));
 };
 
 TEST_F(RetryPolicyTest, NeverRepeatsWhatMayHaveRunAndIsNotIdempotent) {
@@ -36,7 +36,7 @@
 }
 
 TEST_F(RetryPolicyTest, RepeatsByKeyOnlyWhereTheKeyIsKnown) {
-  UpstreamInfo elsewhere = Up("b");
+  UpstreamInfo elsewhere = MakeUpstream("b");
   elsewhere.zone = "there";
   const UpstreamPtr remote = Adopt(elsewhere);
 
--- a/tests/balancer/slow_start_test.cpp
+++ b/tests/balancer/slow_start_test.cpp
@@ -8,7 +8,7 @@
 class SlowStartTest : public ComponentsFixture {
  protected:
   UpstreamPtr StartedNow() {
-    UpstreamInfo info = Up("a");
+    UpstreamInfo info = MakeUpstream("a");
     info.started = now_;
     return Adopt(info);
   }
@@ -26,7 +26,7 @@
 }
 
 TEST_F(SlowStartTest, TakesAnUnknownStartForLongAgo) {
-  EXPECT_FALSE(slow_start_.IsWarmingUp(*Adopt(Up("a")), now_));
+  EXPECT_FALSE(slow_start_.IsWarmingUp(*Adopt(MakeUpstream("a")), now_));
 }
 
 TEST_F(SlowStartTest, BoundsTheRequestsToAnUpstreamThatWarmsUp) {
--- a/tests/helpers.h
+++ b/tests/balancer_harness.h
@@ -1,4 +1,4 @@
-// A small world around one balancer, for tests through handle().
+// A small harness around one balancer, for tests through handle().
 #pragma once
 
 #include <chrono>
@@ -16,7 +16,7 @@
 
 using namespace std::chrono_literals;
 
-inline RequestClass Class(std::string name, Idempotency idempotency) {
+inline RequestClass MakeClass(std::string name, Idempotency idempotency) {
   RequestClass c;
   c.name = std::move(name);
   c.latency_objective = 400ms;
@@ -34,10 +34,10 @@
 
 inline Settings DefaultSettings() {
   Settings s;
-  s.classes = {Class("safe", Idempotency::kIdempotent), Class("unsafe", Idempotency::kNotIdempotent),
-               Class("keyed-all", Idempotency::kIdempotencyKey),
-               Class("keyed-zone", Idempotency::kIdempotencyKey),
-               Class("keyed-cell", Idempotency::kIdempotencyKey)};
+  s.classes = {MakeClass("safe", Idempotency::kIdempotent), MakeClass("unsafe", Idempotency::kNotIdempotent),
+               MakeClass("keyed-all", Idempotency::kIdempotencyKey),
+               MakeClass("keyed-zone", Idempotency::kIdempotencyKey),
+               MakeClass("keyed-cell", Idempotency::kIdempotencyKey)};
   s.classes[3].key_scope = KeyScope::kZone;
   s.classes[4].key_scope = KeyScope::kCell;
   s.zone = "here";
@@ -46,7 +46,7 @@
   return s;
 }
 
-inline UpstreamInfo Up(std::string id, UpstreamState state = UpstreamState::kServing) {
+inline UpstreamInfo MakeUpstream(std::string id, UpstreamState state = UpstreamState::kServing) {
   UpstreamInfo info;
   info.id.value = std::move(id);
   info.zone = "here";
@@ -58,11 +58,11 @@
 inline std::vector<UpstreamInfo> NumberedUpstreams(int count) {
   std::vector<UpstreamInfo> upstreams;
   upstreams.reserve(static_cast<std::size_t>(count));
-  for (int i = 0; i < count; ++i) upstreams.push_back(Up("s" + std::to_string(i)));
+  for (int i = 0; i < count; ++i) upstreams.push_back(MakeUpstream("s" + std::to_string(i)));
   return upstreams;
 }
 
-struct Sent {
+struct SentAttempt {
   RequestId request{};
   AttemptId attempt{};
   std::string upstream;
@@ -71,49 +71,49 @@
   Duration begin_within{};
 };
 
-class World {
+class BalancerHarness {
  public:
-  explicit World(Settings settings = DefaultSettings(), std::uint64_t seed = 7)
+  explicit BalancerHarness(Settings settings = DefaultSettings(), std::uint64_t seed = 7)
       : balancer_(std::move(settings), seed) {}
 
   // Upstreams "a", "b", ... up to `count`.
-  void List(int count) {
+  void ListUpstreams(int count) {
     MembershipUpdate update;
     update.kind = MembershipUpdate::Kind::kRestored;
     for (int i = 0; i < count; ++i)
-      update.upstreams.push_back(Up(std::string(1, static_cast<char>('a' + i))));
-    Do(update);
+      update.upstreams.push_back(MakeUpstream(std::string(1, static_cast<char>('a' + i))));
+    Handle(update);
   }
-  void Full(std::vector<UpstreamInfo> list) {
-    Do(MembershipUpdate{MembershipUpdate::Kind::kFull, std::move(list)});
+  void ReplaceList(std::vector<UpstreamInfo> list) {
+    Handle(MembershipUpdate{MembershipUpdate::Kind::kFull, std::move(list)});
   }
-  void Change(UpstreamInfo info) {
-    Do(MembershipUpdate{MembershipUpdate::Kind::kChanges, {std::move(info)}});
+  void ChangeUpstream(UpstreamInfo info) {
+    Handle(MembershipUpdate{MembershipUpdate::Kind::kChanges, {std::move(info)}});
   }
 
   // Hands over one event; everything it caused is in `actions` (this event's only) and in the records below.
-  void Do(const Event& event) {
+  void Handle(const Event& event) {
     actions.clear();
     balancer_.Handle(now, event, actions);
     for (const Action& action : actions) std::visit([this](const auto& a) { Record(a); }, action);
   }
 
-  RequestId Arrive(ClassId cls = kIdempotent, Duration patience = 2s) {
+  RequestId SendRequest(ClassId cls = kIdempotent, Duration patience = 2s) {
     RequestArrived e;
     e.request = RequestId{++last_request_};
     e.request_class = cls;
     e.deadline = now + patience;
-    Do(e);
+    Handle(e);
     return e.request;
   }
 
-  void Finish(const Sent& attempt, Outcome outcome, bool finished = false) {
-    Do(AttemptFinished{attempt.request,
-                       attempt.attempt,
-                       outcome,
-                       now - attempt.at,
-                       finished || outcome == Outcome::kServed,
-                       {}});
+  void FinishAttempt(const SentAttempt& attempt, Outcome outcome, bool finished = false) {
+    Handle(AttemptFinished{attempt.request,
+                           attempt.attempt,
+                           outcome,
+                           now - attempt.at,
+                           finished || outcome == Outcome::kServed,
+                           {}});
   }
 
   // Moves the clock on and fires the timers that come due on the way, in order.
@@ -123,56 +123,56 @@
       now = std::max(now, timers.begin()->first);
       const std::uint64_t token = timers.begin()->second;
       timers.erase(timers.begin());
-      Do(TimerFired{token});
+      Handle(TimerFired{token});
     }
     now = end;
   }
 
   // Ends every attempt sent from number `from` on: with `outcome` at `bad`, served elsewhere. How many hit
   // `bad`.
-  int Answer(std::size_t from, const std::string& bad = "", Outcome outcome = Outcome::kServed) {
+  int FinishAttemptsFrom(std::size_t from, const std::string& bad = "", Outcome outcome = Outcome::kServed) {
     int hits = 0;
     bool served = false;
     for (std::size_t i = from; i < sent.size(); ++i) {
-      const Sent attempt = sent[i];
+      const SentAttempt attempt = sent[i];
       const bool hit = attempt.upstream == bad;
       hits += hit;
-      Finish(attempt, hit ? outcome : Outcome::kServed, served);
+      FinishAttempt(attempt, hit ? outcome : Outcome::kServed, served);
       served = served || !hit || outcome == Outcome::kServed;
     }
     return hits;
   }
 
   // A request that is served at once: the upstream that took it, or "".
-  std::string Serve(ClassId cls = kIdempotent) {
+  std::string ServeRequest(ClassId cls = kIdempotent) {
     const std::size_t before = sent.size();
-    Arrive(cls);
+    SendRequest(cls);
     now += 10ms;
-    Answer(before);
+    FinishAttemptsFrom(before);
     return sent.size() == before ? "" : sent[before].upstream;
   }
 
   // Calls each served, but those to `bad`, which end with `outcome`; until `bad` has had `failures`. Slow
   // enough for trials, that are all an upstream under suspicion is sent.
-  void FailRun(const std::string& bad, int failures, Outcome outcome = Outcome::kError) {
+  void FailConsecutively(const std::string& bad, int failures, Outcome outcome = Outcome::kError) {
     for (int guard = 0; failures > 0 && guard < 3000; ++guard) {
       const std::size_t before = sent.size();
-      Arrive(kIdempotent);
+      SendRequest(kIdempotent);
       now += 10ms;
-      failures -= Answer(before, bad, outcome);
+      failures -= FinishAttemptsFrom(before, bad, outcome);
       if (failures > 0) Advance(100ms);
     }
     EXPECT_LE(failures, 0) << bad << " took too few calls";
   }
 
   // How often each upstream is picked in `calls` served calls.
-  std::map<std::string, int> Spread(int calls, ClassId cls = kIdempotent) {
+  std::map<std::string, int> ServeAndCount(int calls, ClassId cls = kIdempotent) {
     std::map<std::string, int> spread;
-    for (int i = 0; i < calls; ++i) ++spread[Serve(cls)];
+    for (int i = 0; i < calls; ++i) ++spread[ServeRequest(cls)];
     return spread;
   }
 
-  bool Logged(const std::string& part) const {
+  bool HasLogged(const std::string& part) const {
     for (const std::string& line : logs) {
       if (line.find(part) != std::string::npos) return true;
     }
@@ -181,8 +181,8 @@
 
   TimePoint now{1000s};
   std::vector<Action> actions;
-  std::vector<Sent> sent;
-  std::vector<RequestId> refused;
+  std::vector<SentAttempt> sent;
+  std::vector<RequestId> rejected;
   std::vector<RequestId> failed;
   std::vector<std::pair<RequestId, AttemptId>> cancelled;
   std::vector<std::string> logs;
@@ -200,7 +200,7 @@
   }
   void Record(const CancelAttempt& a) { cancelled.emplace_back(a.request, a.attempt); }
   void Record(const RejectRequest& a) {
-    refused.push_back(a.request);
+    rejected.push_back(a.request);
     last_retry_after = a.retry_after;
   }
   void Record(const FailRequest& a) { failed.push_back(a.request); }
--- a/tests/client_time_test.cpp
+++ b/tests/client_deadline_test.cpp
@@ -1,6 +1,6 @@
-// What an upstream is told of the client's time, and whom nothing may begin for any more: a client that has
-// gone by the moment in which the first byte would be written. The real program between scripted peers, and
-// its parts in this process where the moment has to be forced.
+// The client's deadline as an upstream sees it (X-Timeout-Ms), and the rule that no attempt begins for a
+// client that has disconnected by the moment in which the first byte would be written. The real program
+// between scripted peers, and its parts in this process where that moment has to be forced.
 #include <array>
 #include <atomic>
 #include <boost/asio/io_context.hpp>
@@ -18,6 +18,7 @@
 #include "gtest/gtest.h"
 #include "sidecar/listener.h"
 #include "sidecar/upstreams.h"
+#include "tests/gated_upstream.h"
 #include "tests/peers.h"
 
 namespace lb::sidecar::testing {
@@ -39,7 +40,7 @@
   return static_cast<int>(std::chrono::duration_cast<milliseconds>(steady_clock::now() - then).count());
 }
 
-int Told(const Request& request) { return std::stoi(std::string(request["X-Timeout-Ms"])); }
+int TimeoutInHeader(const Request& request) { return std::stoi(std::string(request["X-Timeout-Ms"])); }
 
 // Sends a request, and waits until the connect of its first attempt hangs at `upstream`.
 void SendAndConnect(Client& client, const std::string& text, const BlackHole& upstream) {
@@ -47,11 +48,12 @@
   ASSERT_TRUE(Eventually([&] { return upstream.HasHangingConnect(); }));
 }
 
-// ---- The time that an upstream is told ----
+// ---- The timeout in a forwarded request ----
 
-// The connection comes up late; the client's time runs from the last byte it sent. Bodies that are held, that
-// pass through, with and without a length, all read by then or in part still in the system's buffer.
-TEST(ToldTime, IsWhatIsLeftWhenAConnectionHasComeUp) {
+// The connection comes up late; the client's deadline runs from the last byte it sent. Bodies that are
+// buffered or streamed, with and without a length, read whole by then or in part still in the system's
+// buffer.
+TEST(UpstreamTimeout, IsReducedByTheTimeToConnect) {
   constexpr int kTimeout = 15000;
   const auto chunked = [](std::size_t size) {
     return "POST /submit/k HTTP/1.1\r\nHost: x\r\nX-Request-ID: a1\r\nX-Timeout-Ms: 15000\r\n"
@@ -64,9 +66,9 @@
   };
   for (const std::string& text : {post(10), post(80000), post(120000), chunked(70000), chunked(100000)}) {
     BlackHole late;
-    Node node(With(List({Target("u1", late.address())}), PatientSettings()));
-    ASSERT_TRUE(node.Listening());
-    Client client(node.port());
+    SidecarProcess sidecar(With(List({Target("u1", late.address())}), PatientSettings()));
+    ASSERT_TRUE(sidecar.Listening());
+    Client client(sidecar.port());
     ASSERT_TRUE(client.Send(text));
     const auto sent = steady_clock::now();
     std::this_thread::sleep_for(milliseconds(400));
@@ -74,15 +76,15 @@
     const auto wire = late.Accept();
     const auto request = wire->ReadRequest();
     ASSERT_TRUE(request);
-    EXPECT_LE(Told(*request), kTimeout - passed) << text.size();
-    EXPECT_GT(Told(*request), 1000) << text.size();
+    EXPECT_LE(TimeoutInHeader(*request), kTimeout - passed) << text.size();
+    EXPECT_GT(TimeoutInHeader(*request), 1000) << text.size();
     wire->Answer(200, "x");
     ASSERT_TRUE(client.Read());
   }
 }
 
 // The first attempt's connection does not come up in time.
-TEST(ToldTime, IsWhatIsLeftToASecondAttempt) {
+TEST(UpstreamTimeout, IsReducedByTheFirstAttempt) {
   constexpr int kConnect = 400, kTimeout = 15000;
   json settings = PatientSettings();
   settings["Limits"]["ConnectTimeout"] = 1000 * kConnect;
@@ -90,11 +92,11 @@
     BlackHole never;
     Upstream upstream([](Wire& wire, const Request&, int) { wire.Answer(200, "x"); });
     Discovery discovery(List({Target("u1", never.address())}));
-    Node::Options options = With(List({Target("u1", never.address())}), settings);
+    SidecarProcess::Options options = With(List({Target("u1", never.address())}), settings);
     options.discovery = discovery.address();
-    Node node(options);
-    ASSERT_TRUE(node.Listening());
-    Client client(node.port());
+    SidecarProcess sidecar(options);
+    ASSERT_TRUE(sidecar.Listening());
+    Client client(sidecar.port());
     const std::string text = PostText("/submit/k", "a1", std::string(size, 'x'), kTimeout);
     ASSERT_TRUE(Eventually([&] { return discovery.calls() > 1; }));  // it watches the list
     ASSERT_NO_FATAL_FAILURE(SendAndConnect(client, text, never));
@@ -102,13 +104,13 @@
     const auto answer = client.Read();
     ASSERT_TRUE(answer);
     ASSERT_EQ(answer->result_int(), 200U);
-    EXPECT_LE(Told(upstream.requests().at(0)), kTimeout - kConnect) << size;
+    EXPECT_LE(TimeoutInHeader(upstream.requests().at(0)), kTimeout - kConnect) << size;
   }
 }
 
-// A body waits for room at an upstream that takes nothing: the client's time runs all the same, and its
-// answer comes long before the connection would be given up.
-TEST(ToldTime, OfABodyThatNobodyTakesRunsOut) {
+// A body waits for an upstream that reads nothing: the client's deadline runs all the same, and its response
+// comes long before the connection would be given up.
+TEST(UpstreamTimeout, EndsARequestWhoseBodyIsNotRead) {
   BlackHole never;
   Peer deaf([](Wire& wire, int) { wire.ReadsEnd(); }, true);
   Gate over;
@@ -119,9 +121,9 @@
   };
   for (const Case& one : {Case{never.address(), 80000}, Case{never.address(), 95000},
                           Case{never.address(), 120000}, Case{hung.address(), 30000000}}) {
-    Node node(With(List({Target("u1", one.address)}), PatientSettings()));
-    ASSERT_TRUE(node.Listening());
-    Client client(node.port());
+    SidecarProcess sidecar(With(List({Target("u1", one.address)}), PatientSettings()));
+    ASSERT_TRUE(sidecar.Listening());
+    Client client(sidecar.port());
     const auto begun = steady_clock::now();
     std::thread sending([&] { client.Send(PostText("/submit/k", "a1", std::string(one.size, 'x'), 500)); });
     const auto answer = client.Read();
@@ -136,8 +138,8 @@
 
 // ---- Attempts for a client that has gone ----
 
-// Its news are never remembered: it leaves in the very moment after it was found there.
-TEST(Gone, AClientIsLookedAtEachTime) {
+// The result is never cached: the client disconnects right after it was found connected.
+TEST(ClientPresence, IsCheckedEachTime) {
   boost::asio::io_context io;
   Descriptors descriptors(64);
   Logger log("t");
@@ -161,9 +163,9 @@
   while (!asked) io.run_one();
 }
 
-// Whether it is a new connection or one that is there: right before the first byte the client is looked at,
-// last of all, and where it has gone nothing is written, and the connection serves the next.
-TEST(Gone, NothingIsWrittenOnNewNorOnIdleConnections) {
+// On a new connection as on an idle one, the client's presence is checked right before the first byte. If it
+// has disconnected, nothing is written, and the connection serves the next request.
+TEST(ClientPresence, IsCheckedBeforeTheFirstByteIsWritten) {
   Upstream upstream(Upstream::Echo("u"));
   boost::asio::io_context io;
   Descriptors descriptors(64);
@@ -191,7 +193,7 @@
     return ended->outcome;
   };
   const auto pause = [&] {  // until an idle connection may be used again
-    boost::asio::steady_timer timer(io, kSecondAnswer);
+    boost::asio::steady_timer timer(io, kReuseDelay);
     bool over = false;
     timer.async_wait([&](boost::system::error_code) { over = true; });
     while (!over) io.run_one();
@@ -206,145 +208,140 @@
   EXPECT_EQ(upstream.connections(), 1);
 }
 
-// Every way in which an attempt begins, with what makes it begin and the client's close there together, as
-// for a process that was held up; and the same with a client that stays, where it has to begin.
-class Ways : public ::testing::TestWithParam<bool> {
+// Every way in which an attempt begins. What makes it begin and the client's close reach the process
+// together, as when the process was not scheduled for a while; and the same with a client that stays, for
+// which the attempt must begin.
+class AttemptStart : public ::testing::TestWithParam<bool> {
  protected:
-  bool leaves() const { return GetParam(); }
+  bool disconnects() const { return GetParam(); }
 
-  // The process stands still while `event` happens and, behind it, the client leaves.
-  void HeldUp(Node& node, Client& client, const std::function<void()>& event,
-              milliseconds time = milliseconds(120)) {
-    node.Pause();
+  // Stops the process while `event` happens and, after it, the client disconnects (unless it stays).
+  void DisconnectDuringPause(SidecarProcess& sidecar, Client& client, const std::function<void()>& event,
+                             milliseconds time = milliseconds(120)) {
+    sidecar.Pause();
     event();
-    if (leaves()) client.wire.socket.close();
+    if (disconnects()) client.wire.socket.close();
     std::this_thread::sleep_for(time);
-    node.Signal(SIGCONT);
+    sidecar.Signal(SIGCONT);
   }
 
-  static int Count(const Upstream& upstream, const std::string& id) {
+  template <typename AnyUpstream>
+  static int Count(const AnyUpstream& upstream, const std::string& id) {
     int count = 0;
     for (const auto& request : upstream.requests()) count += request["X-Request-ID"] == id;
     return count;
   }
 
-  // Attempts for "a" that reach it: `before` without one that begins for a client that left.
-  void ExpectAttempts(Node& node, const Upstream& upstream, int before) {
-    if (!leaves()) {
+  // Expects that no further attempt for request "a" reaches the upstream for a client that disconnected, and
+  // one more for one that stays. `before`: the attempts so far.
+  template <typename AnyUpstream>
+  void ExpectAttempts(SidecarProcess& sidecar, const AnyUpstream& upstream, int before) {
+    if (!disconnects()) {
       EXPECT_TRUE(Eventually([&] { return Count(upstream, "a") == before + 1; }));
       return;
     }
-    Client other(node.port());
+    Client other(sidecar.port());
     ASSERT_TRUE(other.Get("/page/k", "b"));
     std::this_thread::sleep_for(milliseconds(100));  // for one that would still come
     EXPECT_EQ(Count(upstream, "a"), before);
   }
 };
 
-TEST_P(Ways, FirstAttempt) {
+TEST_P(AttemptStart, FirstAttempt) {
   Upstream upstream(Upstream::Echo("u"));
-  Node node(With(List({Target("u1", upstream.address())})));
-  ASSERT_TRUE(node.Listening());
-  Client fresh(node.port());
-  Client used(node.port());
+  SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
+  ASSERT_TRUE(sidecar.Listening());
+  Client fresh(sidecar.port());
+  Client used(sidecar.port());
   ASSERT_TRUE(used.Get("/page/k", "warm"));
-  HeldUp(node, fresh, [&] { fresh.Send(GetText("/page/k", "c", 15000)); });
-  HeldUp(node, used, [&] { used.Send(GetText("/page/k", "a", 15000)); });
-  ExpectAttempts(node, upstream, 0);
-  if (!leaves()) {
+  DisconnectDuringPause(sidecar, fresh, [&] { fresh.Send(GetText("/page/k", "c", 15000)); });
+  DisconnectDuringPause(sidecar, used, [&] { used.Send(GetText("/page/k", "a", 15000)); });
+  ExpectAttempts(sidecar, upstream, 0);
+  if (!disconnects()) {
     ASSERT_TRUE(fresh.Read());
   }
-  EXPECT_EQ(Count(upstream, "c"), leaves() ? 0 : 1);
+  EXPECT_EQ(Count(upstream, "c"), disconnects() ? 0 : 1);
 }
 
-TEST_P(Ways, AfterAConnect) {
+TEST_P(AttemptStart, AfterAConnect) {
   for (const std::size_t size : {10U, 80000U}) {
     BlackHole late;
-    Node node(With(List({Target("u1", late.address())}), PatientSettings()));
-    ASSERT_TRUE(node.Listening());
-    Client client(node.port());
-    Client marker(node.port());
+    SidecarProcess sidecar(With(List({Target("u1", late.address())}), PatientSettings()));
+    ASSERT_TRUE(sidecar.Listening());
+    Client client(sidecar.port());
+    Client marker(sidecar.port());
     ASSERT_TRUE(marker.Send("GET /up HTTP/1.1\r\nHost: x\r\n\r\n"));
     ASSERT_TRUE(marker.Read());  // both were accepted
     const std::string text = PostText("/submit/k", "a", std::string(size, 'x'), 15000);
     ASSERT_NO_FATAL_FAILURE(SendAndConnect(client, text, late));
     std::unique_ptr<Wire> wire;
-    HeldUp(node, client, [&] { wire = late.Accept(); });
+    DisconnectDuringPause(sidecar, client, [&] { wire = late.Accept(); });
     ASSERT_TRUE(marker.Send(GetText("/page/k", "b", 15000)));
     const auto request = wire->ReadRequest();
     ASSERT_TRUE(request);
-    EXPECT_EQ((*request)["X-Request-ID"], leaves() ? "b" : "a");
+    EXPECT_EQ((*request)["X-Request-ID"], disconnects() ? "b" : "a");
   }
 }
 
-TEST_P(Ways, Retry) {
-  Gate asked, go;
+TEST_P(AttemptStart, Retry) {
   std::atomic<bool> answered{false};
-  Upstream upstream([&](Wire& wire, const Request& request, int number) {
-    if (number > 0) return void(wire.Answer(200, std::string(request.target())));
-    asked.Open();
-    go.Pass();
+  GatedUpstream upstream([&](Wire& wire, const Request& request, int number) {
+    if (number > 0) return GatedUpstream::RespondWithTarget(wire, request, number);
     wire.Answer(503, "", "X-Not-Processed: 1\r\n");
     answered = true;
   });
-  Node node(
+  SidecarProcess sidecar(
       With(List({Target("u1", upstream.address()), Target("u2", upstream.address())}), PatientSettings()));
-  ASSERT_TRUE(node.Listening());
-  Client client(node.port());
+  ASSERT_TRUE(sidecar.Listening());
+  Client client(sidecar.port());
   ASSERT_TRUE(client.Send(PostText("/submit/k", "a", "x", 15000)));
-  asked.Pass();
-  HeldUp(node, client, [&] {
-    go.Open();
+  upstream.WaitForHeldRequest();
+  DisconnectDuringPause(sidecar, client, [&] {
+    upstream.Release();
     EXPECT_TRUE(Eventually([&] { return answered.load(); }));
   });
-  ExpectAttempts(node, upstream, 1);
+  ExpectAttempts(sidecar, upstream, 1);
 }
 
-TEST_P(Ways, RetryAfterAConnectThatTimedOut) {
+TEST_P(AttemptStart, RetryAfterAConnectThatTimedOut) {
   BlackHole never;
   Upstream upstream(Upstream::Echo("u"));
   Discovery discovery(List({Target("u1", never.address())}));
   json settings = PatientSettings();
   settings["Limits"]["ConnectTimeout"] = 1500000;
-  Node::Options options = With(List({Target("u1", never.address())}), settings);
+  SidecarProcess::Options options = With(List({Target("u1", never.address())}), settings);
   options.discovery = discovery.address();
-  Node node(options);
-  ASSERT_TRUE(node.Listening());
-  Client client(node.port());
+  SidecarProcess sidecar(options);
+  ASSERT_TRUE(sidecar.Listening());
+  Client client(sidecar.port());
   const std::string text = PostText("/submit/k", "a", "x", 15000);
   ASSERT_TRUE(Eventually([&] { return discovery.calls() > 1; }));  // it watches the list
   ASSERT_NO_FATAL_FAILURE(SendAndConnect(client, text, never));
   discovery.Tell(List({Target("u1", never.address()), Target("u2", upstream.address())}));
   const int calls = discovery.calls();
   ASSERT_TRUE(Eventually([&] { return discovery.calls() > calls; }));
-  HeldUp(
-      node, client, [] {}, milliseconds(700));
-  ExpectAttempts(node, upstream, 0);
+  DisconnectDuringPause(
+      sidecar, client, [] {}, milliseconds(700));
+  ExpectAttempts(sidecar, upstream, 0);
 }
 
-TEST_P(Ways, HedgedRequest) {
-  Gate asked, go;
-  Upstream upstream([&](Wire& wire, const Request& request, int number) {
-    if (number == 0) {
-      asked.Open();
-      go.Pass();
-    }
-    wire.Answer(200, std::string(request.target()));
-  });
+TEST_P(AttemptStart, HedgedRequest) {
+  GatedUpstream upstream;
   json settings = Settings();
   settings["Limits"]["SecondCopies"] = true;
-  Node node(With(List({Target("u1", upstream.address()), Target("u2", upstream.address())}), settings));
-  ASSERT_TRUE(node.Listening());
-  Client client(node.port());
+  SidecarProcess sidecar(
+      With(List({Target("u1", upstream.address()), Target("u2", upstream.address())}), settings));
+  ASSERT_TRUE(sidecar.Listening());
+  Client client(sidecar.port());
   ASSERT_TRUE(client.Send(GetText("/page/k", "a", 15000)));
-  asked.Pass();
-  HeldUp(
-      node, client, [] {}, milliseconds(350));
-  ExpectAttempts(node, upstream, 1);
-  go.Open();
+  upstream.WaitForHeldRequest();
+  DisconnectDuringPause(
+      sidecar, client, [] {}, milliseconds(350));
+  ExpectAttempts(sidecar, upstream, 1);
+  upstream.Release();
 }
 
-TEST_P(Ways, AfterALoadProbe) {
+TEST_P(AttemptStart, AfterALoadProbe) {
   std::atomic<int> probed{0};
   Gate go;
   Upstream upstream([&](Wire& wire, const Request& request, int) {
@@ -357,17 +354,18 @@
   settings["Report"] = {{"How", "probe"}};
   settings["Limits"]["MayProbe"] = true;
   settings["Prices"]["Probe"] = 0.001;
-  Node node(With(List({Target("u1", upstream.address()), Target("u2", upstream.address())}), settings));
-  ASSERT_TRUE(node.Listening());
-  Client client(node.port());
+  SidecarProcess sidecar(
+      With(List({Target("u1", upstream.address()), Target("u2", upstream.address())}), settings));
+  ASSERT_TRUE(sidecar.Listening());
+  Client client(sidecar.port());
   ASSERT_TRUE(client.Send(GetText("/page/k", "a", 15000)));
   ASSERT_TRUE(Eventually([&] { return probed == 2; }));
-  HeldUp(node, client, [&] { go.Open(); });
-  ExpectAttempts(node, upstream, 0);
+  DisconnectDuringPause(sidecar, client, [&] { go.Open(); });
+  ExpectAttempts(sidecar, upstream, 0);
 }
 
-INSTANTIATE_TEST_SUITE_P(Client, Ways, ::testing::Values(true, false),
-                         [](const auto& way) { return way.param ? "Leaves" : "Stays"; });
+INSTANTIATE_TEST_SUITE_P(Client, AttemptStart, ::testing::Values(true, false),
+                         [](const auto& way) { return way.param ? "Disconnects" : "Stays"; });
 
 }  // namespace
 }  // namespace lb::sidecar::testing
--- a/tests/descriptor_limit_test.cpp
+++ b/tests/descriptor_limit_test.cpp
@@ -9,6 +9,7 @@
 #include <vector>
 
 #include "gtest/gtest.h"
+#include "tests/operator_steps.h"
 #include "tests/peers.h"
 #include "tests/sidecar_steps.h"
 
@@ -17,33 +18,41 @@
 
 using std::chrono::milliseconds;
 
-TEST(DescriptorLimit, IsKeptAndClientsAreServed) {
-  Upstream upstream(Upstream::Echo("u"));
-  SidecarProcess::Options options = With(List({Target("u1", upstream.address())}));
-  options.sockets = 64;
-  SidecarProcess sidecar(options);
-  ASSERT_TRUE(sidecar.Listening());
+// A sidecar that may have 64 descriptors, and its upstream.
+class DescriptorLimitTest : public ::testing::Test {
+ protected:
+  static constexpr int kLimit = 64;
+
+  void SetUp() override { ASSERT_TRUE(sidecar_.Listening()); }
+
+  Upstream upstream_{Upstream::Echo("u")};
+  SidecarProcess sidecar_{OptionsWithLimit(upstream_)};
+
+ private:
+  static SidecarProcess::Options OptionsWithLimit(const Upstream& upstream) {
+    SidecarProcess::Options options = With(List({Target("u1", upstream.address())}));
+    options.sockets = kLimit;
+    return options;
+  }
+};
+
+TEST_F(DescriptorLimitTest, IsKeptAndClientsAreServed) {
   // More clients than there are descriptors; each asks once and stays.
   std::vector<std::unique_ptr<Client>> clients;
   for (int i = 0; i < 150; ++i) {
-    clients.push_back(std::make_unique<Client>(sidecar.port()));
+    clients.push_back(std::make_unique<Client>(sidecar_.port()));
     const auto response = clients.back()->Get("/page/k", "d" + std::to_string(i));
     ASSERT_TRUE(response) << i;
     EXPECT_EQ(response->result_int(), 200U) << i;
-    ASSERT_LE(sidecar.descriptors(), 64) << i;
+    ASSERT_LE(sidecar_.descriptors(), kLimit) << i;
   }
 }
 
 // Guards against making room for a client that is not there at the cost of the last one that came.
-TEST(DescriptorLimit, LastClientThatFitsIsServedAfterAPause) {
-  Upstream upstream(Upstream::Echo("u"));
-  SidecarProcess::Options options = With(List({Target("u1", upstream.address())}));
-  options.sockets = 64;
-  SidecarProcess sidecar(options);
-  ASSERT_TRUE(sidecar.Listening());
+TEST_F(DescriptorLimitTest, LastClientThatFitsIsServedAfterAPause) {
   std::vector<std::unique_ptr<Client>> clients;
   for (int i = 0; i < 30; ++i) {
-    clients.push_back(std::make_unique<Client>(sidecar.port()));
+    clients.push_back(std::make_unique<Client>(sidecar_.port()));
     std::this_thread::sleep_for(milliseconds(20));
     const auto response = clients.back()->Get("/page/k", "l" + std::to_string(i));
     ASSERT_TRUE(response) << i;
@@ -52,27 +61,22 @@
 }
 
 // A request counts as taken with its last byte, read or not: a process short of time must not close on it.
-TEST(DescriptorLimit, CompleteUnreadRequestIsNotEvicted) {
-  Upstream upstream(Upstream::Echo("u"));
-  SidecarProcess::Options options = With(List({Target("u1", upstream.address())}));
-  options.sockets = 64;
-  SidecarProcess sidecar(options);
-  ASSERT_TRUE(sidecar.Listening());
-  const int idle = sidecar.descriptors();
+TEST_F(DescriptorLimitTest, CompleteUnreadRequestIsNotEvicted) {
+  const int idle = sidecar_.descriptors();
   std::vector<std::unique_ptr<Client>> clients;
   const auto text = [](std::size_t i) { return GetText("/page/k", "p" + std::to_string(i), 15000); };
   // As many as fit: of the next one nothing is taken without closing another.
   for (std::size_t i = 0; i < 24; ++i) {
-    clients.push_back(std::make_unique<Client>(sidecar.port()));
+    clients.push_back(std::make_unique<Client>(sidecar_.port()));
     ASSERT_TRUE(clients[i]->Send(text(i).substr(0, 20)));
   }
-  ASSERT_TRUE(Eventually([&] { return sidecar.descriptors() >= idle + 24; }));
+  ASSERT_TRUE(Eventually([&] { return sidecar_.descriptors() >= idle + 24; }));
   std::this_thread::sleep_for(milliseconds(200));  // to read them; where it has not, there is less to see
-  sidecar.Pause();
-  Client next(sidecar.port());
+  sidecar_.Pause();
+  Client next(sidecar_.port());
   ASSERT_TRUE(next.Send(text(99)));
   for (std::size_t i = 0; i < clients.size(); ++i) ASSERT_TRUE(clients[i]->Send(text(i).substr(20)));
-  sidecar.Signal(SIGCONT);
+  sidecar_.Signal(SIGCONT);
   for (const auto& client : clients) {
     const auto response = client->Read();
     ASSERT_TRUE(response);
@@ -84,17 +88,12 @@
 }
 
 // Many clients connect and say nothing: usual clients are served all the same.
-TEST(DescriptorLimit, SilentClientsAreEvicted) {
-  Upstream upstream(Upstream::Echo("u"));
-  SidecarProcess::Options options = With(List({Target("u1", upstream.address())}));
-  options.sockets = 64;
-  SidecarProcess sidecar(options);
-  ASSERT_TRUE(sidecar.Listening());
+TEST_F(DescriptorLimitTest, SilentClientsAreEvicted) {
   std::vector<std::unique_ptr<Client>> silent;
   silent.reserve(100);
-  for (int i = 0; i < 100; ++i) silent.push_back(std::make_unique<Client>(sidecar.port()));
+  for (int i = 0; i < 100; ++i) silent.push_back(std::make_unique<Client>(sidecar_.port()));
   for (int i = 0; i < 5; ++i) {
-    Client usual(sidecar.port());
+    Client usual(sidecar_.port());
     const auto response = usual.Get("/page/k", "v" + std::to_string(i));
     ASSERT_TRUE(response) << i;
     EXPECT_EQ(response->result_int(), 200U);
@@ -102,6 +101,41 @@
   for (const auto& client : silent) EXPECT_TRUE(client->wire.ReadsEnd());
 }
 
+// Idle clients take every descriptor that clients may have, while discovery is down. Discovery's next
+// connection, those to upstreams and the admin interface's need none of these.
+TEST(DescriptorLimit, IdleClientsLeaveCapacityForDiscoveryUpstreamsAndAdmin) {
+  for (const int limit : {64, 256, 1024}) {
+    rlimit files{};
+    ASSERT_EQ(::getrlimit(RLIMIT_NOFILE, &files), 0);
+    files.rlim_cur = files.rlim_max;
+    ASSERT_EQ(::setrlimit(RLIMIT_NOFILE, &files), 0);
+    const Folder folder;
+    Upstream upstream(Upstream::Echo("u1"));
+    Discovery discovery(List({Target("u1", upstream.address())}));
+    discovery.Set(Discovery::Mood::kBreaks);
+    SidecarProcess::Options options = WithAdmin(json::array(), folder.path());
+    options.discovery = discovery.address();
+    options.sockets = limit;
+    SidecarProcess sidecar(options);
+    ASSERT_TRUE(sidecar.Listening());
+    std::vector<std::unique_ptr<Client>> idle;
+    for (int i = 0; i < limit; ++i) {
+      idle.push_back(std::make_unique<Client>(sidecar.port()));
+      idle.back()->Send("GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
+      ASSERT_TRUE(idle.back()->Read()) << i;
+    }
+    EXPECT_LE(sidecar.descriptors(), limit);
+    EXPECT_EQ(sidecar.Status("GET", "/ready"), 503U);
+    discovery.Set(Discovery::Mood::kAnswers);
+    EXPECT_TRUE(Eventually([&] { return sidecar.Status("GET", "/ready") == 200U; }));
+    Client usual(sidecar.port());
+    const auto response = usual.Get("/page/k", "a");
+    ASSERT_TRUE(response);
+    EXPECT_EQ(response->body(), "u1 /page/k");
+    EXPECT_LE(sidecar.descriptors(), limit);
+  }
+}
+
 TEST(DescriptorLimit, ShortageOfDescriptorsIsSurvived) {
   Upstream upstream(Upstream::Echo("u"));
   SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
--- a/tests/discovery_client_test.cpp
+++ b/tests/discovery_client_test.cpp
@@ -147,7 +147,7 @@
     }
   }
   EXPECT_LE(kServiceWatch + kServiceWatchTimeout + kServicePause + kServiceCallTimeout, kChangeHeardWithin);
-  EXPECT_LE(kServiceCallTimeout + lb::kLongestPollPause + kServiceCallTimeout, kChangeHeardWithin);
+  EXPECT_LE(kServiceCallTimeout + lb::kMaxPollPause + kServiceCallTimeout, kChangeHeardWithin);
 }
 
 }  // namespace
--- a/tests/fault_injection.cpp
+++ b/tests/fault_injection.cpp
@@ -38,13 +38,13 @@
 namespace {
 
 constexpr std::int64_t kNanoseconds = 1'000'000'000;
-constexpr int kMostDescriptors = 65536;
-constexpr int kMostParts = 64;  // of a readv or writev; the rest is left for the next
+constexpr int kMaxDescriptors = 65536;
+constexpr int kMaxParts = 64;  // of a readv or writev; the rest is left for the next
 
 SharedFaults* shared = nullptr;
 std::atomic<bool> clock_was_read{false};
 // Which descriptors came from accept(). Each way to make a socket sets it anew.
-std::array<std::atomic<bool>, kMostDescriptors> accepted{};
+std::array<std::atomic<bool>, kMaxDescriptors> accepted{};
 
 // The call that this library stands ahead of.
 template <typename Function>
@@ -73,7 +73,7 @@
 }
 
 void MarkAccepted(int descriptor, bool yes) {
-  if (descriptor >= 0 && descriptor < kMostDescriptors) accepted[static_cast<std::size_t>(descriptor)] = yes;
+  if (descriptor >= 0 && descriptor < kMaxDescriptors) accepted[static_cast<std::size_t>(descriptor)] = yes;
 }
 
 // What a call is about: a descriptor, a path, or the peer that it connects to.
@@ -96,7 +96,7 @@
   if (domain == AF_UNIX) return Descriptor::kLocal;
   if (Option(descriptor, SO_ACCEPTCONN) == 1) return Descriptor::kListening;
   const bool from_client =
-      descriptor < kMostDescriptors && accepted[static_cast<std::size_t>(descriptor)].load();
+      descriptor < kMaxDescriptors && accepted[static_cast<std::size_t>(descriptor)].load();
   return from_client ? Descriptor::kAccepted : Descriptor::kOutgoing;
 }
 
@@ -193,7 +193,7 @@
    public:
     Parts(const Forced& forced, const iovec* parts, std::size_t count) {
       std::size_t left = forced.at_most_;
-      for (std::size_t i = 0; i < count && count_ < kMostParts && left > 0; ++i) {
+      for (std::size_t i = 0; i < count && count_ < kMaxParts && left > 0; ++i) {
         parts_[count_] = parts[i];
         parts_[count_].iov_len = std::min(parts[i].iov_len, left);
         left -= parts_[count_++].iov_len;
@@ -203,7 +203,7 @@
     std::size_t size() const { return count_; }
 
    private:
-    std::array<iovec, kMostParts> parts_{};
+    std::array<iovec, kMaxParts> parts_{};
     std::size_t count_ = 0;
   };
 
--- a/tests/fault_injection.h
+++ b/tests/fault_injection.h
@@ -3,9 +3,9 @@
 // mapped file, so that faults are forced and counted while the program runs:
 //
 //   FaultInjector faults;
-//   Node::Options options;
+//   SidecarProcess::Options options;
 //   options.environment = faults.environment();
-//   Node node(options);
+//   SidecarProcess sidecar(options);
 //   const auto aborted = faults.Force({.call = SystemCall::kAccept, .error = ECONNABORTED, .times = 1});
 //   ... a client connects ...
 //   ASSERT_TRUE(faults.WaitUntilForced(aborted));
@@ -109,7 +109,7 @@
   FaultInjector(const FaultInjector&) = delete;
   FaultInjector& operator=(const FaultInjector&) = delete;
 
-  // For Node::Options.
+  // For SidecarProcess::Options.
   std::map<std::string, std::string> environment() const;
 
   // From now on. Throws std::runtime_error where more than SharedFaults::kSlots were ever forced.
--- a/tests/fleet_fixtures.h
+++ b/tests/fleet_fixtures.h
@@ -7,31 +7,32 @@
 #include <string>
 #include <vector>
 
-#include "tests/helpers.h"
+#include "tests/balancer_harness.h"
 
 namespace lb::testing {
 
 // `count` sidecars that share nothing but the list they are told.
-inline std::vector<std::unique_ptr<World>> Fleet(int count, const Settings& settings = DefaultSettings()) {
-  std::vector<std::unique_ptr<World>> fleet;
+inline std::vector<std::unique_ptr<BalancerHarness>> MakeFleet(int count,
+                                                               const Settings& settings = DefaultSettings()) {
+  std::vector<std::unique_ptr<BalancerHarness>> fleet;
   fleet.reserve(static_cast<std::size_t>(count));
   for (int i = 0; i < count; ++i)
-    fleet.push_back(std::make_unique<World>(settings, 1000 + static_cast<std::uint64_t>(i)));
+    fleet.push_back(std::make_unique<BalancerHarness>(settings, 1000 + static_cast<std::uint64_t>(i)));
   return fleet;
 }
 
-inline Settings Reporting() {
+inline Settings SettingsWithLoadReports() {
   Settings settings = DefaultSettings();
   settings.load_by_probe = settings.limits.load_probes_allowed = true;
   settings.decision_costs.probe = 0.002;
   return settings;
 }
 
-inline void Report(World& w, const std::string& id, double held, double rate = 0) {
+inline void ReportLoad(BalancerHarness& harness, const std::string& id, double held, double rate = 0) {
   LoadReport load;
   load.in_flight = held;
   load.rate = rate;
-  w.Do(LoadProbeFinished{{id}, Outcome::kServed, 1ms, load});
+  harness.Handle(LoadProbeFinished{{id}, Outcome::kServed, 1ms, load});
 }
 
 }  // namespace lb::testing
--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -17,44 +17,44 @@
 
 namespace fs = std::filesystem;
 
-TEST_F(FailingFolder, WhatEitherProcessIsToldCountsForBoth) {
-  auto node = Start();
-  ASSERT_TRUE(Ready(*node));
-  ASSERT_EQ(Says(*node, "POST", "/upstreams/disable/u1"), "200 u1 is out\n");
-  auto next = Start("127.0.0.1:" + std::to_string(node->port()));
+TEST_F(OperatorStateFaults, CommandsToEitherProcessApplyToBoth) {
+  auto sidecar = Start();
+  ASSERT_TRUE(Ready(*sidecar));
+  ASSERT_EQ(Says(*sidecar, "POST", "/upstreams/disable/u1"), "200 u1 is out\n");
+  auto next = Start("127.0.0.1:" + std::to_string(sidecar->port()));
   ASSERT_TRUE(Ready(*next));
   ASSERT_TRUE(Logs(*next, "upstream_disabled upstream=u1\n"));
   ASSERT_EQ(Says(*next, "POST", "/upstreams/enable/u1"), "200 u1 is back\n");
-  EXPECT_TRUE(Logs(*node, "upstream_enabled upstream=u1\n"));
+  EXPECT_TRUE(Logs(*sidecar, "upstream_enabled upstream=u1\n"));
   EXPECT_FALSE(fs::exists(path_ + "/out-7531"));
-  ASSERT_EQ(Says(*node, "POST", "/drain"), "200 clients are sent away\n");
+  ASSERT_EQ(Says(*sidecar, "POST", "/drain"), "200 clients are sent away\n");
   EXPECT_TRUE(Eventually([&] { return next->Status("GET", "/ready") == 503; }));
 }
 
 // SIGTERM at each step: of the later process before it serves, of the earlier one before the later serves.
-TEST_F(FailingFolder, EitherProcessMayEndAtAnyStepOfTheHandOver) {
-  auto node = Start();
-  ASSERT_TRUE(Ready(*node));
-  const std::string listen = "127.0.0.1:" + std::to_string(node->port());
+TEST_F(OperatorStateFaults, EitherProcessMayEndAtAnyStepOfAHotRestart) {
+  auto sidecar = Start();
+  ASSERT_TRUE(Ready(*sidecar));
+  const std::string listen = "127.0.0.1:" + std::to_string(sidecar->port());
   discovery_.Set(Discovery::Mood::kSilent);  // the next one does not serve yet
   {
     auto never = Start(listen);
     ASSERT_TRUE(
-        Eventually([&] { return node->log().find("hot_restart_next_connected") != std::string::npos; }));
+        Eventually([&] { return sidecar->log().find("hot_restart_next_connected") != std::string::npos; }));
     never->Signal(SIGTERM);
     EXPECT_EQ(never->Wait(), 0);
   }
-  EXPECT_TRUE(Logs(*node, "hot_restart_only_process"));
-  Client still(node->port());
+  EXPECT_TRUE(Logs(*sidecar, "hot_restart_only_process"));
+  Client still(sidecar->port());
   EXPECT_TRUE(still.Get("/page/k", "a"));
   auto next = Start(listen);
   ASSERT_TRUE(Eventually([&] {
-    const auto text = node->log();
+    const auto text = sidecar->log();
     return text.find("hot_restart_next_connected", text.find("hot_restart_only_process")) !=
            std::string::npos;
   }));
-  node->Signal(SIGTERM);
-  EXPECT_EQ(node->Wait(), 0);
+  sidecar->Signal(SIGTERM);
+  EXPECT_EQ(sidecar->Wait(), 0);
   Client client(next->port());  // served once the process before has gone
   const auto answer = client.Get("/page/k", "b");
   ASSERT_TRUE(answer);
@@ -72,26 +72,26 @@
 
 void PrintTo(const HandOverRow& row, std::ostream* out) { *out << row.name; }
 
-class HandOverFaults : public FailingFolder, public ::testing::WithParamInterface<HandOverRow> {};
+class HotRestartFaults : public OperatorStateFaults, public ::testing::WithParamInterface<HandOverRow> {};
 
-TEST_P(HandOverFaults, TheListenerIsHandedOverAllTheSame) {
+TEST_P(HotRestartFaults, ListenerIsInheritedAllTheSame) {
   const auto& row = GetParam();
-  auto node = Start("127.0.0.1:0", row.earlier);
-  ASSERT_TRUE(Ready(*node));
+  auto sidecar = Start("127.0.0.1:0", row.earlier);
+  ASSERT_TRUE(Ready(*sidecar));
   const auto fault =
       faults_.Force({.call = row.call,
                      .error = row.error,
                      .times = 2,
                      .on = row.call == SystemCall::kSocket ? Descriptor::kAny : Descriptor::kLocal});
-  auto next = Start("127.0.0.1:" + std::to_string(node->port()), !row.earlier);
+  auto next = Start("127.0.0.1:" + std::to_string(sidecar->port()), !row.earlier);
   ASSERT_TRUE(Ready(*next));
   EXPECT_TRUE(faults_.WaitUntilForced(fault, 2));
   EXPECT_EQ(next->log().find("hot_restart_inherit_failed"), std::string::npos) << next->log();
-  EXPECT_TRUE(Logs(*node, "hot_restart_next_serves"));
+  EXPECT_TRUE(Logs(*sidecar, "hot_restart_next_serves"));
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Calls, HandOverFaults,
+    Calls, HotRestartFaults,
     ::testing::Values(HandOverRow{"AcceptInterrupted", SystemCall::kAccept, EINTR, true},
                       HandOverRow{"AcceptAborted", SystemCall::kAccept, ECONNABORTED, true},
                       HandOverRow{"AcceptNoMemory", SystemCall::kAccept, ENOMEM, true},
@@ -107,22 +107,22 @@
     [](const auto& row) { return std::string(row.param.name); });
 
 // One that connects and then stands still holds nobody up; nor does one that connects and goes, many times.
-TEST_F(FailingFolder, ANextProcessThatHangsIsBorne) {
-  auto node = Start();
-  ASSERT_TRUE(Ready(*node));
+TEST_F(OperatorStateFaults, NextProcessThatHangsIsTolerated) {
+  auto sidecar = Start();
+  ASSERT_TRUE(Ready(*sidecar));
   boost::asio::io_context io;
   boost::asio::local::stream_protocol::socket hanging(io);
   for (int i = 0; i < 5; ++i) {
     hanging = boost::asio::local::stream_protocol::socket(io);
     hanging.connect(path_ + "/handover");
   }
-  EXPECT_EQ(Says(*node, "POST", "/drain"), "200 clients are sent away\n");
-  auto next = Start("127.0.0.1:" + std::to_string(node->port()));
-  EXPECT_TRUE(Logs(*node, "hot_restart_next_serves"));
+  EXPECT_EQ(Says(*sidecar, "POST", "/drain"), "200 clients are sent away\n");
+  auto next = Start("127.0.0.1:" + std::to_string(sidecar->port()));
+  EXPECT_TRUE(Logs(*sidecar, "hot_restart_next_serves"));
 }
 
 // The process before stands still with its backlog full: the next one goes on without it.
-TEST_F(FailingFolder, AProcessBeforeThatHangsIsNotWaitedForLong) {
+TEST_F(OperatorStateFaults, PreviousProcessThatHangsIsNotWaitedForLong) {
   fs::create_directories(path_);
   boost::asio::io_context io;
   using Local = boost::asio::local::stream_protocol;
@@ -137,9 +137,9 @@
     waiting.back().non_blocking(true);
     waiting.back().connect(path_ + "/handover", error);
   }
-  auto node = Start();
-  EXPECT_TRUE(Ready(*node));
-  EXPECT_TRUE(Logs(*node, "hot_restart_inherit_failed"));
+  auto sidecar = Start();
+  EXPECT_TRUE(Ready(*sidecar));
+  EXPECT_TRUE(Logs(*sidecar, "hot_restart_inherit_failed"));
 }
 
 std::string ProcessField(pid_t pid, const std::string& name) {
@@ -155,23 +155,23 @@
 bool Sleeps(pid_t pid) { return ProcessField(pid, "State:\t").starts_with("S"); }
 
 // A signal that comes while the next process waits for the socket must not make it go on without.
-TEST_F(FailingFolder, SignalsDoNotEndTheWaitForTheListener) {
+TEST_F(OperatorStateFaults, SignalsDoNotEndTheWaitForTheListener) {
   fs::create_directories(path_);
-  auto node = Start();
-  ASSERT_TRUE(Ready(*node));
-  node->Pause();
-  Node::Options options = With(List({Target("u1", upstream_.address())}));
+  auto sidecar = Start();
+  ASSERT_TRUE(Ready(*sidecar));
+  sidecar->Pause();
+  SidecarProcess::Options options = With(List({Target("u1", upstream_.address())}));
   options.admin = "127.0.0.1:0";
   options.tmpdir = folder_.path();
-  options.listen = "127.0.0.1:" + std::to_string(node->port());
+  options.listen = "127.0.0.1:" + std::to_string(sidecar->port());
   options.discovery = discovery_.address();
-  Node next(options);
+  SidecarProcess next(options);
   ASSERT_TRUE(Eventually([&] { return Catches(next.pid(), SIGHUP) && Sleeps(next.pid()); }));
   for (int i = 0; i < 5; ++i) next.Signal(SIGHUP);
-  node->Signal(SIGCONT);
+  sidecar->Signal(SIGCONT);
   ASSERT_TRUE(next.Listening());
   EXPECT_EQ(next.log().find("hot_restart_inherit_failed"), std::string::npos) << next.log();
-  EXPECT_TRUE(Logs(*node, "hot_restart_next_serves"));
+  EXPECT_TRUE(Logs(*sidecar, "hot_restart_next_serves"));
 }
 
 }  // namespace
--- a/tests/lab_experiment_test.cpp
+++ b/tests/lab_experiment_test.cpp
@@ -342,5 +342,17 @@
             ExitCode::kRunFailed);
 }
 
+TEST(ExperimentFile, RefusesFaultsThatTheDeploymentCannotHave) {
+  const std::string head =
+      "name = \"f\"\nlength_s = 5\nsizes = [2]\n[[class]]\nname = \"a\"\n"
+      "mean_work_ms = 1\naim_ms = 10\ndeadline_ms = 10\n[[fault]]\nat_s = 1\nkind = ";
+  for (const char* fault : {"\"clients_stalled\"", "\"new_configurations\"",
+                            "\"clock_stepped\"\nshare = 1\nstep_s = 1", "\"discovery_slow\"\nlasts_s = 1"}) {
+    EXPECT_THROW(ParseExperiment(head + fault, "f.toml"), ExperimentError) << fault;
+  }
+  const Experiment experiment = ParseExperiment(head + "\"sidecars_stopped\"\nshare = 1", "f.toml");
+  EXPECT_EQ(MakeDeployment(experiment, 2).faults[0].sidecars.size(), 2u);
+}
+
 }  // namespace
 }  // namespace lb::lab
--- a/tests/lab_metrics_test.cpp
+++ b/tests/lab_metrics_test.cpp
@@ -254,18 +254,18 @@
   EXPECT_EQ(constant.Percentile(0), 14.5);
   EXPECT_EQ(constant.Percentile(1), 14.5);
   const Distribution hop = Of({0, 0, 0, 1});
-  const Distribution chain = SimulateChain(hop, 8, kMostChainDraws, 3);
+  const Distribution chain = SimulateChain(hop, 8, kMaxChainDraws, 3);
   EXPECT_NEAR(chain.mean(), 2, 0.02);  // 5 standard errors of 0.004
   EXPECT_NEAR(chain.ShareAbove(0), ShareOfChainsWithAny(hop.ShareAbove(0.5), 8), 0.005);
-  EXPECT_EQ(chain.SortedValues(), SimulateChain(hop, 8, kMostChainDraws, 3).SortedValues());
-  EXPECT_NE(chain.mean(), SimulateChain(hop, 8, kMostChainDraws, 4).mean());
+  EXPECT_EQ(chain.SortedValues(), SimulateChain(hop, 8, kMaxChainDraws, 3).SortedValues());
+  EXPECT_NE(chain.mean(), SimulateChain(hop, 8, kMaxChainDraws, 4).mean());
 }
 
 TEST(Chain, RefusesWhatItCannotDraw) {
   EXPECT_THROW(SimulateChain(Distribution(), 2, 1, 1), std::invalid_argument);
   EXPECT_THROW(SimulateChain(Of({1}), 0, 1, 1), std::invalid_argument);
   EXPECT_THROW(SimulateChain(Of({1}), 2, 0, 1), std::invalid_argument);
-  EXPECT_THROW(SimulateChain(Of({1}), 2, kMostChainDraws + 1, 1), std::invalid_argument);
+  EXPECT_THROW(SimulateChain(Of({1}), 2, kMaxChainDraws + 1, 1), std::invalid_argument);
 }
 
 TEST(Chain, TellsTheShareOfChainsWithASlowHop) {
--- a/tests/load_probes_test.cpp
+++ b/tests/load_probes_test.cpp
@@ -6,104 +6,105 @@
 #include <string>
 #include <vector>
 
+#include "tests/balancer_harness.h"
 #include "tests/fleet_fixtures.h"
-#include "tests/helpers.h"
 
 namespace lb::testing {
 namespace {
 
 TEST(LoadProbes, LeastLoadedCandidateTakesTheRequest) {
-  World w(Reporting());
-  w.List(6);
+  BalancerHarness harness(SettingsWithLoadReports());
+  harness.ListUpstreams(6);
   for (int i = 0; i < 12; ++i) {
-    w.probed.clear();
-    const std::size_t before = w.sent.size();
-    w.Arrive(kNotIdempotent);
-    ASSERT_EQ(w.probed.size(), 3U);
-    ASSERT_EQ(w.sent.size(), before) << "waits for the reports";
-    const std::vector<std::string> asked = w.probed;
-    Report(w, asked[0], 9);
-    Report(w, asked[1], 2);
-    Report(w, asked[2], 5);
-    ASSERT_EQ(w.sent.size(), before + 1);
-    EXPECT_EQ(w.sent.back().upstream, asked[1]);
-    w.now += 10ms;
-    w.Finish(w.sent.back(), Outcome::kServed);
+    harness.probed.clear();
+    const std::size_t before = harness.sent.size();
+    harness.SendRequest(kNotIdempotent);
+    ASSERT_EQ(harness.probed.size(), 3U);
+    ASSERT_EQ(harness.sent.size(), before) << "waits for the reports";
+    const std::vector<std::string> asked = harness.probed;
+    ReportLoad(harness, asked[0], 9);
+    ReportLoad(harness, asked[1], 2);
+    ReportLoad(harness, asked[2], 5);
+    ASSERT_EQ(harness.sent.size(), before + 1);
+    EXPECT_EQ(harness.sent.back().upstream, asked[1]);
+    harness.now += 10ms;
+    harness.FinishAttempt(harness.sent.back(), Outcome::kServed);
   }
 }
 
 // With a probe's price as in a large fleet, where a call is worth a dozen probes.
 TEST(LoadProbes, CostlyProbesAreSentForRequestsAtRiskOnly) {
-  Settings settings = Reporting();
+  Settings settings = SettingsWithLoadReports();
   settings.decision_costs.probe = 0.08;
-  World w(settings);
-  w.List(6);
-  for (int i = 0; i < 12; ++i) EXPECT_NE(w.Serve(kNotIdempotent), "");
-  EXPECT_TRUE(w.probed.empty()) << "all in time: nothing to learn";
+  BalancerHarness harness(settings);
+  harness.ListUpstreams(6);
+  for (int i = 0; i < 12; ++i) EXPECT_NE(harness.ServeRequest(kNotIdempotent), "");
+  EXPECT_TRUE(harness.probed.empty()) << "all in time: nothing to learn";
   for (int i = 0; i < 6; ++i) {
-    const std::size_t before = w.sent.size();
-    w.Arrive(kNotIdempotent);
-    for (const std::string& id : std::vector<std::string>(w.probed)) Report(w, id, 0);
-    w.probed.clear();
-    ASSERT_EQ(w.sent.size(), before + 1);
-    w.now += 600ms;
-    w.Finish(w.sent.back(), Outcome::kServed);  // its aim was 400 ms
+    const std::size_t before = harness.sent.size();
+    harness.SendRequest(kNotIdempotent);
+    for (const std::string& id : std::vector<std::string>(harness.probed)) ReportLoad(harness, id, 0);
+    harness.probed.clear();
+    ASSERT_EQ(harness.sent.size(), before + 1);
+    harness.now += 600ms;
+    harness.FinishAttempt(harness.sent.back(), Outcome::kServed);  // its aim was 400 ms
   }
-  w.Arrive(kNotIdempotent);
-  ASSERT_EQ(w.probed.size(), 2U) << "the pick and one to turn to";
-  const std::vector<std::string> asked = w.probed;
-  Report(w, asked[0], 1);
-  Report(w, asked[1], 0);
-  EXPECT_EQ(w.sent.back().upstream, asked[1]);
-  w.Finish(w.sent.back(), Outcome::kServed);
-  w.probed.clear();
-  w.Advance(60s);  // what was seen then tells nothing any more
-  EXPECT_NE(w.Serve(kNotIdempotent), "");
-  EXPECT_TRUE(w.probed.empty());
+  harness.SendRequest(kNotIdempotent);
+  ASSERT_EQ(harness.probed.size(), 2U) << "the pick and one to turn to";
+  const std::vector<std::string> asked = harness.probed;
+  ReportLoad(harness, asked[0], 1);
+  ReportLoad(harness, asked[1], 0);
+  EXPECT_EQ(harness.sent.back().upstream, asked[1]);
+  harness.FinishAttempt(harness.sent.back(), Outcome::kServed);
+  harness.probed.clear();
+  harness.Advance(60s);  // what was seen then tells nothing any more
+  EXPECT_NE(harness.ServeRequest(kNotIdempotent), "");
+  EXPECT_TRUE(harness.probed.empty());
 }
 
 TEST(LoadProbes, SilentProbeDelaysARequestBrieflyAndCountsAsFailure) {
-  World w(Reporting());
-  w.List(6);
-  w.Arrive(kNotIdempotent);
-  const std::string silent = w.probed[0], well = w.probed[1];
-  Report(w, well, 50);
-  EXPECT_TRUE(w.sent.empty());
-  w.Advance(30ms);
-  ASSERT_EQ(w.sent.size(), 1U) << "one attempt, no copy of a call that is not late";
-  EXPECT_EQ(w.sent.back().upstream, well) << "of those that answered";
-  w.Finish(w.sent.back(), Outcome::kServed);
-  for (int i = 0; i < 2; ++i) w.Do(LoadProbeFinished{{silent}, Outcome::kTimeout, 400ms, {}});
-  w.probed.clear();
-  for (int i = 0; i < 5; ++i) w.Arrive(kNotIdempotent);
-  EXPECT_EQ(std::count(w.probed.begin(), w.probed.end(), silent), 0) << "a suspect now";
+  BalancerHarness harness(SettingsWithLoadReports());
+  harness.ListUpstreams(6);
+  harness.SendRequest(kNotIdempotent);
+  const std::string silent = harness.probed[0], well = harness.probed[1];
+  ReportLoad(harness, well, 50);
+  EXPECT_TRUE(harness.sent.empty());
+  harness.Advance(30ms);
+  ASSERT_EQ(harness.sent.size(), 1U) << "one attempt, no copy of a call that is not late";
+  EXPECT_EQ(harness.sent.back().upstream, well) << "of those that answered";
+  harness.FinishAttempt(harness.sent.back(), Outcome::kServed);
+  for (int i = 0; i < 2; ++i) harness.Handle(LoadProbeFinished{{silent}, Outcome::kTimeout, 400ms, {}});
+  harness.probed.clear();
+  for (int i = 0; i < 5; ++i) harness.SendRequest(kNotIdempotent);
+  EXPECT_EQ(std::count(harness.probed.begin(), harness.probed.end(), silent), 0) << "a suspect now";
 }
 
 TEST(LoadProbes, BurstSharesTheReportsOfOneProbeEach) {
-  World w(Reporting());
-  w.List(6);
-  for (int i = 0; i < 30; ++i) w.Arrive(kNotIdempotent);
-  std::set<std::string> asked(w.probed.begin(), w.probed.end());
-  EXPECT_EQ(w.probed.size(), asked.size()) << "no upstream twice";
-  EXPECT_TRUE(w.sent.empty());
-  for (const std::string& id : asked) Report(w, id, 1);
-  EXPECT_EQ(w.sent.size(), 30U);
+  BalancerHarness harness(SettingsWithLoadReports());
+  harness.ListUpstreams(6);
+  for (int i = 0; i < 30; ++i) harness.SendRequest(kNotIdempotent);
+  std::set<std::string> asked(harness.probed.begin(), harness.probed.end());
+  EXPECT_EQ(harness.probed.size(), asked.size()) << "no upstream twice";
+  EXPECT_TRUE(harness.sent.empty());
+  for (const std::string& id : asked) ReportLoad(harness, id, 1);
+  EXPECT_EQ(harness.sent.size(), 30U);
   std::map<std::string, int> spread;
-  for (const Sent& sent : w.sent) EXPECT_LE(++spread[sent.upstream], 8) << "not all to the same one";
-  w.probed.clear();
-  w.Arrive(kNotIdempotent);
-  EXPECT_EQ(w.probed.size(), 3U) << "asked anew once the answers are in";
+  for (const SentAttempt& sent : harness.sent)
+    EXPECT_LE(++spread[sent.upstream], 8) << "not all to the same one";
+  harness.probed.clear();
+  harness.SendRequest(kNotIdempotent);
+  EXPECT_EQ(harness.probed.size(), 3U) << "asked anew once the answers are in";
 }
 
 TEST(LoadProbes, RequestThatEndsWhileItWaitsIsNotSent) {
-  World w(Reporting());
-  w.List(6);
-  const RequestId gone = w.Arrive(kNotIdempotent);
-  w.Do(RequestCancelled{gone});
-  for (const std::string& id : std::vector<std::string>(w.probed)) Report(w, id, 1);
-  w.Advance(3s);
-  EXPECT_TRUE(w.sent.empty());
-  EXPECT_TRUE(w.refused.empty());
+  BalancerHarness harness(SettingsWithLoadReports());
+  harness.ListUpstreams(6);
+  const RequestId gone = harness.SendRequest(kNotIdempotent);
+  harness.Handle(RequestCancelled{gone});
+  for (const std::string& id : std::vector<std::string>(harness.probed)) ReportLoad(harness, id, 1);
+  harness.Advance(3s);
+  EXPECT_TRUE(harness.sent.empty());
+  EXPECT_TRUE(harness.rejected.empty());
 }
 
 }  // namespace
--- a/tests/membership_growth_test.cpp
+++ b/tests/membership_growth_test.cpp
@@ -46,7 +46,7 @@
 class Work {
  public:
   explicit Work(std::size_t upstreams) : settings_(DefaultSettings()), balancer_(Known(settings_), 7) {
-    for (std::size_t i = 0; i < upstreams; ++i) list.push_back(Up("upstream-" + std::to_string(i)));
+    for (std::size_t i = 0; i < upstreams; ++i) list.push_back(MakeUpstream("upstream-" + std::to_string(i)));
     Of(MembershipUpdate{MembershipUpdate::Kind::kRestored, list});
     Rest();
   }
@@ -161,7 +161,7 @@
   }
 }
 
-// No list of 4,096 upstreams is too long for the node: every field told, names of 128 bytes, spread over
+// No list of 4,096 upstreams is too long for the sidecar: every field told, names of 128 bytes, spread over
 // lines.
 TEST(MembershipGrowth, ANodeTakesAnIndentedListOf4096Upstreams) {
   using sidecar::testing::json;
@@ -180,16 +180,16 @@
   peers::Peer discovery([&](peers::Wire& wire, int) {
     if (wire.ReadRequest() && wire.Answer(200, whole)) wire.ReadsEnd();  // a watch that tells nothing
   });
-  peers::Node::Options options;
+  peers::SidecarProcess::Options options;
   options.discovery = discovery.address();
-  peers::Node node(options);
-  ASSERT_TRUE(node.Listening());
-  peers::Client client(node.port());
+  peers::SidecarProcess sidecar(options);
+  ASSERT_TRUE(sidecar.Listening());
+  peers::Client client(sidecar.port());
   int asked = 0;
   EXPECT_TRUE(peers::Eventually([&] {
     const auto answer = client.Get("/page/x", "growth-" + std::to_string(++asked));
     return answer && answer->result_int() == 200;
-  })) << node.log();
+  })) << sidecar.log();
   EXPECT_EQ(live.connections(), 1);
 }
 
--- a/tests/operator_state_fixture.h
+++ b/tests/operator_state_fixture.h
@@ -77,34 +77,34 @@
   const std::string path_ = StateFolder(folder_);
 };
 
-class FailingFolder : public OperatorStateTest {
+class OperatorStateFaults : public OperatorStateTest {
  protected:
   // `faulty`: meets the faults that are forced.
-  std::unique_ptr<Node> Start(const std::string& listen = "127.0.0.1:0", bool faulty = false) {
-    Node::Options options =
+  std::unique_ptr<SidecarProcess> Start(const std::string& listen = "127.0.0.1:0", bool faulty = false) {
+    SidecarProcess::Options options =
         With(List({Target("u1", upstream_.address()), Target(kLongId, upstream_.address())}));
     if (faulty) options.environment = faults_.environment();
     options.admin = "127.0.0.1:0";
     options.tmpdir = folder_.path();
     options.listen = listen;
     options.discovery = discovery_.address();
-    auto node = std::make_unique<Node>(options);
-    EXPECT_TRUE(node->Listening());
-    return node;
+    auto sidecar = std::make_unique<SidecarProcess>(options);
+    EXPECT_TRUE(sidecar->Listening());
+    return sidecar;
   }
-  static std::string Says(Node& node, const std::string& method, const std::string& target) {
-    const auto answer = node.Operate(method, target);
+  static std::string Says(SidecarProcess& sidecar, const std::string& method, const std::string& target) {
+    const auto answer = sidecar.Operate(method, target);
     return answer ? std::to_string(answer->result_int()) + " " + answer->body() : "nothing\n";
   }
-  static bool Ready(Node& node) {
-    return Eventually([&] { return node.Status("GET", "/ready") == 200; });
+  static bool Ready(SidecarProcess& sidecar) {
+    return Eventually([&] { return sidecar.Status("GET", "/ready") == 200; });
   }
 
-  bool IsOut(Node& node, const std::string& id) {
-    return Logs(node, "upstream_disabled upstream=" + id + "\n");
+  bool IsOut(SidecarProcess& sidecar, const std::string& id) {
+    return Logs(sidecar, "upstream_disabled upstream=" + id + "\n");
   }
-  static bool Logs(Node& node, const std::string& text) {
-    return Eventually([&] { return node.log().find(text) != std::string::npos; });
+  static bool Logs(SidecarProcess& sidecar, const std::string& text) {
+    return Eventually([&] { return sidecar.log().find(text) != std::string::npos; });
   }
 
   inline static const std::string kLongId = "long" + std::string(200, 'x');
