--- a/tests/sidecar/socket_reader_test.cpp
+++ b/tests/sidecar/socket_reader_test.cpp
@@ -9,22 +9,13 @@
 #include <optional>
 #include <string>
 
-#include "gtest/gtest.h"
+#include "tests/sidecar/socket_pair.h"
 
 namespace lb::sidecar {
 namespace {
 
-using boost::asio::ip::tcp;
-
-class SocketReaderTest : public ::testing::Test {
+class SocketReaderTest : public testing::SocketPairTest {
  protected:
-  SocketReaderTest() {
-    tcp::acceptor acceptor(io_, tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0));
-    peer_.connect(acceptor.local_endpoint());
-    acceptor.accept(socket_);
-    socket_.non_blocking(true);
-  }
-
   void StartRead(std::size_t limit) {
     result_.reset();
     reader_.Read(buffer_, limit, [this](const IoResult& result) { result_ = result; });
@@ -38,9 +29,6 @@
 
   std::string Buffered() const { return boost::beast::buffers_to_string(buffer_.data()); }
 
-  boost::asio::io_context io_;
-  tcp::socket peer_{io_};
-  tcp::socket socket_{io_};
   SocketReader reader_{socket_};
   boost::beast::flat_buffer buffer_{16};
   std::optional<IoResult> result_;
