--- a/balancer/concurrency_limiter.cpp
+++ b/balancer/concurrency_limiter.cpp
@@ -7,7 +7,7 @@
 
 // Above this share of late outcomes the limit is decreased. Some lateness is ordinary.
 constexpr double kMaxLateShare = 0.15;
-// Outcomes that a decision on the limit rests on; a quarter of them are enough where they are all late.
+// Outcomes that a decision on the limit is based on; a quarter of them are enough where they are all late.
 constexpr double kSampleSize = 20;
 // Multiplicative decrease: the limit loses this part of its share of late outcomes.
 constexpr double kDecrease = 0.6;
@@ -67,7 +67,7 @@
 }
 
 // The requests that are ordinarily in flight are not what makes responses late: a limit below them would shed
-// in vain when the whole fleet is slow.
+// without effect when the whole fleet is slow.
 void ConcurrencyLimiter::Update(double available_weight) {
   available_weight_ = available_weight;
   const bool in_time = late_ <= kMaxLateShare / 2 * outcomes_;
--- a/balancer/concurrency_limiter.h
+++ b/balancer/concurrency_limiter.h
@@ -56,7 +56,7 @@
   double usual_in_flight_per_weight_ = 0;  // slowly changing
   double available_weight_ = 0;
   double late_ = 0;                     // of `outcomes_`
-  double outcomes_ = 0;                 // that told of load, since the limit last moved
+  double outcomes_ = 0;                 // that say something about load, since the limit last moved
   std::vector<double> admitted_share_;  // of late, by class
 };
 
--- a/balancer/failure_statistics.h
+++ b/balancer/failure_statistics.h
@@ -46,7 +46,7 @@
   void Exclude(Upstream& upstream);
   void Include(Upstream& upstream);
 
-  // The sums over all peers are kept from outcome to outcome. They are made anew at their next use after
+  // The sums over all peers are updated with each outcome. They are computed again at their next use after
   // this: where an upstream enters or leaves service, and now and then against rounding.
   void Invalidate() { stale_ = true; }
 
--- a/balancer/latency_statistics.h
+++ b/balancer/latency_statistics.h
@@ -67,7 +67,7 @@
   static constexpr double kMaxRelativeLatency = 3;
   // An overloaded upstream is slow with all its responses. A time-out tells of load only where its responses
   // take this share of their latency objectives in the mean; shedding for one that swallows some requests
-  // would help nobody.
+  // would not help.
   static constexpr double kLoadedObjectiveShare = 0.35;
 
   const Settings& settings_;
--- a/balancer/retry_policy.cpp
+++ b/balancer/retry_policy.cpp
@@ -6,7 +6,7 @@
 namespace lb {
 namespace {
 
-// Attempts that this machine could not open a connection for reached nobody: they may come beyond
+// Attempts that this machine could not open a connection for reached no upstream: they may come beyond
 // max_attempts, up to this number, where an upstream has a connection already.
 constexpr std::size_t kMaxLocalFailures = 16;
 // Attempts, with proof that none ran, up to which a further one is free of the retry budget.
@@ -82,7 +82,7 @@
   const RequestClass& request_class = *request.request_class;
   const Duration left = request.deadline - (request.body_pending ? request.arrived : now);
   // A late response that has a value is waited for: given up at the latency objective, all work on it would
-  // be lost and begun anew, and in an overload that is most of what the upstreams do.
+  // be lost and started again, and in an overload that is most of what the upstreams do.
   if (request_class.late_priority_weight > 0) return left;
   // Any other request that may be repeated is given up at its latency objective: another upstream may respond
   // in time. Under overload so is one that may not: its response is worth nothing and holds up the rest.
--- a/balancer/types.h
+++ b/balancer/types.h
@@ -12,7 +12,7 @@
 
 using Duration = std::chrono::microseconds;
 
-// The clock of whoever runs the balancer: steady, in microseconds from an arbitrary start. It has no now():
+// The clock of the balancer's host: steady, in microseconds from an arbitrary start. It has no now():
 // the balancer knows no time but the one that each call hands it.
 struct Clock {
   using duration = Duration;
--- a/balancer/upstream_selector.cpp
+++ b/balancer/upstream_selector.cpp
@@ -21,7 +21,7 @@
 
 UpstreamPtr UpstreamSelector::Choose(const Request& request, TimePoint now, Preference preference) {
   if (!components_.retries.CanSend(request, now)) {
-    // Slow start budgets are refilled and ejections end all the same.
+    // Slow start budgets are refilled and ejections end nevertheless.
     for (Upstream* upstream : components_.membership.Monitored()) IsEligible(*upstream, now);
     return nullptr;
   }
--- a/lab/measure/fleet_rules.h
+++ b/lab/measure/fleet_rules.h
@@ -1,5 +1,5 @@
-// Judges two rules on what sidecars send to upstreams, from what they were told and what arrived:
-// - drain: nothing new to a draining or removed upstream later than a grace after its drain counts as told;
+// Judges two rules on what sidecars send to upstreams, from what they received and what arrived:
+// - drain: nothing new to a draining or removed upstream later than a grace after its drain counts as known;
 // - slow start: a cold upstream may get only so much within a window from all sidecars together.
 #pragma once
 
@@ -43,7 +43,7 @@
 
   // A process of the upstream starts, cold.
   void Started(std::size_t upstream, TimePoint at);
-  // What a sidecar's list says of an upstream counts as told from `at` on, which may lie ahead. An unknown
+  // What a sidecar's list says of an upstream counts as known from `at` on, which may lie ahead. An unknown
   // upstream is ignored.
   void Told(std::size_t sidecar, const MembershipEntry& entry, TimePoint at);
   // A request of so much work on a core of speed 1 has arrived.
@@ -59,7 +59,7 @@
   };
   struct Cold {
     TimePoint since;
-    std::set<std::size_t> told;  // sidecars that have been told of the start
+    std::set<std::size_t> told;  // sidecars that know of the start
     std::deque<Arrival> window;
     double requests = 0;       // in the window
     double requests_told = 0;  // of these, from sidecars that knew
--- a/lab/measure/metrics.h
+++ b/lab/measure/metrics.h
@@ -17,8 +17,8 @@
   std::uint64_t requests = 0;  // clients' first tries
   std::uint64_t in_time = 0;   // of these, answered within the aim, retries counted towards the first try
   std::uint64_t late = 0;      // answered after it
-  std::uint64_t refused = 0;   // last heard a refusal
-  std::uint64_t failed = 0;    // last heard a failure, or nothing
+  std::uint64_t refused = 0;   // ended with a rejection
+  std::uint64_t failed = 0;    // ended with a failure, or without a response
   std::uint64_t client_retries = 0;
   std::uint64_t attempts = 0;       // sent to upstreams
   std::uint64_t attempts_full = 0;  // turned away
@@ -37,7 +37,7 @@
   double in_time_share = 0;
   double latency_p50_ms = 0, latency_p99_ms = 0;                    // of served requests
   double added_p50_ms = 0, added_p99_ms = 0;                        // by the sidecar, of served requests
-  double notice_p50_ms = 0, notice_p99_ms = 0, notice_last_ms = 0;  // from change to its being told
+  double notice_p50_ms = 0, notice_p99_ms = 0, notice_last_ms = 0;  // from a change to its delivery
   double hollow_cpu = 0;                                            // of a core, for each hollow sidecar
   double real_cpu = 0;                                              // of a core, for each real sidecar
   double hollow_memory_mb = 0, real_memory_mb = 0;                  // for each
@@ -61,7 +61,7 @@
   double latency_p50_ms = 0, latency_p99_ms = 0;
   double added_p50_ms = 0, added_p99_ms = 0;
   double notice_p50_ms = 0, notice_p99_ms = 0, notice_last_ms = 0;
-  double notices_missing = 0;                       // changes that a sidecar never heard of
+  double notices_missing = 0;                       // changes that a sidecar never received
   double hollow_cpu = 0, real_cpu = 0;              // of a core, each
   double hollow_memory_mb = 0, real_memory_mb = 0;  // each
   double discovery_cpu = 0;
@@ -78,7 +78,7 @@
   double stalled_unanswered = 0;  // of these, not ended in time
   double late_to_draining = 0;    // attempts at draining or removed upstreams
   double cold_overloads = 0;      // cold upstreams that got more than they bear
-  double sidecars_stopped = 0;    // that were told to end
+  double sidecars_stopped = 0;    // that received SIGTERM
   double killed_at_limit = 0;     // of these, still ran when their time was over
   double sidecars_ended = 0;      // that ended by themselves
   double seconds = 0;             // of real time that the run took
--- a/lab/measure/propagation_log.h
+++ b/lab/measure/propagation_log.h
@@ -21,19 +21,19 @@
   // for another one.
   void Changed(std::uint64_t revision, std::size_t service, TimePoint at);
 
-  // A sidecar starts, and what changes from now on is to be told to it. `service`: what its list is
+  // A sidecar starts, and what changes from now on is to be delivered to it. `service`: what its list is
   // restricted to, if at all.
   void Start(std::size_t sidecar, std::optional<std::size_t> service);
   void Stop(std::size_t sidecar);  // it is owed nothing any more
   // A sidecar that runs holds what is up to `revision` since `at`.
   void Told(std::size_t sidecar, std::uint64_t revision, TimePoint at);
 
-  // How many changes up to `until` have not been told to sidecars that run, over all of these.
+  // How many changes up to `until` have not been delivered to sidecars that run, over all of these.
   std::size_t Missing(TimePoint until) const;
 
   // Delays of changes before `from` do not count for delays_ms().
   void CountFrom(TimePoint from);
-  // Milliseconds from each counted change to its being told, for each sidecar.
+  // Milliseconds from each counted change to its delivery, for each sidecar.
   const Distribution& delays_ms() const { return delays_ms_; }
   // The same of all changes, since the last call of this function.
   Distribution TakeRecentDelays();
--- a/lab/measure/text_table.h
+++ b/lab/measure/text_table.h
@@ -10,7 +10,7 @@
 
 // A number with four significant digits: integers and all from 1000 on whole, below 0.0001 and from 1e9 on
 // with an exponent, `-` where it is not finite. A number below 1 is never rounded up to 1, so that a share of
-// 0.99996 can be told from all.
+// 0.99996 can be distinguished from 1.
 std::string FormatNumber(double value);
 
 // The shortest text of a number rounded to so many significant digits (1 to 17): 0.1, 12, 1e-05, nan.
--- a/lab/model/client_model.cpp
+++ b/lab/model/client_model.cpp
@@ -54,7 +54,7 @@
 
 void ClientModel::Stop() { running_ = false; }
 
-// What is left of a wait of a Poisson process is as long as a fresh one: each is drawn anew.
+// The rest of a wait of a Poisson process is as long as a new one: each is drawn again.
 void ClientModel::SetLoadFactor(double factor) {
   factor_ = factor;
   if (!running_) return;
--- a/lab/model/client_model.h
+++ b/lab/model/client_model.h
@@ -20,8 +20,8 @@
 enum class RequestOutcome {
   kInTime,   // answered within the aim
   kLate,     // answered after it
-  kRefused,  // last heard a refusal
-  kFailed,   // last heard a failure, or nothing
+  kRefused,  // ended with a rejection
+  kFailed,   // ended with a failure, or without a response
 };
 
 struct RequestResult {
@@ -40,12 +40,13 @@
 // ones. A sidecar's requests depend on the experiment's seed and its own number alone.
 class ClientModel {
  public:
-  // Hands one try to that sidecar. The answer is to come by the try's deadline; a later one is not heard.
+  // Hands one try to that sidecar. The answer is to come by the try's deadline; a later one is ignored.
   using OfferFunction = std::function<void(std::size_t sidecar, const OfferedRequest& request,
                                            HollowSidecar::OnAnswer on_answer)>;
   using OnResult = std::function<void(const RequestResult&)>;
 
-  // References have to outlive the model. `on_result` hears of each request once, `client_retries` counts.
+  // References have to outlive the model. `on_result` is called once for each request, `client_retries`
+  // counts.
   ClientModel(const Experiment& experiment, const Deployment& deployment, Scheduler& scheduler,
               OfferFunction offer, OnResult on_result, std::uint64_t& client_retries);
 
--- a/lab/model/fault_schedule.h
+++ b/lab/model/fault_schedule.h
@@ -19,7 +19,7 @@
 inline constexpr Duration kDrainAnnounced = std::chrono::seconds(2);
 inline constexpr Duration kDrainEnds = std::chrono::seconds(3);
 inline constexpr Duration kRestarted = std::chrono::seconds(5);
-// A sidecar that has ended starts anew after this time.
+// A sidecar that has ended restarts after this time.
 inline constexpr Duration kSidecarRestart = std::chrono::milliseconds(500);
 
 // The fleet that faults strike. Upstreams and sidecars are indices into the deployment. Called on the
@@ -49,7 +49,7 @@
   virtual void ChangeWeight(std::size_t upstream, double factor) = 0;
 
   virtual void SetRegionsCut(bool cut) = 0;
-  // While it is down discovery answers nobody.
+  // While it is down discovery answers no call.
   virtual void SetDiscoveryDown(bool down) = 0;
   // 1: none.
   virtual void SetNoticeDelay(double factor) = 0;
@@ -58,7 +58,7 @@
   // All open watches fall silent once.
   virtual void SilenceWatches() = 0;
 
-  // Killed at once; each starts anew after kSidecarRestart.
+  // Killed at once; each restarts after kSidecarRestart.
   virtual void KillSidecars(const std::vector<std::size_t>& sidecars) = 0;
   // Told to end in good order, evenly over the duration, through which the vector has to live; each starts
   // anew after kSidecarRestart.
--- a/lab/model/membership.h
+++ b/lab/model/membership.h
@@ -21,7 +21,7 @@
   std::size_t service = 0;
   std::string zone;
   std::string kind;
-  std::string endpoint;  // `127.0.0.1:port`; on the virtual clock one that nobody listens at
+  std::string endpoint;  // `127.0.0.1:port`; on the virtual clock one where no process listens
   lb::UpstreamState state = lb::UpstreamState::kServing;
   double weight = 1;
   std::int64_t boot_ms = 0;  // Unix milliseconds; 0 for long ago
@@ -49,7 +49,7 @@
   // All that is newer than `held`; the whole list where `held` is absent or too old to know. `service`
   // restricts it; entries that are gone appear among changes alone.
   View Since(std::optional<std::uint64_t> held, std::optional<std::size_t> service) const;
-  // The same as it was at revision `as_of`, for a caller that has not been told of anything newer. Where that
+  // The same as it was at revision `as_of`, for a caller that has not received anything newer. Where that
   // is too old to know, as it was at the oldest known revision; a `held` beyond it gives the whole list.
   View SinceAsOf(std::optional<std::uint64_t> held, std::uint64_t as_of,
                  std::optional<std::size_t> service) const;
--- a/lab/model/upstream_model.cpp
+++ b/lab/model/upstream_model.cpp
@@ -210,7 +210,7 @@
       ++served_;
       served_work_ += call.work;
     }
-    // Whoever connected hears nothing and can't close it: it does not come up.
+    // The caller notices nothing and can't close it: it does not come up.
     if (call.kind == CallKind::kHandshake && silent_) --connections_;
     if (call.done && !silent_) finished.push_back({std::move(call.done), ServeResult::kServed});
   }
--- a/lab/model/upstream_model.h
+++ b/lab/model/upstream_model.h
@@ -41,7 +41,7 @@
   // All references have to outlive the model.
   UpstreamModel(const UpstreamInstance& instance, const UpstreamSpec& spec, Scheduler& scheduler);
 
-  // Opens a connection. The handshake's work is queued ahead of the requests and `done` is told when it is
+  // Opens a connection. The handshake's work is queued ahead of the requests and `done` is called when it is
   // over; for kSilent `done` is never called. An accepted one takes a place of the table until Disconnect().
   void Connect(std::function<void(ConnectResult)> done);
   // Closes one connection of the present process. A crash has closed those of the earlier ones.
@@ -68,7 +68,7 @@
   bool silent() const { return silent_; }
   // Numbers the processes of this machine, from 1 on; a connection belongs to one of them.
   std::uint64_t process() const { return process_; }
-  // The latest process whose connections' peers have heard of its death.
+  // The latest process whose connections' peers have noticed its death.
   std::uint64_t last_reset_process() const { return last_reset_process_; }
   bool crowded() const { return crowded_; }   // slowed down by crowding now
   std::size_t held() const { return held_; }  // requests in work and waiting
--- a/lab/real/control_client.h
+++ b/lab/real/control_client.h
@@ -23,12 +23,12 @@
 
 struct ControlClientOptions {
   lb::Endpoint discovery;
-  bool on_request = false;  // membership is told on request only: see Ask()
+  bool on_request = false;  // membership is delivered on request only: see Ask()
   lb::Duration drain_grace = lb::FleetLimits().drain_grace;
   std::uint64_t seed = 1;
 };
 
-// What a sidecar was told.
+// What a sidecar received from discovery.
 struct ControlNotice {
   std::uint64_t revision = 0;  // of the list; 0 where a call has failed
   TimePoint at;
--- a/lab/real/cpu_clock.h
+++ b/lab/real/cpu_clock.h
@@ -9,6 +9,6 @@
 double ProcessCpuSeconds();    // of this process, all threads
 double ResidentMemoryMb();     // of this process
 double MachineMemoryMb();      // in all
-std::size_t ChildProcesses();  // of this process, ended ones that nobody has waited for included
+std::size_t ChildProcesses();  // of this process, ended ones that were not waited for included
 
 }  // namespace lb::lab
--- a/lab/real/discovery_server.cpp
+++ b/lab/real/discovery_server.cpp
@@ -23,7 +23,7 @@
 // process holds anyway.
 constexpr std::size_t kDescriptorsPerAgent = 3;
 constexpr std::size_t kOtherDescriptors = 64;
-// Answers are kept for callers that come soon after; the rest are made anew.
+// Answers are kept for callers that come soon after; the rest are made again.
 constexpr std::size_t kMaxCachedAnswers = 64;
 // Slow discovery closes every third connection and rejects every fourth call.
 constexpr std::uint64_t kClosedConnection = 3;
@@ -274,7 +274,7 @@
   const AnswerKey key{agent.service, held, agent.revision};
   std::shared_ptr<const DiscoveryAnswer>& answer = answers_[key];
   if (!answer) answer = std::make_shared<DiscoveryAnswer>(MakeAnswer(key));
-  // Further where the registry has forgotten what the agent was last told.
+  // Further where the registry has forgotten what the agent was last sent.
   agent.revision = std::max(agent.revision, answer->revision);
   auto result = answer;
   if (answers_.size() >= kMaxCachedAnswers) answers_.clear();
--- a/lab/real/discovery_server.h
+++ b/lab/real/discovery_server.h
@@ -1,5 +1,5 @@
 // A stand-in for discovery on loopback: an HTTP/1.1 agent for each sidecar that lists the upstreams, answers
-// watches, and hears of changes after a delay of its own, with faults of that delivery.
+// watches, and learns of changes after a delay of its own, with faults of that delivery.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -70,11 +70,12 @@
   void SetLate(double factor);  // notices of changes from now on take `factor` times as long; 1: as usual
   void SetLost(double share);   // of the notices from now on: not delivered, brought by the next call
   void SilenceWatches();        // watches that are open now are never answered
-  // While down, nobody is answered, also not later. At the return all that happened is told at once.
+  // While down, no call is answered, also not later. At the return all that happened is delivered at once.
   void SetDown(bool down);
   // While slow, answers come late and in pieces; some connections are closed, some calls answered 503.
   void SetSlow(bool slow);
-  // The sidecar's agent listens at another address, which it returns, and is heard of no more at the old one.
+  // The sidecar's agent listens at another address, which it returns, and answers no call at the old one any
+  // more.
   lb::Endpoint Move(std::size_t sidecar);
 
   // Watches that wait for something newer now, over all sidecars.
--- a/lab/real/discovery_session.h
+++ b/lab/real/discovery_session.h
@@ -68,7 +68,7 @@
  public:
   virtual ~DiscoverySessionHost() = default;
 
-  // While down, nobody is answered.
+  // While down, no call is answered.
   virtual bool IsDown() const = 0;
   // While slow, answers come late and in pieces.
   virtual bool IsSlow() const = 0;
--- a/lab/real/http_load.cpp
+++ b/lab/real/http_load.cpp
@@ -32,7 +32,7 @@
   kRefused,     // nothing was done
   kNotSent,     // there was no connection, so nothing was done
   kFailed,      // it may have run
-  kUnanswered,  // likewise, and nothing was heard in time
+  kUnanswered,  // likewise, and no response came in time
 };
 
 struct TryResult {
--- a/lab/real/http_load.h
+++ b/lab/real/http_load.h
@@ -26,7 +26,7 @@
 // of in_time, late, refused and failed. Of `traffic`, only these and client_retries are filled.
 struct LoadWindow {
   TrafficCounters traffic;
-  std::uint64_t unanswered = 0;  // of the failed, those that last heard nothing before the client gave up
+  std::uint64_t unanswered = 0;  // of the failed, those without a response when the client gave up
   // Tries that were written whole, by clients that stayed, and got no byte of an answer: the sidecar closed
   // the connection (not one that rested, as they came), or ClientSpec::listens_on was over.
   std::uint64_t dropped = 0;
--- a/lab/real/http_upstream_connection.h
+++ b/lab/real/http_upstream_connection.h
@@ -32,7 +32,7 @@
   void Reset();
   // The process behind it dies: the connection has no place in the model's table any more.
   void HandleProcessDeath();
-  // Ends the connection for this side, but the caller hears nothing of it. Returns its socket.
+  // Ends the connection for this side, but the caller does not notice it. Returns its socket.
   boost::asio::ip::tcp::socket LeaveBehind();
 
   bool IsIdleSince(TimePoint time) const { return state_ == State::kReading && idle_since_ <= time; }
--- a/lab/real/load_request.cpp
+++ b/lab/real/load_request.cpp
@@ -12,13 +12,13 @@
 namespace {
 
 constexpr char kBody[] = "an order of two items";  // of every request that has one
-constexpr double kMinVariance = 1e-12;             // what does not vary is drawn all the same
+constexpr double kMinVariance = 1e-12;             // keeps the logarithm finite for a class without variation
 
 std::string ToHexadecimal(std::uint64_t number) {
   static constexpr char kDigits[] = "0123456789abcdef";
   std::string text(16, '0');
-  for (auto digit = text.rbegin(); digit != text.rend(); ++digit) {
-    *digit = kDigits[number & 15];
+  for (std::size_t place = text.size(); place-- > 0;) {
+    text[place] = kDigits[number & 15];
     number >>= 4;
   }
   return text;
--- a/lab/real/port_reservation.h
+++ b/lab/real/port_reservation.h
@@ -5,8 +5,9 @@
 
 namespace lb::lab {
 
-// Bound, but never listening: connections are refused while nobody else listens there, and the system gives
-// the port to nobody as a port of its choice. A server that sets SO_REUSEADDR can listen at it.
+// Bound, but never listening: connections are refused while no other socket listens there, and the system
+// gives the port to no other socket as a port of its choice. A server that sets SO_REUSEADDR can listen at
+// it.
 class PortReservation {
  public:
   // Port 0: the system picks one. Throws std::system_error where it can't be had.
--- a/lab/real/real_engine.cpp
+++ b/lab/real/real_engine.cpp
@@ -46,7 +46,7 @@
 constexpr Duration kSettleTime = milliseconds(500);
 constexpr int kTrialChanges = 6;  // one by one, before the load
 constexpr Duration kResultsMargin = seconds(1);
-// Beyond the end, for notices in flight; what is not heard by then counts as missing.
+// Beyond the end, for notices in flight; what is not received by then counts as missing.
 constexpr Duration kNoticesMargin = seconds(15);
 constexpr Duration kThreadTimeout = seconds(10);  // of a busy thread
 constexpr Duration kCheckInterval = milliseconds(200);
@@ -97,7 +97,7 @@
   options.notice_delay_s = experiment.discovery.notice_delay_s;
   options.seed = DeriveSeed(experiment.seed, "notices");
   for (const SidecarInstance& sidecar : deployment.sidecars) {
-    // Those that are not played are told of a service that nobody belongs to: of nothing.
+    // Those that are not played get the list of a service without upstreams: an empty one.
     const bool played = sidecar.real || !experiment.hollow_absent;
     options.services.push_back(played ? ListedService(experiment, sidecar) : experiment.services);
   }
--- a/lab/real/real_fleet.h
+++ b/lab/real/real_fleet.h
@@ -67,7 +67,7 @@
   void StartLoad();
   void StopLoad();
   std::size_t OpenRequests();
-  // Kills a process, and starts it anew; nothing happens for a hollow sidecar. `known`: the list it is given.
+  // Kills a process, and restarts it; nothing happens for a hollow sidecar. `known`: the list it is given.
   void KillSidecar(std::size_t sidecar);
   void StartSidecar(std::size_t sidecar, nlohmann::json known);
   // As above, nothing happens for a hollow one.
--- a/lab/real/sidecar_config.cpp
+++ b/lab/real/sidecar_config.cpp
@@ -241,7 +241,7 @@
 
 void SidecarProcess::WriteConfig() const { ReplaceConfig(ToJson(config_).dump()); }
 
-// By another file's taking its name: nobody reads half of it.
+// By renaming another file over it: no reader sees half of it.
 void SidecarProcess::ReplaceConfig(const std::string& text) const {
   const std::string next = config_path_ + ".next";
   std::ofstream stream(next);
--- a/lab/real/sidecar_config.h
+++ b/lab/real/sidecar_config.h
@@ -1,4 +1,4 @@
-// What a real sidecar is told: its configuration file, its environment, and whether it is ready.
+// The inputs of a real sidecar: its configuration file, its environment, and whether it is ready.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -49,7 +49,7 @@
   // where that can't be had.
   SidecarProcess(std::string program, const std::string& folder, SidecarConfig config);
 
-  // Starts it anew and waits until it listens, for a few seconds at most. Throws std::runtime_error with its
+  // Restarts it and waits until it listens, for a few seconds at most. Throws std::runtime_error with its
   // log's end where it does not, and std::system_error where the program can't be started.
   void Start();
   // Before the first start: its machine's wall clock is its own, kept in `folder`, and can be stepped.
@@ -61,7 +61,7 @@
   // What is known is what a restarted sidecar begins with.
   void SetKnown(nlohmann::json known) { config_.known = std::move(known); }
   void SetSeed(std::uint64_t seed) { config_.seed = seed; }
-  // Replaces the configuration file, for a process that is told to read it again and for the next start.
+  // Replaces the configuration file, for a process that reads it again and for the next start.
   // Throws std::runtime_error where it can't be written.
   void MoveDiscovery(std::string discovery);
   // Replaces the file by half of one, until the next replacement or start.
--- a/lab/real/sidecar_operator.h
+++ b/lab/real/sidecar_operator.h
@@ -1,4 +1,4 @@
-// The one place where real sidecars are killed, stopped in good order, started anew and reconfigured during a
+// The one place where real sidecars are killed, stopped in good order, restarted and reconfigured during a
 // run, as an operator does it.
 #pragma once
 
@@ -23,7 +23,7 @@
 Duration ShutdownTime(Duration longest_deadline);
 
 struct SidecarOperatorCounters {
-  std::uint64_t stopped = 0;          // were told to end
+  std::uint64_t stopped = 0;          // received SIGTERM
   std::uint64_t killed_at_limit = 0;  // of these, still ran at the end of ShutdownTime()
 };
 
--- a/lab/spec/deployment.cpp
+++ b/lab/spec/deployment.cpp
@@ -170,7 +170,7 @@
   return drawn;
 }
 
-// One for each of `count` changes: nobody twice before all have had a turn.
+// One for each of `count` changes: no upstream twice before all have had a turn.
 std::vector<std::size_t> DrawTurns(std::size_t total, int count, Generator& generator) {
   const std::vector<std::size_t> order = Shuffled(total, generator);
   std::vector<std::size_t> turns;
--- a/lab/spec/experiment.h
+++ b/lab/spec/experiment.h
@@ -96,7 +96,7 @@
 
 struct DiscoverySpec {
   bool on_request = false;       // MembershipMode on_request instead of pushed
-  Range notice_delay_s{0.1, 1};  // from a change to its being told
+  Range notice_delay_s{0.1, 1};  // from a change to its delivery
 };
 
 struct ClientSpec {
@@ -116,7 +116,7 @@
   double inequality = 0.5;  // standard deviation over mean of the sidecars' rates (lognormal)
 };
 
-// What the sidecars are allowed and told, as in their settings.
+// The sidecars' limits, as in their settings.
 struct SidecarSpec {
   bool probes = false;  // probes are allowed, and reports come with them
   bool hedging_allowed = true;
@@ -137,12 +137,12 @@
   kChange,           // one listed upstream's weight changes, `count` times evenly over `lasts`
   kZoneLost,         // the upstreams of `zone` vanish without a word and come back cold
   kRegionCut,        // the regions can't see each other
-  kDiscoveryDown,    // discovery answers nobody; what happens meanwhile is told at its return
+  kDiscoveryDown,    // discovery answers no call; what happens meanwhile is delivered at its return
   kNoticesLate,      // notices take `factor` times as long
   kNoticesSilent,    // all open watches fall silent once, at `at`
   kNoticesLost,      // `share` of the notices are not delivered; the next call brings what was missed
-  kSidecarsKilled,   // `share` of the sidecars are killed at once and start anew
-  kSidecarsStopped,  // `share` get SIGTERM over `lasts`, SIGKILL when it is due, and start anew
+  kSidecarsKilled,   // `share` of the sidecars are killed at once and restart
+  kSidecarsStopped,  // `share` get SIGTERM over `lasts`, SIGKILL when it is due, and restart
   kClientsStalled,   // `count` clients of each real sidecar stop in the middle of a request, over `lasts`
   // Each real sidecar is given `count` new configurations, evenly over `lasts`: one in the middle is
   // malformed, the others move discovery to another address.
--- a/lab/spec/toml_reader.h
+++ b/lab/spec/toml_reader.h
@@ -1,4 +1,4 @@
-// Reads one table of a TOML file key by key, with ranges, and refuses what nobody asked for.
+// Reads one table of a TOML file key by key, with ranges, and rejects unknown keys.
 #pragma once
 
 #include <concepts>
--- a/lab/virtual/hollow_fleet.h
+++ b/lab/virtual/hollow_fleet.h
@@ -65,7 +65,7 @@
   // Starts every hollow sidecar (none where the experiment leaves them out), each with what `registry` lists,
   // and its control client.
   void StartSidecars(const MembershipRegistry& registry);
-  // A sidecar dies, and starts anew. Nothing happens for a real one.
+  // A sidecar dies, and restarts. Nothing happens for a real one.
   void KillSidecar(std::size_t sidecar);
   void StartSidecar(std::size_t sidecar, const MembershipRegistry& registry);
 
--- a/lab/virtual/hollow_sidecar.cpp
+++ b/lab/virtual/hollow_sidecar.cpp
@@ -90,7 +90,7 @@
   host_->Deliver(event);
 }
 
-// The module hears of the list before it hears of attempts that the list ended, and acts on it only when the
+// The module handles the list before the ends of attempts that follow from it, and acts on it only when the
 // connections have followed.
 void HollowSidecar::Apply(MembershipUpdate update) {
   if (!running()) return;
@@ -119,7 +119,7 @@
   }
 }
 
-// Where it drains, is gone or started anew, its idle connections are closed and what has not begun to be
+// Where it drains, is gone or restarted, its idle connections are closed and what has not begun to be
 // written to it ends as not sent.
 void HollowSidecar::FollowListed(std::size_t upstream, const UpstreamInfo& info) {
   Listed& listed = listed_[upstream];
@@ -162,7 +162,7 @@
 
 // ---- Timers ----
 
-// A task that was scheduled can't be called off: only an earlier time is scheduled anew.
+// A task that was scheduled can't be cancelled: only an earlier time is scheduled again.
 void HollowSidecar::ArmTimer(TimePoint next) {
   if (next >= armed_for_) return;
   armed_for_ = next;
--- a/lab/virtual/membership_notices.cpp
+++ b/lab/virtual/membership_notices.cpp
@@ -146,7 +146,7 @@
   Arm(sidecar);
 }
 
-// All that it has not been told comes together.
+// All that it has not received comes together.
 void MembershipNotices::AnnounceAll(Watcher& watcher, std::size_t sidecar, TimePoint due) {
   watcher.notices.clear();
   watcher.last_due = TimePoint::min();
--- a/lab/virtual/membership_notices.h
+++ b/lab/virtual/membership_notices.h
@@ -1,4 +1,4 @@
-// Discovery on the virtual clock: the list with its changes, and when each sidecar is told of each.
+// Discovery on the virtual clock: the list with its changes, and when each sidecar receives each.
 #pragma once
 
 #include <cstddef>
@@ -15,13 +15,13 @@
 
 namespace lb::lab {
 
-// Each change is told to each sidecar after a delay drawn from DiscoverySpec::notice_delay_s, in order for
-// each sidecar; one that is told late holds up those behind it, which then come together. Sidecars whose
-// membership is on request are told nothing before they subscribe.
+// Each change is delivered to each sidecar after a delay drawn from DiscoverySpec::notice_delay_s, in order
+// for each sidecar; one that is delivered late delays those behind it, which then come together. Sidecars
+// whose membership is on request receive nothing before they subscribe.
 class MembershipNotices {
  public:
   using Tell = std::function<void(std::size_t sidecar, lb::MembershipUpdate update)>;
-  // One sidecar has been told of one change, so long after it.
+  // One sidecar has received one change, so long after it.
   using OnTold = std::function<void(TimePoint changed, Duration delay)>;
 
   // All references have to outlive it. Every upstream is listed, serving and started long ago.
@@ -34,19 +34,20 @@
   void Change(std::size_t upstream, lb::UpstreamInfo entry);
 
   // ---- Sidecars, by their index in the deployment ----
-  // The list as that sidecar has been told it, without those that are gone.
+  // The list as that sidecar has received it, without those that are gone.
   std::vector<lb::UpstreamInfo> Known(std::size_t sidecar) const;
-  void SidecarDown(std::size_t sidecar);  // is told nothing until it is up
-  void SidecarUp(std::size_t sidecar);    // is told what it missed
+  void SidecarDown(std::size_t sidecar);  // receives nothing until it is up
+  void SidecarUp(std::size_t sidecar);    // receives what it missed
   void Subscribe(std::size_t sidecar);    // its module has asked
 
   // ---- Faults ----
-  void SetDiscoveryDown(bool down);    // nobody is told anything; all is told at its return
+  void SetDiscoveryDown(bool down);    // no sidecar receives anything; all is delivered at its return
   void SetDelayFactor(double factor);  // notices of changes from now on take so many times as long
-  void SetLostShare(double share);  // of those from now on: told with the next notice, at the latest 6 s on
-  void SilenceWatches();            // what is not told by now is told 6 s from now
+  void SetLostShare(
+      double share);      // of those from now on: delivered with the next notice, at the latest 6 s on
+  void SilenceWatches();  // what is not delivered by now is delivered 6 s from now
 
-  // Changes that a sidecar which is up has not been told of, over all of these.
+  // Changes that a sidecar which is up has not received, over all of these.
   std::uint64_t Untold() const;
 
  private:
@@ -55,7 +56,7 @@
     std::size_t upstream = 0;
     lb::UpstreamInfo entry;
   };
-  // At `due` the first `count` entries of the log are told.
+  // At `due` the first `count` entries of the log are delivered.
   struct Notice {
     std::size_t count = 0;
     TimePoint due;
--- a/lab/virtual/virtual_engine.cpp
+++ b/lab/virtual/virtual_engine.cpp
@@ -17,7 +17,7 @@
 
 // Beyond the longest deadline, until every request has its result.
 constexpr Duration kResultsMargin = seconds(1);
-// Beyond the end, for notices under way; what is not told by then counts as missing.
+// Beyond the end, for notices under way; what is not delivered by then counts as missing.
 constexpr Duration kNoticesMargin = seconds(15);
 // A sample with fewer requests tells nothing of the worst second.
 constexpr std::uint64_t kTellingRequests = 100;
--- a/lab/virtual/virtual_fleet.cpp
+++ b/lab/virtual/virtual_fleet.cpp
@@ -72,7 +72,7 @@
   scheduler_.After(kRestarted, [this, upstream] { StartUpstream(upstream); });
 }
 
-// The machine starts anew before anybody reaches it: nobody hears of the process that died.
+// The machine restarts before any sidecar reaches it: none notices the process that died.
 void VirtualFleet::ReturnUpstream(std::size_t upstream) {
   upstreams_[upstream]->Crash();
   upstreams_[upstream]->SetSilent(false);
--- a/lab/virtual/virtual_fleet.h
+++ b/lab/virtual/virtual_fleet.h
@@ -24,7 +24,7 @@
 class VirtualFleet : public FaultTarget {
  public:
   using OnResult = std::function<void(const RequestResult&)>;
-  // A change was told to a sidecar: when it was made, and how long the telling took.
+  // A change was delivered to a sidecar: when it was made, and how long the delivery took.
   using OnNotice = std::function<void(TimePoint changed, Duration delay)>;
 
   // References have to outlive it, and it the scheduler's tasks. The sidecars run when this returns.
@@ -36,7 +36,7 @@
 
   // What sidecars and clients' retries added since the last call.
   TrafficCounters TakeTraffic();
-  // Changes that a sidecar has not heard of.
+  // Changes that a sidecar has not received.
   std::uint64_t UntoldNotices() const { return notices_.Untold(); }
 
   std::size_t upstreams() const { return upstreams_.size(); }
--- a/sidecar/admin.h
+++ b/sidecar/admin.h
@@ -38,7 +38,7 @@
  private:
   class Connection;
 
-  // Connections that send nothing must keep nobody out: the one that has waited longest without a whole
+  // Connections that send nothing must not block others: the one that has waited longest without a whole
   // request makes room. A request comes with its connection, so a new one is soon handled.
   bool EnsureCapacity();
   void Admit(boost::asio::ip::tcp::socket socket);
--- a/sidecar/body_stream.h
+++ b/sidecar/body_stream.h
@@ -17,8 +17,8 @@
 
 namespace lb::sidecar {
 
-// The writer puts pieces in while there is capacity, the reader takes them out. Each is told of the other by
-// its hook, from the event loop and never from within a call, and clears its hook before it is destroyed.
+// The writer puts pieces in while there is capacity, the reader takes them out. Each is notified of the other
+// by its hook, from the event loop and never from within a call, and clears its hook before it is destroyed.
 class BodyStream : public std::enable_shared_from_this<BodyStream> {
  public:
   using Hook = std::function<void()>;
--- a/sidecar/client_connection.cpp
+++ b/sidecar/client_connection.cpp
@@ -224,7 +224,7 @@
 void ClientConnection::HandleBodyCapacity() {
   if (body_.IsWaitingForCapacity()) {
     body_.EndWaitForCapacity();
-    // The client could not send while its bytes waited: its time runs anew.
+    // The client could not send while its bytes waited: its time limit starts again.
     activity_.since = Now();
     activity_.last_body_byte_at = activity_.since;
     activity_.body_bytes = 1;
--- a/sidecar/client_connection.h
+++ b/sidecar/client_connection.h
@@ -6,7 +6,7 @@
 // kAwaitingResponse; a malformed one is rejected: kWritingResponse | kClosed | not legal | 408:
 // kWritingResponse | kClosed | | kAwaitingResponse | of a streamed body: passed on; else kept (pipelined) up
 // to kMaxReadAhead | half-close probe, kClosed if it finds the client gone; in the middle of a body kClosed |
-// kWritingResponse | of a streamed body 408: kWritingResponse | kClosed, the handler is told | |
+// kWritingResponse | of a streamed body 408: kWritingResponse | kClosed, the handler is notified | |
 // kWritingResponse | kept up to kMaxReadAhead | kept in mind until the response is written | not legal |
 // streamed: kClosed with a reset; whole: kClosed | kClosed | | kLingering | discarded, past kLingerByteLimit
 // kClosed | kClosed | not legal | kClosed | kClosed | | kClosed | - | - | its body is abandoned | - | - |
--- a/sidecar/connection_pool.cpp
+++ b/sidecar/connection_pool.cpp
@@ -20,7 +20,7 @@
 constexpr Duration kMinIdleMargin = milliseconds(500);
 // Bounds how long an idle connection outlives its limit; short beside the margin.
 constexpr auto kSweepInterval = milliseconds(250);
-// Where closing an idle connection made no room for a socket, other processes hold what is short: none is
+// If closing an idle connection did not free a socket, other processes hold what is short: none is
 // closed for that reason for this long.
 constexpr Duration kFutileEvictionPause = milliseconds(100);
 
--- a/sidecar/connection_pool.h
+++ b/sidecar/connection_pool.h
@@ -50,8 +50,8 @@
     // What the system said to that; none where the limit on descriptors is reached.
     boost::system::error_code error{};
   };
-  // Opens a connection; closes idle ones of any pool where that makes room for it. Failure is this machine's,
-  // not the upstream's, and proves that nothing ran.
+  // Opens a connection; closes idle ones of any pool if that frees a descriptor for it. Failure is this
+  // machine's, not the upstream's, and proves that nothing ran.
   Opened Open(const std::shared_ptr<UpstreamPool>& pool);
 
   // Takes a connection in, in its place by age.
--- a/sidecar/discovery_call.h
+++ b/sidecar/discovery_call.h
@@ -49,7 +49,7 @@
   // How much of the response has come, in no unit: the value grows for as long as more comes.
   std::size_t Progress();
 
-  // Closes the connection; the observer hears nothing more.
+  // Closes the connection; the observer is not called any more.
   void Drop();
 
  private:
--- a/sidecar/discovery_client.cpp
+++ b/sidecar/discovery_client.cpp
@@ -121,7 +121,7 @@
 }
 
 // An agent that is silent for too long is asked on another connection. One that is merely slow is listened to
-// all the same: its response to the first such call counts, too.
+// nevertheless: its response to the first such call counts, too.
 void DiscoveryClient::HandleSilence() {
   if (late_call_) {
     Drop(call_);
@@ -160,7 +160,7 @@
   AskAgain(failure);
 }
 
-// The old list stands. A watch may miss what changed in between, as an agent that started anew counts from
+// The old list stands. A watch may miss what changed in between, as an agent that restarted counts from
 // elsewhere: the next call asks for the whole list. A service that refused the call is the same as before,
 // and a whole list would cost it still more.
 void DiscoveryClient::AskAgain(const DiscoveryFailure& failure) {
@@ -176,7 +176,7 @@
   const auto jitter = std::generate_canonical<double, 32>(random_);
   if (!is_polled) return StartCallIn(BackoffAfter(failures_, silence_timeout_, jitter));
   // A watch that broke says nothing of the service, and there is little time to hear what it missed. The
-  // watches of a whole fleet can break together: their sidecars ask anew spread over the pause.
+  // watches of a whole fleet can break together: their sidecars poll again at times spread over the pause.
   if (was_watching && !was_refused) {
     return StartCallIn(std::chrono::duration_cast<Duration>(kServicePause * jitter));
   }
--- a/sidecar/discovery_client.h
+++ b/sidecar/discovery_client.h
@@ -1,7 +1,7 @@
 // The discovery client: asks for the endpoint list and follows its changes (PROTOCOL, "Discovery").
 //
 // Two modes. A discovery agent on this machine is watched: each call waits there for a change (long polling),
-// and after a failure the client asks anew by itself. One service for all sidecars is polled: a failure is
+// and after a failure the client polls again by itself. One service for all sidecars is polled: a failure is
 // reported, and the balancer decides when to ask again.
 #pragma once
 
@@ -26,7 +26,7 @@
 namespace lb::sidecar {
 
 // A change counts as heard this long after discovery had it and could be reached, whether the sidecar heard
-// of it or not (PROTOCOL, "Figures"). Every way to miss a change and to ask anew has to stay within this
+// of it or not (PROTOCOL, "Figures"). Every way to miss a change and to poll again has to stay within this
 // time.
 constexpr Duration kChangeHeardWithin = std::chrono::seconds(6);
 
@@ -38,7 +38,7 @@
 static_assert(kAgentWatch + kAgentResponseTimeout + 3 * kMaxSilence < kChangeHeardWithin);
 
 // Of the one service for all, which works through the calls in turn: a watch that fell silent as it began,
-// then a short pause and a call; or a call in vain, the balancer's pause and another call.
+// then a short pause and a call; or a call that fails, the balancer's pause and another call.
 constexpr Duration kServiceWatch = std::chrono::milliseconds(3000);
 constexpr Duration kServiceWatchTimeout = std::chrono::milliseconds(750);  // beyond the watch
 constexpr Duration kServicePause = std::chrono::milliseconds(250);
@@ -52,7 +52,7 @@
 Duration BackoffAfter(int failures, Duration longest, double jitter);
 
 // How long an agent may be silent before it is asked on another connection: short enough that a drain is
-// heard of within the grace for drains.
+// received within the grace for drains.
 Duration SilenceTimeout(Duration drain_grace);
 
 class DiscoveryClient : private DiscoveryCall::Observer {
--- a/sidecar/exchange.h
+++ b/sidecar/exchange.h
@@ -58,7 +58,7 @@
   // returns false nothing is written and the exchange ends as kNotSent.
   std::function<bool()> client_is_waiting;
   // Null where no client waits, or returns how long the client will still wait from the time given. The
-  // upstream is told no more than that in X-Timeout-Ms, and is not waited for any longer.
+  // upstream gets no more than that in X-Timeout-Ms, and is not waited for any longer.
   std::function<Duration(TimePoint)> time_left;
   // An upstream that takes no byte of a streamed body for this long has failed.
   Duration body_stall_timeout = Duration::max();
--- a/sidecar/exchange_deadlines.h
+++ b/sidecar/exchange_deadlines.h
@@ -19,7 +19,7 @@
   TimePoint response() const { return response_; }
   // Of the first byte of the request; TimePoint::max() where there is no such bound.
   TimePoint first_byte() const { return first_byte_; }
-  // How long the upstream will be waited for from the first byte on, which is what it is told: no more than
+  // How long the upstream will be waited for from the first byte on, which is its X-Timeout-Ms: no more than
   // the client will still wait, and less by the time that connecting took unless the request is streamed.
   Duration ToldTimeout(const ExchangeRequest& request, TimePoint now) const;
   // By when a served response of unknown length, of which nothing has gone to the client, may be held back.
--- a/sidecar/half_close_probe.h
+++ b/sidecar/half_close_probe.h
@@ -30,7 +30,8 @@
       : socket_(socket), writer_(writer), timer_(socket.get_executor()) {}
 
   // Sends the probe, unless one is outstanding or has been answered. False: the connection is over, and
-  // `on_result` is not called. `on_result` is called from the event loop, and owns whoever owns the probe.
+  // `on_result` is not called. `on_result` is called from the event loop, and has to own the owner of the
+  // probe.
   [[nodiscard]] bool Send(std::function<void(Result)> on_result);
 
   // The client may have closed since the last result, and another probe can be sent.
--- a/sidecar/hot_restart.cpp
+++ b/sidecar/hot_restart.cpp
@@ -35,7 +35,7 @@
 // There is one next process; a platform that gave one up may start another at once.
 constexpr int kListenBacklog = 4;
 
-// A connected socket; nothing where nobody listens at `path`, or nobody accepted it by `until`.
+// A connected socket; nothing if no process listens at `path`, or none accepted it by `until`.
 std::optional<int> Connect(const boost::asio::local::stream_protocol::endpoint& path, TimePoint until) {
   while (Now() < until) {
     const int descriptor = ::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
--- a/sidecar/membership_follower.cpp
+++ b/sidecar/membership_follower.cpp
@@ -11,9 +11,8 @@
                                        Logger& log)
     : start_times_(slow_start_duration), host_(host), upstreams_(upstreams), log_(log) {}
 
-// The balancer hears of the list before it hears of attempts that the list ended, and acts on it only when
-// the connections have followed: else it would forward again to an upstream that drains, or to one not known
-// yet.
+// The balancer handles the list before the ends of attempts that follow from it, and acts on it only when the
+// connections have followed: else it would forward again to an upstream that drains, or to one not known yet.
 NextList MembershipFollower::Apply(EndpointList list) {
   const NextList next = CorrectStartTimes(list);
   {
--- a/sidecar/operator_control.cpp
+++ b/sidecar/operator_control.cpp
@@ -91,7 +91,7 @@
   targets_.listener.SetConnectionDraining(state.draining);
 }
 
-// The balancer hears of the override before it hears of attempts that the override ended.
+// The balancer handles the override before the ends of attempts that follow from it.
 void OperatorControl::ApplyOverride(const std::string& upstream, bool disabled) {
   const auto event = disabled ? log_events::kUpstreamDisabled : log_events::kUpstreamEnabled;
   targets_.log.Write(LogEvent(event).With("upstream", upstream));
--- a/sidecar/operator_control.h
+++ b/sidecar/operator_control.h
@@ -35,8 +35,8 @@
   using GetServingState = std::function<ServingState()>;
 
   // Applies what is stored in `folder` (empty: nothing is stored), then binds and listens at `endpoint`;
-  // throws ConfigError where that fails. `on_override` hears of each override that operators tell this
-  // process.
+  // throws ConfigError where that fails. `on_override` is called with each override that operators set at
+  // this process.
   OperatorControl(boost::asio::io_context& io, const Endpoint& endpoint, const std::string& folder,
                   const Targets& targets, GetServingState get_serving_state,
                   OperatorStateStore::OnOverride on_override);
--- a/sidecar/operator_state.cpp
+++ b/sidecar/operator_state.cpp
@@ -237,7 +237,7 @@
   log_.Write(event);
 }
 
-// Nobody withdrew what was in the folder: it is stored anew. At the start there was nothing in it.
+// No operator removed what was in the folder: it is stored again. At the start there was nothing in it.
 void OperatorStateStore::RestoreVanishedFolder() {
   if (stored_.empty()) return;
   log_.Write(LogEvent(log_events::kStateFolderVanished).With("folder", folder_.path()));
--- a/sidecar/operator_state.h
+++ b/sidecar/operator_state.h
@@ -35,9 +35,9 @@
   using OnOverride = std::function<void(const StoredOverride&, OverrideAction)>;
 
   // `folder`: where to store; empty where nothing can be stored. Reads what is stored, and may block for some
-  // hundred milliseconds while the folder fails. `on_change` hears of each change of the state, whichever
-  // process it comes from, also during construction. `on_override` hears of each override that this process
-  // was told by operators, for the other processes.
+  // hundred milliseconds while the folder fails. `on_change` is called with each change of the state,
+  // whichever process it comes from, also during construction. `on_override` is called with each override
+  // that this process was told by operators, for the other processes.
   OperatorStateStore(boost::asio::io_context& io, const std::string& folder, Logger& log, OnChange on_change,
                      OnOverride on_override);
 
--- a/sidecar/request_writer.h
+++ b/sidecar/request_writer.h
@@ -40,7 +40,7 @@
     kTaken,      // WritePiece() has something to write
     kAwaited,    // the client has not sent it yet
     kNone,       // the request is complete without another write
-    kAbandoned,  // the client is gone; whoever streams the request ends the exchange
+    kAbandoned,  // the client is gone; the streaming side ends the exchange
   };
   // Takes what there is of the streamed body. No write is under way.
   NextPiece TakeNextPiece();
--- a/sidecar/response_body.h
+++ b/sidecar/response_body.h
@@ -1,4 +1,4 @@
-// The body of one response on its way from an upstream's connection to whoever sent the request.
+// The body of one response on its way from an upstream's connection to the sender of the request.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
--- a/sidecar/socket_reader.h
+++ b/sidecar/socket_reader.h
@@ -1,5 +1,5 @@
 // Reads what a peer sends: the counterpart of WriteStream. Interruptions, spurious wake-ups and passing
-// shortages of memory are dealt with here, so that a reader's owner hears of bytes, the end of them, or a
+// shortages of memory are dealt with here, so that a reader's owner sees bytes, the end of them, or a
 // broken connection.
 #pragma once
 
@@ -14,7 +14,7 @@
 namespace lb::sidecar {
 
 // One read at a time, on a socket that is open and not blocking. The socket and the reader have to live until
-// the read has ended: the handler should own whoever holds them.
+// the read has ended: the handler should own the object that holds them.
 class SocketReader {
  public:
   using Socket = boost::asio::ip::tcp::socket;
--- a/sidecar/start_time_corrector.cpp
+++ b/sidecar/start_time_corrector.cpp
@@ -36,7 +36,8 @@
   return found_ahead;
 }
 
-// An upstream started before it was heard of, so the clock can't be ahead by more than its age seems to be.
+// An upstream started before the list that names it was received, so the clock can't be ahead by more than
+// its age seems to be.
 void StartTimeCorrector::LimitMaxAhead(const MembershipUpdate& update, TimePoint now) {
   for (const UpstreamInfo& upstream : update.upstreams) {
     if (upstream.started) max_ahead_ = std::min(max_ahead_, now - *upstream.started);
--- a/sidecar/upstream_connection.cpp
+++ b/sidecar/upstream_connection.cpp
@@ -367,7 +367,7 @@
 
 // ---- Time ----
 
-// Before it completes: any other event. A completion that is on its way when the timer is set anew must not
+// Before it completes: any other event. A completion that is queued when the timer is set again must not
 // be taken for the new one, so it looks at the time.
 void UpstreamConnection::ArmTimer(TimePoint at) {
   timer_.expires_at(ToSteady(at));
--- a/sidecar/upstream_connection.h
+++ b/sidecar/upstream_connection.h
@@ -79,7 +79,7 @@
     virtual void OnExchangeFinished(ExchangeId id) = 0;
     // The connection can carry another exchange: it is pooled, or closed.
     virtual void OnReusable(const std::shared_ptr<UpstreamConnection>& connection) = 0;
-    // The upstream closed the idle connection, or sent what nobody asked for; it closes after this call.
+    // The upstream closed the idle connection, or sent bytes without a request; it closes after this call.
     virtual void OnIdleConnectionLost(UpstreamConnection& connection) = 0;
   };
   struct Context {
@@ -108,7 +108,7 @@
   // Closes without an end of the exchange. Does nothing the second time.
   void Close();
 
-  // Of an idle connection: false where the upstream has closed it or sent what nobody asked for. Asks the
+  // Of an idle connection: false if the upstream has closed it or sent bytes without a request. Asks the
   // system, as the event may not have been delivered yet.
   bool LooksAlive();
   // Connected, and no second response can come any more.
@@ -144,7 +144,7 @@
 
     ExchangeId id{};
     ExchangeRequest request;
-    // False once AbandonUnsent() was called. Independent of the state: the connection comes up all the same.
+    // False once AbandonUnsent() was called. Independent of the state: the connection still comes up.
     bool is_wanted = true;
     ExchangeDeadlines deadlines;
     Duration connection_idle{};  // before it started
--- a/tests/lab_stage.h
+++ b/tests/lab_stage.h
@@ -75,13 +75,13 @@
     return *upstreams_;
   }
 
-  std::unique_ptr<HttpLoad> Load(std::vector<LoadTarget> targets) {
-    return std::make_unique<HttpLoad>(io, scheduler, clients, classes, std::move(targets), 5);
+  std::unique_ptr<HttpLoad> Load(const std::vector<LoadTarget>& targets) {
+    return std::make_unique<HttpLoad>(io, scheduler, clients, classes, targets, 5);
   }
 
   // Plays a load until so many requests have begun and all have ended.
-  LoadWindow Play(std::vector<LoadTarget> targets, std::uint64_t requests) {
-    const auto load = Load(std::move(targets));
+  LoadWindow Play(const std::vector<LoadTarget>& targets, std::uint64_t requests) {
+    const auto load = Load(targets);
     load->Start();
     EXPECT_TRUE(RunUntil([&] { return load->begun() >= requests; }));
     load->Stop();
--- a/tests/sidecar/half_close_probe_test.cpp
+++ b/tests/sidecar/half_close_probe_test.cpp
@@ -9,6 +9,7 @@
 namespace lb::sidecar {
 namespace {
 
+using boost::asio::ip::tcp;
 using Result = HalfCloseProbe::Result;
 using State = HalfCloseProbe::State;
 
--- a/tests/sidecar/socket_pair.h
+++ b/tests/sidecar/socket_pair.h
@@ -14,10 +14,10 @@
 
 namespace lb::sidecar::testing {
 
+using boost::asio::ip::tcp;
+
 class SocketPairTest : public ::testing::Test {
  protected:
-  using tcp = boost::asio::ip::tcp;
-
   SocketPairTest() {
     tcp::acceptor acceptor(io_, tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0));
     peer_.connect(acceptor.local_endpoint());
--- a/tests/sidecar/socket_reader_test.cpp
+++ b/tests/sidecar/socket_reader_test.cpp
@@ -14,6 +14,7 @@
 namespace lb::sidecar {
 namespace {
 
+using boost::asio::ip::tcp;
 class SocketReaderTest : public testing::SocketPairTest {
  protected:
   void StartRead(std::size_t limit) {
