--- a/lab/real/discovery_session.cpp
+++ b/lab/real/discovery_session.cpp
@@ -7,6 +7,7 @@
 #include <utility>
 
 #include "lab/real/discovery_query.h"
+#include "lab/real/malformed_message.h"
 
 namespace lb::lab {
 namespace {
@@ -27,11 +28,6 @@
          (keep_alive ? "\r\n\r\n" : "\r\nConnection: close\r\n\r\n");
 }
 
-bool IsMalformedMessage(error_code error) {
-  const bool is_of_parser = error.category() == http::make_error_code({}).category();
-  return is_of_parser && error != http::error::end_of_stream && error != http::error::partial_message;
-}
-
 }  // namespace
 
 AgentCounters& AgentCounters::operator+=(const AgentCounters& other) {
--- a/lab/real/http_upstream_connection.cpp
+++ b/lab/real/http_upstream_connection.cpp
@@ -5,6 +5,7 @@
 #include <boost/beast/http/read.hpp>
 #include <utility>
 
+#include "lab/real/malformed_message.h"
 #include "lab/real/socket_state.h"
 
 namespace lb::lab {
@@ -14,11 +15,6 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-bool IsMalformedMessage(error_code error) {
-  const bool is_of_parser = error.category() == http::make_error_code(http::error::end_of_stream).category();
-  return is_of_parser && error != http::error::end_of_stream && error != http::error::partial_message;
-}
-
 }  // namespace
 
 HttpUpstreamConnection::HttpUpstreamConnection(HttpUpstreamServer& server, tcp::socket socket)
--- a/lab/real/real_measurements.cpp
+++ b/lab/real/real_measurements.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 
+#include "lab/measure/share.h"
 #include "lab/real/machine_limits.h"
 #include "lab/spec/durations.h"
 
@@ -13,11 +14,6 @@
 // A sample with fewer requests does not count for the worst second.
 constexpr std::uint64_t kMinRequestsOfASecond = 100;
 
-double Share(double part, double whole) { return whole > 0 ? part / whole : 0; }
-double Share(std::uint64_t part, std::uint64_t whole) {
-  return Share(static_cast<double>(part), static_cast<double>(whole));
-}
-
 }  // namespace
 
 ControlCost ControlCost::operator-(const ControlCost& before) const {
--- a/lab/virtual/virtual_engine.cpp
+++ b/lab/virtual/virtual_engine.cpp
@@ -5,6 +5,7 @@
 
 #include "lab/engine.h"
 #include "lab/measure/distribution.h"
+#include "lab/measure/share.h"
 #include "lab/model/fault_schedule.h"
 #include "lab/model/scheduler.h"
 #include "lab/spec/durations.h"
@@ -23,11 +24,6 @@
 constexpr std::uint64_t kTellingRequests = 100;
 
 double Milliseconds(Duration duration) { return static_cast<double>(duration.count()) / 1e3; }
-double Share(double part, double whole) { return whole > 0 ? part / whole : 0; }
-double Share(std::uint64_t part, std::uint64_t whole) {
-  return Share(static_cast<double>(part), static_cast<double>(whole));
-}
-
 bool Served(const RequestResult& result) {
   return result.outcome == RequestOutcome::kInTime || result.outcome == RequestOutcome::kLate;
 }
