--- a/balancer/action_sink.h
+++ b/balancer/action_sink.h
@@ -1,4 +1,4 @@
-// Where the actions of one event go.
+// Collects the actions that handling one event produces.
 #pragma once
 
 #include <string>
@@ -11,7 +11,7 @@
 
 class ActionSink {
  public:
-  // To be called before each event. `actions` has to outlive its handling.
+  // Must be called before each event. `actions` has to outlive the handling of the event.
   void Begin(std::vector<Action>& actions) { actions_ = &actions; }
   template <typename T>
   void Add(T action) {
--- a/balancer/actions.h
+++ b/balancer/actions.h
@@ -1,4 +1,4 @@
-// What the balancer asks its sidecar to do.
+// The actions that the balancer requests from its sidecar.
 #pragma once
 
 #include <cstdint>
@@ -13,30 +13,31 @@
   RequestId request{};
   UpstreamId upstream;
   Duration timeout{};              // always positive
-  Duration max_connection_idle{};  // a connection that has been idle for longer is not to be trusted with it
-  // Where its first byte is not written within this time it must not be sent, and ends as kNotSent.
+  Duration max_connection_idle{};  // connections that have been idle for longer must not be used
+
+  // If the first byte is not written within this time, the attempt must not be sent and ends as kNotSent.
   Duration begin_within = Duration::max();
 };
 
-// Stop waiting for an attempt; it still ends with one AttemptFinished.
+// Cancels an attempt. The attempt still ends with exactly one AttemptFinished.
 struct CancelAttempt {
   RequestId request{};
   AttemptId attempt{};
 };
 
-// Final: nothing was done, trying again is harmless.
+// Final answer: the request was not processed, and a retry is harmless.
 struct RejectRequest {
   RequestId request{};
-  Duration retry_after{};  // zero: no advice
+  Duration retry_after{};  // advice to the client on when to retry; zero: none
 };
 
-// Final: no promise whether the request took effect.
+// Final answer: the request may or may not have taken effect.
 struct FailRequest {
   RequestId request{};
 };
 
 struct SetTimer {
-  TimePoint at;             // may already be past by the time it is carried out
+  TimePoint at;             // may be in the past when the action is carried out
   std::uint64_t token = 0;  // at most 2^63
 };
 
@@ -45,15 +46,15 @@
   Duration max_connection_idle{};  // as in SendAttempt
 };
 
-// Close this sidecar's idle connections to an upstream.
+// Closes this sidecar's idle connections to an upstream.
 struct CloseIdleConnections {
   UpstreamId upstream;
 };
 
-// Ask for membership changes from now on, the missed ones first.
+// Asks for membership changes from now on, including those missed since the last update.
 struct Subscribe {};
 
-// One line for the people on call.
+// A log line for operators.
 struct LogLine {
   std::string text;
 };
--- a/balancer/balancer.cpp
+++ b/balancer/balancer.cpp
@@ -1,5 +1,5 @@
-// Routes each event to the components that decide about it: those about requests to the request dispatcher,
-// the others here. The components are listed in components.h.
+// Routes each event to the components responsible for it: events about requests to the request dispatcher,
+// the others in this file. The components are listed in components.h.
 #include "balancer/balancer.h"
 
 #include <utility>
@@ -12,7 +12,7 @@
 namespace lb {
 namespace {
 
-// Requests' tokens are positive.
+// Distinct from the tokens of requests' timers, which are positive.
 constexpr std::uint64_t kHousekeepingToken = 0;
 
 }  // namespace
@@ -53,14 +53,14 @@
     using Kind = MembershipUpdate::Kind;
     if (update.kind == Kind::kFailed) return components_.polls.OnFailure(now);
     if (update.kind != Kind::kRestored) components_.polls.OnSuccess();
-    if (update.kind != Kind::kChanges) components_.membership.BeginWholeList();
-    AdoptUpstreams(update.upstreams, now);
+    if (update.kind != Kind::kChanges) components_.membership.BeginFullList();
+    ApplyEntries(update.upstreams, now);
   }
 
   void HandleOperatorOverride(const OperatorOverride& event, TimePoint now) {
     const auto change = event.disabled ? Membership::Override::kDisable : Membership::Override::kEnable;
     const auto info = components_.membership.ApplyOverride(event.upstream.value, change, now);
-    if (info) AdoptUpstreams({*info}, now);
+    if (info) ApplyEntries({*info}, now);
   }
 
   void HandleTimerFired(const TimerFired& event, TimePoint now) {
@@ -75,26 +75,27 @@
     components_.failures.Invalidate();
     components_.capacity.Update(now);
     components_.limiter.Update(components_.capacity.available_weight());
-    components_.connections.ExtendTrust();
+    components_.connections.RaiseMaxConnectionIdle();
     if (components_.shedding.EndIfQuiet(now)) components_.actions.Log(SheddingStoppedLine());
     for (Upstream* upstream : components_.membership.Monitored()) selector_.ReadmitIfExpired(*upstream, now);
     components_.membership.StopMonitoring([this, now](const Upstream& upstream) {
-      return OutlierDetector::IsAtRest(upstream) && !components_.slow_start.IsWarmingUp(upstream, now);
+      return OutlierDetector::IsIdleAndHealthy(upstream) &&
+             !components_.slow_start.IsWarmingUp(upstream, now);
     });
     if (components_.polls.TakeIfDue(now)) components_.actions.Add(Subscribe{});
   }
 
-  // Ends what began with Membership::BeginWholeList(), if it is a whole list.
-  void AdoptUpstreams(const std::vector<UpstreamInfo>& infos, TimePoint now) {
+  // Applies the entries of a change, or of a full list that Membership::BeginFullList() began.
+  void ApplyEntries(const std::vector<UpstreamInfo>& infos, TimePoint now) {
     std::vector<UpstreamPtr> entering;
     for (const UpstreamInfo& info : infos) {
-      const auto [upstream, new_process, enters] = components_.membership.Adopt(info);
+      const auto [upstream, new_process, enters] = components_.membership.ApplyEntry(info);
       if (new_process) components_.slow_start.OnNewProcess(*upstream, now);
       components_.latency.AssignKind(*upstream);
       if (components_.slow_start.IsWarmingUp(*upstream, now)) components_.membership.Monitor(*upstream);
       if (enters) entering.push_back(upstream);
     }
-    components_.membership.Settle();
+    components_.membership.CommitUpdate();
     components_.failures.Invalidate();
     components_.rotation.Restart(entering, now);
   }
--- a/balancer/balancer.h
+++ b/balancer/balancer.h
@@ -1,9 +1,8 @@
-// The decisions of a client-side load balancer for service-to-service calls.
+// The decision module of a client-side load balancer for service-to-service calls.
 //
-// A sidecar owns the sockets, the clock and the timers. It tells a `Balancer` what happened, one `Event` at a
-// time, and carries out the `Action`s that come back, in their order. The balancer does no I/O, reads no
-// clock, starts no thread and keeps no global state: the same settings, seed and events give the same
-// actions.
+// A sidecar owns the sockets, the clock and the timers. It passes events to a `Balancer`, one `Event` at a
+// time, and carries out the resulting `Action`s in their order. The balancer does no I/O, reads no clock,
+// starts no thread and keeps no global state: the same settings, seed and events give the same actions.
 //
 //   lb::Balancer balancer(settings, seed);
 //   std::vector<lb::Action> actions;
@@ -11,13 +10,14 @@
 //   balancer.Handle(now, lb::RequestArrived{...}, actions);
 //   for (const auto& action : actions) std::visit(CarryOut{}, action);
 //
-// What the sidecar owes the balancer:
-//   * `now` never goes backwards, and events come in the order in which they happened;
-//   * the membership it holds comes first, as `MembershipUpdate::Kind::kRestored`, also when it is empty;
-//   * every `SendAttempt` is followed by exactly one `AttemptFinished`;
-//   * every `SetTimer` is followed by one `TimerFired` at or after its time.
-// What it gets: exactly one final answer for each request, by the request's deadline: the response of an
-// attempt (an `AttemptFinished` with `response_delivered`), a `RejectRequest` or a `FailRequest`.
+// The sidecar guarantees:
+// * `now` never goes backwards, and events are passed in the order in which they happened;
+// * the first event is the membership that the sidecar has stored, as `MembershipUpdate::Kind::kRestored`,
+//   even if it is empty;
+// * every `SendAttempt` is followed by exactly one `AttemptFinished`;
+// * every `SetTimer` is followed by one `TimerFired` at or after its time.
+// The balancer guarantees exactly one final answer for each request, by the request's deadline: the response
+// of an attempt (an `AttemptFinished` with `response_delivered`), a `RejectRequest` or a `FailRequest`.
 #pragma once
 
 #include <cstddef>
@@ -32,20 +32,21 @@
 
 namespace lb {
 
-// Not thread-safe: an instance serves one thread at a time.
+// Not thread-safe: an instance must be used by one thread at a time.
 class Balancer {
  public:
-  // Throws what Settings::Validate() throws.
+  // Throws std::invalid_argument if Settings::Validate() does.
   Balancer(Settings settings, std::uint64_t seed);
   ~Balancer();
   Balancer(Balancer&&) noexcept;
   Balancer& operator=(Balancer&&) noexcept;
 
-  // Appends what is to be done to `actions`. Events about unknown requests or upstreams are ignored.
+  // Handles one event and appends the resulting actions to `actions`. Events about unknown requests or
+  // upstreams are ignored.
   void Handle(TimePoint now, const Event& event, std::vector<Action>& actions);
 
-  // How often an upstream was looked at so far: what the events cost, in no unit of time. No decision reads
-  // it.
+  // The number of upstream entries visited so far: a deterministic measure of what the events cost. No
+  // decision depends on it.
   std::size_t upstreams_visited() const;
 
  private:
--- a/balancer/components.h
+++ b/balancer/components.h
@@ -1,7 +1,8 @@
-// The components of one balancer, in the order of their dependencies: each is handed those above it that it
-// asks.
+// The components of one balancer, in the order of their dependencies: a component receives references to
+// those declared above it that it uses.
 //
-// More members than a class here has otherwise: it is the one list of the components, and holds nothing else.
+// The struct has more members than other classes here, because it is the single list of the components and
+// contains nothing else.
 #pragma once
 
 #include <chrono>
@@ -36,10 +37,11 @@
 namespace lb {
 
 struct Components {
-  // Of Balancer's housekeeping. Nothing waits for it: decisions look at the time themselves.
+  // Interval of the balancer's housekeeping. Decisions do not wait for housekeeping: they compare times
+  // themselves.
   static constexpr Duration kHousekeepingInterval = std::chrono::milliseconds(250);
 
-  // Throws what Settings::Validate() throws.
+  // Throws std::invalid_argument if Settings::Validate() does.
   Components(Settings configured, std::uint64_t seed)
       : settings(Validated(std::move(configured))), random(seed) {}
   Components(const Components&) = delete;
@@ -49,17 +51,17 @@
   RandomSource random;
   ActionSink actions;
 
-  // What is known.
+  // Recorded state and statistics.
   Membership membership{PlaceOnRing(settings)};
   RequestTable requests;
   FailureStatistics failures{membership};
   LatencyStatistics latency{settings};
-  // Half of the time in which an upstream warms up: what is older tells of another state of the fleet.
+  // Half of the slow start duration: older samples describe another state of the fleet.
   LatenessStatistics lateness{settings.fleet_limits.slow_start_duration / 2};
   TrafficStatistics traffic{settings.fleet_limits.slow_start_duration};
   ConnectionTracker connections{settings.limits};
 
-  // What follows for the choice of an upstream.
+  // Policies for the choice of an upstream.
   ConcurrencyLimiter limiter{settings, latency, random};
   OutlierDetector outliers{failures, latency};
   OverloadBackoff overload_backoff{random};
@@ -69,7 +71,7 @@
   WeightedRoundRobin rotation{membership, subsetting, slow_start, random};
   ZoneLocality locality{settings};
 
-  // And for a request.
+  // Policies for a request.
   RetryBudget retry_budget;
   RetryPolicy retries{settings.limits, connections, limiter, retry_budget, random};
   HedgingPolicy hedging{settings.limits, latency, outliers, limiter, retry_budget};
@@ -83,7 +85,7 @@
     return settings;
   }
 
-  // The sidecars stand on the ring at even distances.
+  // The sidecars' positions divide the ring evenly.
   static double PlaceOnRing(const Settings& settings) {
     return static_cast<double>(settings.sidecar_index % settings.sidecar_count) /
            static_cast<double>(settings.sidecar_count);
--- a/balancer/concurrency_limiter.cpp
+++ b/balancer/concurrency_limiter.cpp
@@ -5,24 +5,25 @@
 namespace lb {
 namespace {
 
-// Above this share of late outcomes the limit is decreased. Some lateness is ordinary.
+// Above this share of late outcomes the limit is decreased. Some lateness is normal.
 constexpr double kMaxLateShare = 0.15;
-// Outcomes that a decision on the limit is based on; a quarter of them are enough where they are all late.
+// The number of outcomes on which an adjustment of the limit is based; a quarter of it suffices if all are
+// late.
 constexpr double kSampleSize = 20;
-// Multiplicative decrease: the limit loses this part of its share of late outcomes.
+// Multiplicative decrease: the limit is reduced by this factor times the share of late outcomes.
 constexpr double kDecrease = 0.6;
-// Increase of the limit at each look, and by one request at least.
+// Relative increase of the limit at each adjustment; the increase is at least one request.
 constexpr double kIncrease = 0.05;
-// Of a request, admitted by chance: even the smallest limit lets one through now and then, by which recovery
-// shows, and over all sidecars still sheds.
+// Lowest limit, in requests. A limit below one admits requests with that probability: even then a request is
+// admitted occasionally and can show a recovery, while all sidecars together still shed load.
 constexpr double kMinLimit = 0.5;
-// The class with the least priority weight for its time is shed from this share of the limit on.
-constexpr double kSheddingFrom = 0.7;
-// Each class keeps this share of its requests: no class is shed altogether.
-constexpr double kClassFloor = 0.4;
-// Requests that a class's admitted share is averaged over.
+// The class with the lowest priority weight per response time is shed from this share of the limit on.
+constexpr double kSheddingThreshold = 0.7;
+// Below this admitted share a class has the full limit, so that no class is shed completely.
+constexpr double kMinClassShare = 0.4;
+// The number of requests that a class's admitted share is averaged over.
 constexpr double kAdmissionMemory = 50;
-// Updates that the usual number of requests in flight is averaged over.
+// The number of updates that the usual number of requests in flight is averaged over.
 constexpr double kUsualMemory = 10;
 
 }  // namespace
@@ -36,8 +37,9 @@
   double best = 0;
   for (std::size_t i = 0; i < settings_.classes.size(); ++i) best = std::max(best, PriorityPerTime(i));
   const double rank = best > 0 ? PriorityPerTime(request_class) / best : 1;
-  const double part_of_limit = share < kClassFloor ? 1 : kSheddingFrom + (1 - kSheddingFrom) * rank;
-  // The limit may be a fraction of a request: drawn by chance, it is kept in the mean.
+  const double part_of_limit =
+      share < kMinClassShare ? 1 : kSheddingThreshold + (1 - kSheddingThreshold) * rank;
+  // The limit may be a fraction of a request; the random number makes admission follow it on average.
   const bool admit = in_flight_ + random_.Uniform() < limit_ * part_of_limit;
   share += ((admit ? 1 : 0) - share) / kAdmissionMemory;
   return admit;
@@ -66,8 +68,8 @@
   if (late) ++late_;
 }
 
-// The requests that are ordinarily in flight are not what makes responses late: a limit below them would shed
-// without effect when the whole fleet is slow.
+// The limit does not go below the usual number of requests in flight, because these do not cause late
+// responses: a lower limit would shed load without effect when the whole fleet is slow.
 void ConcurrencyLimiter::Update(double available_weight) {
   available_weight_ = available_weight;
   const bool in_time = late_ <= kMaxLateShare / 2 * outcomes_;
@@ -82,16 +84,16 @@
   if (late_share > kMaxLateShare) {
     const double floor = std::max(kMinLimit, UsualInFlight());
     limit_ = std::max(floor, std::min(limit_, peak_in_flight_) * (1 - kDecrease * late_share));
-  } else if (peak_in_flight_ > limit_ * kSheddingFrom) {
+  } else if (peak_in_flight_ > limit_ * kSheddingThreshold) {
     limit_ += std::max(1.0, limit_ * kIncrease);
   } else if (peak_in_flight_ < limit_ / 2) {
-    limit_ = kNoLimit;  // it binds nothing
+    limit_ = kNoLimit;  // the limit is far above the demand
   }
   peak_in_flight_ = in_flight_;
 }
 
 bool ConcurrencyLimiter::HasSpareCapacity() const {
-  return in_flight_ <= 1 || in_flight_ <= limit_ * kSheddingFrom;
+  return in_flight_ <= 1 || in_flight_ <= limit_ * kSheddingThreshold;
 }
 
 }  // namespace lb
--- a/balancer/concurrency_limiter.h
+++ b/balancer/concurrency_limiter.h
@@ -1,7 +1,7 @@
 // Adaptive concurrency limit: bounds the requests in flight of this sidecar by additive increase and
-// multiplicative decrease, as TCP's congestion control does, and sheds the load beyond it. Overload shows as
-// responses after their latency objective, time-outs and rejections by upstreams in good standing, whatever
-// its cause.
+// multiplicative decrease, as TCP's congestion control does, and sheds the load beyond the limit. The signs
+// of overload, whatever its cause, are responses after their latency objective, time-outs and rejections by
+// upstreams in good standing.
 #pragma once
 
 #include <cstddef>
@@ -16,28 +16,29 @@
 
 class ConcurrencyLimiter {
  public:
-  // All have to outlive this.
+  // All arguments have to outlive this object.
   ConcurrencyLimiter(const Settings& settings, const LatencyStatistics& latency, RandomSource& random);
 
-  // Whether a new request is admitted. Below the limit every one is; near it those classes are shed first
-  // that have the least priority weight for their time. Counts the decision for the class's share.
+  // Whether a new request is admitted. Well below the limit every request is; near the limit the classes with
+  // the lowest priority weight per unit of response time are shed first. Updates the class's admitted share.
   bool Admit(std::size_t request_class);
 
-  // An attempt begins or ceases to count: from when its request is complete to when its response begins.
+  // An attempt counts as in flight from the time when its request is complete until its response begins.
   void OnAttemptStarted(Upstream& upstream);
   void OnAttemptFinished(Upstream& upstream);
 
-  // The outcome of a call, by which the limit moves.
+  // Records the outcome of a call, on which the limit is based.
   void RecordOutcome(const Upstream& upstream, Outcome outcome, bool late);
-  // Moves the limit where enough outcomes have come. `available_weight`: of the upstreams that can take
-  // requests.
+  // Adjusts the limit if enough outcomes were recorded. `available_weight`: the weight of the upstreams that
+  // can take requests.
   void Update(double available_weight);
 
-  // A limit is in force.
+  // Whether a limit is in force.
   bool IsLimiting() const { return limit_ < kNoLimit; }
-  // There is capacity for attempts beyond the first of each request.
+  // Whether there is capacity for attempts beyond the first of each request.
   bool HasSpareCapacity() const;
-  // What this sidecar has in flight while responses are in time, at the upstreams that can take requests now.
+  // The usual number of requests in flight while responses are in time, scaled to the upstreams that can take
+  // requests now.
   double UsualInFlight() const { return usual_in_flight_per_weight_ * available_weight_; }
   // Requests of this sidecar in flight at one upstream.
   static int InFlight(const Upstream& upstream) { return upstream.in_flight; }
@@ -52,12 +53,12 @@
   RandomSource& random_;
   double limit_ = kNoLimit;  // requests in flight
   double in_flight_ = 0;
-  double peak_in_flight_ = 0;              // since the limit last moved
-  double usual_in_flight_per_weight_ = 0;  // slowly changing
+  double peak_in_flight_ = 0;              // since the limit was last adjusted
+  double usual_in_flight_per_weight_ = 0;  // slowly changing average
   double available_weight_ = 0;
-  double late_ = 0;                     // of `outcomes_`
-  double outcomes_ = 0;                 // that say something about load, since the limit last moved
-  std::vector<double> admitted_share_;  // of late, by class
+  double late_ = 0;                     // the late ones of `outcomes_`
+  double outcomes_ = 0;                 // outcomes that indicate load, since the limit was last adjusted
+  std::vector<double> admitted_share_;  // recent share of admitted requests, by class
 };
 
 }  // namespace lb
--- a/balancer/connection_tracker.cpp
+++ b/balancer/connection_tracker.cpp
@@ -6,31 +6,34 @@
 namespace lb {
 namespace {
 
-// A connection found dropped halves the trust, but not below this: a call that follows another at once finds
-// the connection in order.
-constexpr Duration kMinTrustedIdleTime = std::chrono::milliseconds(100);
-// Growth of the trust at each housekeeping: twice in some ten seconds.
-constexpr double kTrustGrowth = 1.02;
-// The share of a connect time-out within which a reset counts as "at once": the connection was dropped before
-// the call, not by it.
-constexpr double kResetAtOnce = 0.1;
-// Half of the calls that connect take twice their time or fail.
-constexpr double kHardToConnect = 0.5;
-// Calls that the difficulty of connecting is averaged over.
+// When a connection is found dropped, the idle limit is halved, but not below this value: a call that follows
+// another immediately finds the connection intact.
+constexpr Duration kMinIdleLimit = std::chrono::milliseconds(100);
+// Growth of the idle limit at each housekeeping; it doubles in about ten seconds.
+constexpr double kIdleLimitGrowth = 1.02;
+// The share of a connect time-out within which a reset counts as immediate: then the connection was dropped
+// before the call, not by it.
+constexpr double kImmediateResetShare = 0.1;
+// Mean penalty above which connecting counts as impaired: half of the calls that connect take twice their
+// usual time or fail.
+constexpr double kImpairedConnectPenalty = 0.5;
+// The number of calls that the connect penalty is averaged over.
 constexpr double kConnectMemory = 20;
-// After a local failure (no descriptor, port or route) other upstreams come first for this long: the
-// machine's shortage may pass as connections close.
+// How long other upstreams are preferred after a local failure (no descriptor, port or route): the shortage
+// may pass as connections close.
 constexpr Duration kConnectPause = std::chrono::milliseconds(100);
 
 }  // namespace
 
-bool ConnectionTracker::IsConnectingHard() const { return connect_difficulty_.value > kHardToConnect; }
+bool ConnectionTracker::IsConnectingImpaired() const {
+  return connect_penalty_.value > kImpairedConnectPenalty;
+}
 
 ConnectionTracker::Claim ConnectionTracker::ClaimConnection(Upstream& upstream, TimePoint now) {
   ConnectionState& state = upstream.connections;
   Claim claim;
   claim.idle_for = now - state.idle_since;
-  if (state.idle > 0 && claim.idle_for > trusted_idle_) {
+  if (state.idle > 0 && claim.idle_for > max_connection_idle_) {
     claim.close_idle = true;
     state.idle = 0;
   }
@@ -53,19 +56,21 @@
     state.idle = 0;
     state.next_connect = now + kConnectPause;
   }
-  // Reset at once on a connection that had been idle: it had been dropped unnoticed. A call that must not be
-  // repeated fails by that, so idle connections are closed before that age from now on.
-  const bool at_once = elapsed < Scaled(limits_.connect_timeout, kResetAtOnce);
-  if (outcome == Outcome::kReset && !attempt.connects && at_once) {
-    trusted_idle_ = std::max(kMinTrustedIdleTime, std::min(trusted_idle_, attempt.connection_idle_for / 2));
+  // A reset immediately after the start, on a connection that had been idle, shows that the connection had
+  // been dropped unnoticed. A call that must not be repeated fails by this, so from now on idle connections
+  // are closed before they reach that age.
+  const bool immediate = elapsed < Scaled(limits_.connect_timeout, kImmediateResetShare);
+  if (outcome == Outcome::kReset && !attempt.connects && immediate) {
+    max_connection_idle_ =
+        std::max(kMinIdleLimit, std::min(max_connection_idle_, attempt.connection_idle_for / 2));
   }
   if (!attempt.connects || (outcome != Outcome::kServed && outcome != Outcome::kConnectFailed)) return;
   const double excess = Seconds(elapsed) / Seconds(usual_time) - 1;
-  connect_difficulty_.Add(outcome == Outcome::kServed ? std::clamp(excess, 0.0, 1.0) : 1, kConnectMemory);
+  connect_penalty_.Add(outcome == Outcome::kServed ? std::clamp(excess, 0.0, 1.0) : 1, kConnectMemory);
 }
 
-void ConnectionTracker::ExtendTrust() {
-  trusted_idle_ = std::min(Scaled(trusted_idle_, kTrustGrowth), limits_.idle_close);
+void ConnectionTracker::RaiseMaxConnectionIdle() {
+  max_connection_idle_ = std::min(Scaled(max_connection_idle_, kIdleLimitGrowth), limits_.idle_close);
 }
 
 }  // namespace lb
--- a/balancer/decaying_average.h
+++ b/balancer/decaying_average.h
@@ -1,4 +1,4 @@
-// Averages that give recent samples more weight, and the arithmetic on durations that goes with them.
+// Averages that give recent samples more weight, and conversions of durations that they need.
 #pragma once
 
 #include <algorithm>
@@ -14,8 +14,8 @@
   return Duration(static_cast<Duration::rep>(static_cast<double>(duration.count()) * factor));
 }
 
-// The arithmetic mean of the first samples; an exponentially weighted one over about the latest `memory`
-// samples after that.
+// The arithmetic mean of the first `memory` samples; after that an exponentially weighted mean over about the
+// latest `memory` samples.
 struct RunningMean {
   double value = 0;
   double samples = 0;  // at most `memory`
@@ -43,11 +43,11 @@
     samples += 1;
   }
 
-  // Less than one sample counts as one, the missing part of it being zero.
+  // The weighted mean. A total weight below one counts as one, as if the missing part were a sample of zero.
   double Share() const { return sum / std::max(1.0, samples); }
 };
 
-// A mean of microseconds as a duration; `unknown` where the mean is below one.
+// Converts a mean in microseconds to a duration; returns `unknown` if the mean is below one microsecond.
 inline Duration DurationOr(const RunningMean& mean, Duration unknown) {
   return mean.value >= 1 ? Duration(static_cast<Duration::rep>(mean.value)) : unknown;
 }
--- a/balancer/events.h
+++ b/balancer/events.h
@@ -1,4 +1,4 @@
-// What a sidecar tells the balancer.
+// The events that a sidecar passes to the balancer.
 #pragma once
 
 #include <cstdint>
@@ -17,19 +17,20 @@
 struct UpstreamInfo {
   UpstreamId id{};
   std::string zone{};
-  std::string kind{};  // machines of one kind are about equally fast; empty where kinds are not told
+  std::string kind{};  // hardware kind: machines of one kind are about equally fast; empty if unknown
   std::int64_t cell = 0;
   UpstreamState state = UpstreamState::kServing;
-  double weight = 1;                   // the registered size; 1 where none is registered
-  std::optional<TimePoint> started{};  // absent: long ago. A new time means a new process
+  double weight = 1;  // the registered capacity; 1 if none is registered
+  // Start time of the process; absent: started long ago. A new value means a new process.
+  std::optional<TimePoint> started{};
 };
 
 struct MembershipUpdate {
   enum class Kind {
-    kChanges,   // `upstreams` has only what changed
-    kFull,      // `upstreams` is the whole list: what is missing is gone
-    kRestored,  // the whole list as it was last seen, perhaps out of date
-    kFailed,    // a Subscribe failed or a subscription ended: the old list stands
+    kChanges,   // `upstreams` contains only the changed entries
+    kFull,      // `upstreams` is the full list: upstreams missing from it are gone
+    kRestored,  // the full list as last stored by the sidecar, possibly out of date
+    kFailed,    // a Subscribe failed or a subscription ended: the current list stays in force
   };
   Kind kind = Kind::kFull;
   std::vector<UpstreamInfo> upstreams;
@@ -40,20 +41,22 @@
   ClassId request_class{};
   std::optional<TenantId> tenant{};
   TimePoint deadline{};            // when the client gives up on this try
-  std::optional<Duration> work{};  // expected work, where it is known
-  bool client_retry = false;       // a client's own repeat, where clients say so
-  // Its body is still coming: `deadline` is reckoned as if it were complete now, and RequestCompleted
-  // follows.
+  std::optional<Duration> work{};  // expected work, if known
+  bool client_retry = false;       // a client's retry, if clients mark their retries
+
+  // The body is still being received. `deadline` is computed as if the body were complete now, and a
+  // RequestCompleted follows.
   bool body_pending = false;
 };
 
-// The last byte of a request with `body_pending` has come: its time counts from here.
+// The last byte of a request with `body_pending` was received: the request's time counts from here.
 struct RequestCompleted {
   RequestId request{};
   TimePoint deadline{};
 };
 
-// A streamed response has begun: the request is the client's from here on and has no deadline any more.
+// A streamed response has begun: from here on the client receives it, and the request has no deadline any
+// more.
 struct ResponseStarted {
   RequestId request{};
   AttemptId attempt{};
@@ -64,14 +67,16 @@
   RequestId request{};
   AttemptId attempt{};
   Outcome outcome = Outcome::kServed;
-  Duration elapsed{};               // since it was sent
-  bool response_delivered = false;  // the client has its response: no further one is owed
+  Duration elapsed{};               // since the attempt was sent
+  bool response_delivered = false;  // the client has its response: no other final answer is owed
   LoadReport load;
-  std::optional<Duration> connection_idle_for{};  // of the connection that it found, where that is known
-  bool body_consumed = false;  // the request can't be sent again, as some of its body is gone
+  // How long the connection that the attempt used had been idle, if known.
+  std::optional<Duration> connection_idle_for{};
+  // The request cannot be sent again, because a part of its body was discarded after forwarding.
+  bool body_consumed = false;
 };
 
-// The client left: no response is owed.
+// The client disconnected or cancelled: no response is owed.
 struct RequestCancelled {
   RequestId request{};
 };
@@ -89,11 +94,11 @@
   LoadReport load;
 };
 
-// What operators say of an upstream. Holds whatever the list says, until the next override; also for one that
-// is not listed now.
+// An operator's override for an upstream. It takes precedence over the endpoint list until the next override,
+// also for an upstream that is not listed at present.
 struct OperatorOverride {
   UpstreamId upstream;
-  bool disabled = true;  // it is sent nothing new
+  bool disabled = true;  // no new requests are sent to it
 };
 
 using Event =
--- a/balancer/failure_statistics.cpp
+++ b/balancer/failure_statistics.cpp
@@ -3,8 +3,8 @@
 namespace lb {
 namespace {
 
-// Calls after which a sample has decayed to 1/e: long enough to hold several failures of an upstream that
-// fails now and then, short enough to follow a change within seconds.
+// The number of calls after which a sample has decayed to 1/e: enough to include several failures of an
+// upstream that fails occasionally, and few enough to follow a change within seconds.
 constexpr double kOutcomeMemory = 20;
 
 }  // namespace
@@ -12,15 +12,15 @@
 void FailureStatistics::Record(Upstream& upstream, Outcome outcome) {
   if (stale_) Recount();
   FailureState& state = upstream.failures;
-  const bool counts = IsPeer(upstream);
-  if (counts) {
+  const bool is_peer = IsPeer(upstream);
+  if (is_peer) {
     calls_ -= state.calls;
     failures_ -= state.failures;
   }
   state.calls += 1 - state.calls / kOutcomeMemory;
   state.failures += (outcome == Outcome::kServed ? 0 : 1) - state.failures / kOutcomeMemory;
   state.timeouts += (outcome == Outcome::kTimeout ? 1 : 0) - state.timeouts / kOutcomeMemory;
-  if (counts) {
+  if (is_peer) {
     calls_ += state.calls;
     failures_ += state.failures;
   }
@@ -41,7 +41,7 @@
   return !upstream.failures.excluded && upstream.info.state == UpstreamState::kServing;
 }
 
-// In the order of the ring: rounding depends on it. An upstream without an outcome adds nothing.
+// Adds in ring order, because rounding depends on the order. An upstream without an outcome adds nothing.
 void FailureStatistics::Recount() const {
   stale_ = false;
   calls_ = 0;
--- a/balancer/hedging_policy.h
+++ b/balancer/hedging_policy.h
@@ -1,5 +1,5 @@
-// Hedged requests, as in gRPC and "The Tail at Scale" (Dean, Barroso 2013): a second attempt beside the first
-// for a request that is late against what is usual, because its upstream hangs.
+// Hedged requests, as in gRPC and "The Tail at Scale" (Dean and Barroso, 2013): a second attempt beside the
+// first for a request that is late compared with the usual response time because its upstream hangs.
 #pragma once
 
 #include <optional>
@@ -15,13 +15,13 @@
 
 class HedgingPolicy {
  public:
-  // All have to outlive this.
+  // All arguments have to outlive this object.
   HedgingPolicy(const Limits& limits, const LatencyStatistics& latency, const OutlierDetector& outliers,
                 const ConcurrencyLimiter& limiter, const RetryBudget& budget)
       : limits_(limits), latency_(latency), outliers_(outliers), limiter_(limiter), budget_(budget) {}
 
-  // Sets when `request` counts as late, from now on. Returns when Decide() is to be called; nothing where no
-  // hedged request may be sent by then.
+  // Sets the time from which `request` counts as late, and returns it as the time at which Decide() is to be
+  // called. Returns nothing if no hedged request may be sent then.
   std::optional<TimePoint> Schedule(Request& request, TimePoint now) const;
 
   enum class Decision { kNone, kSend, kReschedule };
--- a/balancer/latency_statistics.cpp
+++ b/balancer/latency_statistics.cpp
@@ -7,12 +7,13 @@
 namespace lb {
 namespace {
 
-// Calls that the averages over a class or a kind of machine remember.
+// The number of calls that the averages over a class or a kind of machine cover.
 constexpr double kClassMemory = 50;
-// Calls that the averages of one upstream remember: fewer, as its state changes faster than that of all.
+// The number of calls that the averages of one upstream cover: fewer, because its state changes faster than
+// that of all.
 constexpr double kUpstreamMemory = 10;
-// The usual time of a class without a response yet, as a part of its latency objective.
-constexpr int kUnknownTimeDivisor = 4;
+// Divides the latency objective to give the usual time of a class without a response yet.
+constexpr int kInitialUsualTimeDivisor = 4;
 
 }  // namespace
 
@@ -29,7 +30,8 @@
   if (ProvesNotRun(outcome) || outcome == Outcome::kError || outcome == Outcome::kReset) return;
   const double usual = static_cast<double>(UsualTime(sample.request_class).count());
   const double ratio = std::min(time / usual, 2 * kMaxRelativeLatency);
-  // No response so far means that it takes at least as long; not where others are fast there.
+  // An attempt without a response took at least as long as it was waited for. It is not counted if it ended
+  // sooner than the upstream's responses usually take, or if the upstream responds fast to other requests.
   if (outcome != Outcome::kServed && (ratio < RelativeLatency(upstream) || !IsLoaded(upstream))) return;
   LatencyState& state = upstream.latency;
   state.relative_latency.Add(ratio, kUpstreamMemory);
@@ -47,21 +49,23 @@
 
 Duration LatencyStatistics::UsualTime(std::size_t request_class) const {
   return DurationOr(usual_time_[request_class],
-                    settings_.classes[request_class].latency_objective / kUnknownTimeDivisor);
+                    settings_.classes[request_class].latency_objective / kInitialUsualTimeDivisor);
 }
 
 Duration LatencyStatistics::UsualTime() const {
-  return DurationOr(usual_time_of_all_, settings_.classes[0].latency_objective / kUnknownTimeDivisor);
+  return DurationOr(usual_time_of_all_, settings_.classes[0].latency_objective / kInitialUsualTimeDivisor);
 }
 
 double LatencyStatistics::ExpectedSeconds(const Upstream& upstream, double in_flight,
                                           std::size_t request_class, double warm_up) const {
   const RunningMean& own = upstream.latency.in_flight_reported;
-  const double then = (kKindPrior * std::max(1.0, usual_in_flight_.value) + own.samples * own.value) /
-                      (kKindPrior + own.samples);
-  return Seconds(UsualTime(request_class)) * RelativeLatency(upstream) / warm_up * (in_flight + 1) / then;
+  const double usual_in_flight =
+      (kKindPrior * std::max(1.0, usual_in_flight_.value) + own.samples * own.value) /
+      (kKindPrior + own.samples);
+  return Seconds(UsualTime(request_class)) * RelativeLatency(upstream) / warm_up * (in_flight + 1) /
+         usual_in_flight;
 }
 
-bool LatencyStatistics::KnowsReportedLoad() const { return usual_in_flight_.samples >= kKindPrior; }
+bool LatencyStatistics::HasEnoughLoadReports() const { return usual_in_flight_.samples >= kKindPrior; }
 
 }  // namespace lb
--- a/balancer/latency_statistics.h
+++ b/balancer/latency_statistics.h
@@ -1,4 +1,4 @@
-// Response times: the usual one of each class of requests, and how each upstream compares with it.
+// Response times: the usual time of each request class, and the relative latency of each upstream.
 #pragma once
 
 #include <algorithm>
@@ -13,68 +13,69 @@
 
 namespace lb {
 
-// What a finished attempt says about latency.
+// The latency data of a finished attempt.
 struct LatencySample {
   std::size_t request_class = 0;
   Outcome outcome = Outcome::kServed;
   Duration elapsed{};
-  double reported_in_flight = 0;  // by a load probe before the call, the call included; 0: not reported
+  // Requests in flight as a load probe reported before the call, this call included; 0: not reported.
+  double reported_in_flight = 0;
 };
 
 class LatencyStatistics {
  public:
-  // `settings` has to outlive this.
+  // `settings` has to outlive this object.
   explicit LatencyStatistics(const Settings& settings);
 
-  // To be called before any other call about an upstream that enters or whose kind may have changed.
+  // Must be called for an upstream that enters, or whose kind may have changed, before any other call about
+  // it.
   void AssignKind(Upstream& upstream);
 
   void Record(Upstream& upstream, const LatencySample& sample);
 
-  // The usual response time of a class, and over all classes; a quarter of the latency objective while it is
-  // not known. Always positive.
+  // The usual response time of a class, and over all classes; a quarter of the latency objective while no
+  // response is known. Always positive.
   Duration UsualTime(std::size_t request_class) const;
   Duration UsualTime() const;
 
-  // An upstream's response times as a multiple of the usual one of their class: 1/3 to 3. With few calls an
-  // upstream is seen too seldom to know; until it has responded often, it is taken for the usual one of its
-  // kind of machine.
+  // An upstream's response times as a multiple of the usual time of their class: 1/3 to 3. While an upstream
+  // has few responses, the estimate is close to the mean of its kind of machine.
   static double RelativeLatency(const Upstream& upstream) {
     const RunningMean& own = upstream.latency.relative_latency;
     const RunningMean& kind = *upstream.latency.kind_relative_latency;
-    const double known = kKindPrior * (kind.samples > 0 ? kind.value : 1) + own.samples * own.value;
-    return std::clamp(known / (kKindPrior + own.samples), 1 / kMaxRelativeLatency, kMaxRelativeLatency);
+    const double weighted_sum = kKindPrior * (kind.samples > 0 ? kind.value : 1) + own.samples * own.value;
+    return std::clamp(weighted_sum / (kKindPrior + own.samples), 1 / kMaxRelativeLatency,
+                      kMaxRelativeLatency);
   }
 
-  // Its responses take so much of their latency objectives that a time-out there tells of load. One that
-  // swallows some requests and responds to the others fast is not loaded.
+  // Whether the responses of the upstream take so much of their latency objectives that its time-outs
+  // indicate load. An upstream that responds fast to most requests and never to some is not loaded.
   static bool IsLoaded(const Upstream& upstream) {
     return upstream.latency.objective_share.value >= kLoadedObjectiveShare;
   }
 
-  // The time of a response, in seconds, from an upstream that has `in_flight` requests by its own report: in
-  // proportion to what its responses took with the requests that it had then. `warm_up`: its warm-up
-  // fraction.
+  // The expected response time, in seconds, of an upstream that reports `in_flight` requests: its usual time
+  // scaled by the ratio of `in_flight` to the requests that it usually had. `warm_up`: its warm-up fraction.
   double ExpectedSeconds(const Upstream& upstream, double in_flight, std::size_t request_class,
                          double warm_up) const;
-  // Enough reports have come for ExpectedSeconds() to rest on them.
-  bool KnowsReportedLoad() const;
+  // Whether enough load reports were recorded for ExpectedSeconds() to be meaningful.
+  bool HasEnoughLoadReports() const;
 
  private:
-  // What is known of an upstream's kind weighs as much as this many calls of its own.
+  // The mean of an upstream's kind weighs as much as this many of its own calls.
   static constexpr double kKindPrior = 5;
-  // Bounds the relative latency in both directions: one outlying response must not decide.
+  // Bounds the relative latency in both directions, so that a single extreme response does not decide.
   static constexpr double kMaxRelativeLatency = 3;
-  // An overloaded upstream is slow with all its responses. A time-out tells of load only where its responses
-  // take this share of their latency objectives in the mean; shedding for one that swallows some requests
-  // would not help.
+  // An overloaded upstream is slow with all its responses. Time-outs indicate load only if the responses of
+  // the upstream take this share of their latency objectives in the mean; shedding load for an upstream that
+  // fails to answer only some requests would not help.
   static constexpr double kLoadedObjectiveShare = 0.35;
 
   const Settings& settings_;
-  std::vector<RunningMean> usual_time_;                       // microseconds, by class
-  RunningMean usual_time_of_all_;                             // microseconds
-  RunningMean usual_in_flight_;                               // reported by an upstream during a call
-  std::map<std::string, RunningMean> kind_relative_latency_;  // by kind; upstreams point into it
+  std::vector<RunningMean> usual_time_;  // microseconds, by class
+  RunningMean usual_time_of_all_;        // microseconds
+  RunningMean usual_in_flight_;          // reported requests in flight at an upstream during a call
+  std::map<std::string, RunningMean> kind_relative_latency_;  // by kind; upstreams point to values
 };
 
 }  // namespace lb
--- a/balancer/lateness_statistics.cpp
+++ b/balancer/lateness_statistics.cpp
@@ -3,10 +3,10 @@
 namespace lb {
 namespace {
 
-// What took this share of its latency objective counts as late, so that load is shed before responses lose
-// their value.
+// A response that took this share of its latency objective counts as late, so that load is shed before
+// responses lose their value.
 constexpr double kLateObjectiveShare = 0.75;
-// Of all recent calls. Some lateness is ordinary.
+// The share of late calls above which lateness is widespread. Some lateness is normal.
 constexpr double kWidespreadShare = 0.15;
 
 }  // namespace
--- a/balancer/lateness_statistics.h
+++ b/balancer/lateness_statistics.h
@@ -1,5 +1,5 @@
-// The recent share of responses that came late or never: of each upstream and of all. Tells how likely the
-// next call to an upstream is late, and whether the service is overloaded.
+// The recent share of late or missing responses, for each upstream and for all together. It estimates the
+// risk that the next call to an upstream is late, and shows whether the service is overloaded.
 #pragma once
 
 #include "balancer/decaying_average.h"
@@ -10,19 +10,20 @@
 
 class LatenessStatistics {
  public:
-  // `memory`: the time constant by which samples decay.
+  // `memory`: the time constant of the decay of samples.
   explicit LatenessStatistics(Duration memory) : memory_(memory) {}
 
-  // Late against the latency objective of its class, or without a response.
+  // Whether the outcome counts as late: a response near or after the latency objective of its class, or no
+  // response.
   static bool IsLate(const RequestClass& request_class, Outcome outcome, Duration elapsed);
 
   void Record(Upstream& upstream, bool late, TimePoint now);
 
-  // So many of all recent calls were late that the service is overloaded.
+  // Whether so many of all recent calls were late that the service is overloaded.
   bool IsWidespread(TimePoint now) const;
 
-  // How likely a call to `upstream` is late, 0 to 1: by its own recent calls and, as far as they are few, by
-  // those of all, the latter counted `weight_of_all` times.
+  // The estimated probability, 0 to 1, that a call to `upstream` is late. Based on its own recent calls and
+  // on the mean over all upstreams, which counts like one call and is multiplied by `weight_of_all`.
   double Risk(const Upstream& upstream, TimePoint now, double weight_of_all = 1) const;
 
   Duration memory() const { return memory_; }
--- a/balancer/load_prober.cpp
+++ b/balancer/load_prober.cpp
@@ -8,18 +8,19 @@
 namespace lb {
 namespace {
 
-// The share of the service that probes may cost.
-constexpr double kMaxCost = 0.01;
-// Probes for one request, at most.
+// The share of the service's value that probes may cost.
+constexpr double kMaxProbeCost = 0.01;
+// The maximum number of probes for one request.
 constexpr double kMaxProbes = 3;
-// Where probes cost too much to be sent for each request: the first choice and one to turn to.
+// If probes are too expensive to be sent for each request: the number of upstreams probed for a request at
+// risk of being late, which are the first choice and one alternative.
 constexpr std::size_t kProbesAtRisk = 2;
 // A cost of zero would make the number of probes infinite.
-constexpr double kMinCost = 1e-9;
+constexpr double kMinProbeCost = 1e-9;
 // The share of the connect time-out that a request waits for reports.
 constexpr double kWaitShare = 0.1;
-// An upstream that has more in flight than it serves in this share of the latency objective is overloaded: a
-// request would be late and keep it so.
+// An upstream that has more in flight than it serves within this share of the latency objective is
+// overloaded: another request would be late and prolong the overload.
 constexpr double kOverloadShare = 0.5;
 
 }  // namespace
@@ -35,8 +36,8 @@
       locality_(locality),
       requests_(requests) {
   if (!settings.load_by_probe || !settings.limits.load_probes_allowed) return;
-  cost_ = std::max(settings.decision_costs.probe, kMinCost);
-  probes_ = static_cast<std::size_t>(std::clamp(kMaxCost / cost_, 1.0, kMaxProbes));
+  cost_ = std::max(settings.decision_costs.probe, kMinProbeCost);
+  probes_ = static_cast<std::size_t>(std::clamp(kMaxProbeCost / cost_, 1.0, kMaxProbes));
 }
 
 std::size_t LoadProber::ProbeCount(const Upstream& first, TimePoint now) const {
@@ -46,15 +47,15 @@
 Duration LoadProber::WaitTime() const { return Scaled(settings_.limits.connect_timeout, kWaitShare); }
 
 bool LoadProber::ClaimProbe(Upstream& upstream) {
-  const bool claimed = !upstream.load_probe_out;
-  upstream.load_probe_out = true;
+  const bool claimed = !upstream.load_probe_pending;
+  upstream.load_probe_pending = true;
   return claimed;
 }
 
 void LoadProber::EndWaiting(const Request& request) { std::erase(waiting_, request.id); }
 
 std::vector<RequestId> LoadProber::RecordReport(const UpstreamPtr& upstream, const LoadReport& report) {
-  upstream->load_probe_out = false;
+  upstream->load_probe_pending = false;
   for (const RequestId id : waiting_) {
     for (LoadProbe& probe : requests_.Find(id)->load_probes) {
       if (probe.upstream == upstream) probe = {upstream, true, report.in_flight, report.rate.value_or(0)};
@@ -74,7 +75,7 @@
 LoadProber::Choice LoadProber::Choose(const Request& request, const std::vector<LoadProbe>& reports,
                                       TimePoint now) const {
   Choice choice;
-  double least = 0;
+  double least_load = 0;
   const double mean_weight =
       membership_.listed_weight().value() / static_cast<double>(std::max<std::size_t>(1, membership_.size()));
   for (const LoadProbe& report : reports) {
@@ -84,16 +85,19 @@
                             Seconds(request.request_class->latency_objective);
     const bool overloaded = IsOverloaded(request, report, expected);
     choice.overloaded |= overloaded;
-    // One that the operators enabled and that has had no request yet is chosen, to be seen in use again.
-    const bool unseen = Membership::IsEnabledByOperators(upstream) &&
-                        FailureStatistics::RecentCalls(upstream) + ConcurrencyLimiter::InFlight(upstream) < 1;
-    // About how likely the response is late, beside the cost of a cross-zone call.
-    const double load =
-        unseen ? 0 : std::pow(expected * mean_weight / upstream.info.weight, 2) + locality_.Cost(upstream);
-    if (overloaded || (choice.upstream && load >= least)) continue;
+    // An upstream that the operators enabled and that has had no request since then is preferred, so that it
+    // is seen in use again.
+    const bool unused_since_enabled =
+        Membership::IsEnabledByOperators(upstream) &&
+        FailureStatistics::RecentCalls(upstream) + ConcurrencyLimiter::InFlight(upstream) < 1;
+    // Approximates the risk of a late response, plus the cost of a cross-zone call.
+    const double load = unused_since_enabled ? 0
+                                             : std::pow(expected * mean_weight / upstream.info.weight, 2) +
+                                                   locality_.Cost(upstream);
+    if (overloaded || (choice.upstream && load >= least_load)) continue;
     choice.upstream = report.upstream;
     choice.in_flight = *report.in_flight + 1;
-    least = load;
+    least_load = load;
   }
   return choice;
 }
@@ -103,7 +107,7 @@
     return *report.in_flight >
            report.rate * kOverloadShare * Seconds(request.request_class->latency_objective);
   }
-  return expected_share > kOverloadShare && latency_.KnowsReportedLoad();
+  return expected_share > kOverloadShare && latency_.HasEnoughLoadReports();
 }
 
 }  // namespace lb
--- a/balancer/load_prober.h
+++ b/balancer/load_prober.h
@@ -1,6 +1,6 @@
-// Load probes, after Prequal (Wydrowski et al. 2024): where upstreams report their load when probed, a
-// request asks a few before it is sent and takes the one with the least load for its speed. A sidecar with
-// few requests does not see the queues that other sidecars' requests make.
+// Load probes, after Prequal (Wydrowski et al., 2024): if upstreams report their load when probed, a few are
+// probed before a request is sent, and the request goes to the one with the least load for its speed. Without
+// probes, a sidecar with few requests does not see the queues caused by other sidecars' requests.
 #pragma once
 
 #include <cstddef>
@@ -20,36 +20,38 @@
 
 class LoadProber {
  public:
-  // All have to outlive this.
+  // All arguments have to outlive this object.
   LoadProber(const Settings& settings, const Membership& membership, const LatencyStatistics& latency,
              const LatenessStatistics& lateness, const SlowStart& slow_start, const ZoneLocality& locality,
              RequestTable& requests);
 
-  // Requests of this deployment are probed for whatever their risk.
+  // Whether every request is probed for, regardless of its risk of being late.
   bool ProbesEachRequest() const { return probes_ > 1; }
-  // Upstreams to ask for a request that would go to `first`. 1: none, it is sent there.
+  // The number of upstreams to probe for a request that would go to `first`. 1: none; the request is sent to
+  // `first`.
   std::size_t ProbeCount(const Upstream& first, TimePoint now) const;
-  // A request waits no longer than this for the reports.
+  // The maximum time that a request waits for reports.
   Duration WaitTime() const;
 
-  // True where `upstream` is to be probed; false while a probe is out, whose report serves all requests that
-  // wait for it: a burst would open a connection for each probe.
+  // Returns true if a probe is to be sent to `upstream`; false if one is pending. The report of a pending
+  // probe serves all requests that wait for it; otherwise a burst would open a connection for each probe.
   static bool ClaimProbe(Upstream& upstream);
-  // The request waits for the reports of its `load_probes`, until EndWaiting().
+  // Registers a request to receive the reports of its `load_probes`, until EndWaiting().
   void BeginWaiting(const Request& request) { waiting_.push_back(request.id); }
   void EndWaiting(const Request& request);
 
-  // A probe ended. Returns the requests that waited for reports.
+  // Records the end of a probe. Returns all requests that wait for reports.
   std::vector<RequestId> RecordReport(const UpstreamPtr& upstream, const LoadReport& report);
-  // A request is sent to `upstream`: reports that others wait with did not count it.
+  // Must be called when a request is sent to `upstream`: adds it to the reports held for waiting requests,
+  // which do not include it.
   void OnRequestSent(const UpstreamPtr& upstream);
 
   struct Choice {
-    UpstreamPtr upstream;     // null where none is good
-    double in_flight = 0;     // there, by its report, with the request that is chosen for
-    bool overloaded = false;  // one at least has more in flight than it serves within the latency objective
+    UpstreamPtr upstream;     // null if no upstream is suitable
+    double in_flight = 0;     // reported requests in flight at the upstream, plus the request being placed
+    bool overloaded = false;  // at least one of the reporting upstreams is overloaded
   };
-  // Of the upstreams that reported, the one with the least load.
+  // Chooses the upstream with the least load among those that reported.
   Choice Choose(const Request& request, const std::vector<LoadProbe>& reports, TimePoint now) const;
 
  private:
@@ -62,8 +64,8 @@
   const SlowStart& slow_start_;
   const ZoneLocality& locality_;
   RequestTable& requests_;
-  std::size_t probes_ = 1;          // upstreams asked for each request; 1: none
-  double cost_ = 1;                 // of a probe, as a share of a request's value; 1: none is to be sent
+  std::size_t probes_ = 1;          // upstreams probed for each request; 1: none
+  double cost_ = 1;                 // cost of a probe as a share of a request's value; 1: no probes are sent
   std::vector<RequestId> waiting_;  // requests that wait for reports
 };
 
--- a/balancer/log_lines.cpp
+++ b/balancer/log_lines.cpp
@@ -11,8 +11,9 @@
   return byte > ' ' && byte < 0x7f && c != '"' && c != '=' && c != '\\';
 }
 
-// An id may hold any bytes. One with spaces, quotes, equals signs or bytes beyond printable ASCII, or without
-// any character, is quoted; control characters become spaces, so that a line stays one line.
+// Formats a field value, which may contain any bytes. A value that is empty or contains spaces, quotes,
+// equals signs, backslashes or bytes beyond printable ASCII is quoted. Control characters become spaces, so
+// that the log line stays one line.
 std::string FieldValue(const std::string& value) {
   if (!value.empty() && std::ranges::all_of(value, IsPlain)) return value;
   std::string quoted = "\"";
--- a/balancer/log_lines.h
+++ b/balancer/log_lines.h
@@ -1,4 +1,4 @@
-// The texts of LogLine: an event name and its fields, `event key=value ...`.
+// The texts of LogLine: an event name and its fields, as `event key=value ...`.
 #pragma once
 
 #include <string>
@@ -10,7 +10,7 @@
 enum class ReadmissionReason { kEjectionExpired, kProbesSucceeded };
 enum class SheddingReason { kOverload, kNoUpstream };
 
-// `failures`: consecutive ones that led to the ejection.
+// `failures`: the consecutive failures that led to the ejection.
 std::string UpstreamEjectedLine(const UpstreamId& upstream, int failures, Duration ejection_time);
 std::string UpstreamReadmittedLine(const UpstreamId& upstream, ReadmissionReason reason);
 std::string SheddingStartedLine(SheddingReason reason);
--- a/balancer/membership.cpp
+++ b/balancer/membership.cpp
@@ -6,10 +6,11 @@
 namespace lb {
 namespace {
 
-// More changes at a time than this are merged in one pass over the list; fewer are inserted one by one.
-constexpr std::size_t kFewChanges = 8;
+// Up to this many changes are applied one by one; more are merged in one pass over the list.
+constexpr std::size_t kMaxSeparateChanges = 8;
 
-// The rank of an id on the ring: FNV-1a with a finalizer that spreads ids evenly, the same on every platform.
+// The rank of an id on the ring: FNV-1a with a finalizer that distributes ids evenly, the same on every
+// platform.
 std::uint64_t RankOf(const std::string& id) {
   std::uint64_t hash = 0xcbf29ce484222325;
   for (const char c : id) hash = (hash ^ static_cast<unsigned char>(c)) * 0x100000001b3;
@@ -31,13 +32,13 @@
   return index >= first_ ? index - first_ : index + ring_.size() - first_;
 }
 
-void Membership::BeginWholeList() {
+void Membership::BeginFullList() {
   ++list_number_;
-  whole_list_open_ = true;
+  full_list_open_ = true;
 }
 
-// A new start time is a new process: the failures and the ejection belong to the one that died.
-Membership::Adopted Membership::Adopt(const UpstreamInfo& info) {
+// A new start time means a new process: the failures and the ejection belong to the earlier process.
+Membership::AppliedEntry Membership::ApplyEntry(const UpstreamInfo& info) {
   UpstreamPtr upstream = Find(info.id.value);
   const bool was_serving = upstream && upstream->info.state == UpstreamState::kServing;
   const bool new_process = !upstream || (info.started && info.started != upstream->info.started);
@@ -51,12 +52,12 @@
     if (in_force.disabled && info.state == UpstreamState::kServing)
       upstream->info.state = UpstreamState::kDraining;
   }
-  Touch(upstream);
+  MarkChanged(upstream);
   return {upstream, new_process, new_process || !was_serving};
 }
 
-// An enabled upstream may have restarted while it was disabled, and the list tells that late: it comes back
-// without history, and warms up like one that starts now.
+// An upstream may have restarted while it was disabled, and the list may show that late. Therefore an enabled
+// upstream returns without history and warms up as if it started now.
 std::optional<UpstreamInfo> Membership::ApplyOverride(const std::string& id, Override change, TimePoint now) {
   const bool disabled = change == Override::kDisable;
   OverrideInForce& in_force = overrides_[id];
@@ -82,24 +83,24 @@
   const auto it = index_.find(id);
   if (it == index_.end()) return;
   it->second->info.state = UpstreamState::kGone;
-  Touch(it->second);
+  MarkChanged(it->second);
   index_.erase(it);
 }
 
-void Membership::Touch(const UpstreamPtr& upstream) {
+void Membership::MarkChanged(const UpstreamPtr& upstream) {
   ++visits_;
   upstream->membership.listed_in = list_number_;
-  touched_.push_back(upstream);
+  changed_.push_back(upstream);
 }
 
-void Membership::Settle() {
-  if (whole_list_open_) DropUnlisted();
-  whole_list_open_ = false;
-  const std::vector<UpstreamPtr> touched = std::move(touched_);
-  touched_.clear();
+void Membership::CommitUpdate() {
+  if (full_list_open_) DropUnlisted();
+  full_list_open_ = false;
+  const std::vector<UpstreamPtr> changed = std::move(changed_);
+  changed_.clear();
   std::vector<Upstream*> entering;
   std::vector<Upstream*> leaving;
-  for (const UpstreamPtr& upstream : touched) {
+  for (const UpstreamPtr& upstream : changed) {
     MembershipState& state = upstream->membership;
     const bool stays = upstream->info.state != UpstreamState::kGone;
     weight_.Subtract(state.weight);
@@ -109,11 +110,11 @@
     if (stays) state.listed = true;
     if (!stays) leaving.push_back(upstream.get());
   }
-  if (entering.size() + leaving.size() > kFewChanges) {
-    LeaveTogether(leaving);
+  if (entering.size() + leaving.size() > kMaxSeparateChanges) {
+    RemoveAllFromRings(leaving);
     ring_.Merge(std::move(entering), visits_);
   } else {
-    for (Upstream* upstream : leaving) Leave(*upstream);
+    for (Upstream* upstream : leaving) RemoveFromRings(*upstream);
     for (Upstream* upstream : entering) ring_.Insert(*upstream, visits_);
   }
   first_ = static_cast<std::size_t>(own_place_ * static_cast<double>(ring_.size()));
@@ -124,11 +125,11 @@
   for (std::size_t i = 0; i < ring_.size(); ++i) {
     if (ring_[i]->membership.listed_in == list_number_) continue;
     ring_[i]->info.state = UpstreamState::kGone;
-    touched_.push_back(ring_[i]->shared_from_this());
+    changed_.push_back(ring_[i]->shared_from_this());
   }
 }
 
-void Membership::Leave(Upstream& upstream) {
+void Membership::RemoveFromRings(Upstream& upstream) {
   MembershipState& state = upstream.membership;
   if (state.listed) ring_.Erase(upstream, visits_);
   if (state.monitored) monitored_.Erase(upstream, visits_);
@@ -136,23 +137,23 @@
   state.listed = false;
   state.monitored = false;
   state.observed = false;
-  Forget(upstream);
+  EraseFromIndex(upstream);
 }
 
-void Membership::LeaveTogether(const std::vector<Upstream*>& leaving) {
+void Membership::RemoveAllFromRings(const std::vector<Upstream*>& leaving) {
   for (Upstream* upstream : leaving) {
     upstream->membership.listed = false;
     upstream->membership.monitored = false;
     upstream->membership.observed = false;
-    Forget(*upstream);
+    EraseFromIndex(*upstream);
   }
   ring_.EraseIf([](const Upstream* upstream) { return !upstream->membership.listed; }, visits_);
   monitored_.EraseIf([](const Upstream* upstream) { return !upstream->membership.monitored; }, visits_);
   observed_.EraseIf([](const Upstream* upstream) { return !upstream->membership.observed; }, visits_);
 }
 
-// The id may belong to a newer process by now.
-void Membership::Forget(const Upstream& upstream) {
+// The id may already belong to a newer process, whose entry must stay.
+void Membership::EraseFromIndex(const Upstream& upstream) {
   const auto it = index_.find(upstream.info.id.value);
   if (it != index_.end() && it->second.get() == &upstream) index_.erase(it);
 }
@@ -163,7 +164,7 @@
   monitored_.Insert(upstream, visits_);
 }
 
-std::vector<Upstream*> Membership::Monitored() const { return FromOwnPlace(monitored_); }
+std::vector<Upstream*> Membership::Monitored() const { return InRingOrder(monitored_); }
 
 void Membership::MarkObserved(Upstream& upstream) {
   if (upstream.membership.observed) return;
@@ -171,17 +172,17 @@
   observed_.Insert(upstream, visits_);
 }
 
-std::vector<Upstream*> Membership::Observed() const { return FromOwnPlace(observed_); }
+std::vector<Upstream*> Membership::Observed() const { return InRingOrder(observed_); }
 
-std::vector<Upstream*> Membership::FromOwnPlace(const Ring& some) const {
-  std::vector<Upstream*> along;
-  if (some.size() == 0) return along;
-  along.reserve(some.size());
-  const std::size_t first = some.IndexOf(*ring_[first_], visits_);
-  for (std::size_t i = first; i < some.size(); ++i) along.push_back(some[i]);
-  for (std::size_t i = 0; i < first; ++i) along.push_back(some[i]);
-  visits_ += some.size();
-  return along;
+std::vector<Upstream*> Membership::InRingOrder(const Ring& ring) const {
+  std::vector<Upstream*> in_order;
+  if (ring.size() == 0) return in_order;
+  in_order.reserve(ring.size());
+  const std::size_t first = ring.IndexOf(*ring_[first_], visits_);
+  for (std::size_t i = first; i < ring.size(); ++i) in_order.push_back(ring[i]);
+  for (std::size_t i = 0; i < first; ++i) in_order.push_back(ring[i]);
+  visits_ += ring.size();
+  return in_order;
 }
 
 }  // namespace lb
--- a/balancer/membership.h
+++ b/balancer/membership.h
@@ -1,4 +1,4 @@
-// The endpoint list: the upstreams that are listed, by id and on the ring, and the sum of their weights.
+// The endpoint list: the listed upstreams, indexed by id and ordered on a ring, and the sum of their weights.
 #pragma once
 
 #include <algorithm>
@@ -15,47 +15,50 @@
 
 namespace lb {
 
-// A change of the list costs what it changes: nothing here walks the whole list but where a whole list is
-// given. A list is taken in by BeginWholeList(), if it is whole, then Adopt() for each entry, then Settle().
+// A change costs time in proportion to the changed entries: only a full list visits all upstreams. An update
+// is applied by BeginFullList() if it is a full list, ApplyEntry() for each entry, and CommitUpdate().
 class Membership {
  public:
   enum class Override { kDisable, kEnable };
 
-  // `own_place`: of this sidecar on the ring, from 0 up to 1. Deterministic subsetting (aperture): all
-  // sidecars order the upstreams alike on one ring, and the subset of each is the stretch that begins at its
-  // own place. The places are spread evenly by the sidecars' numbers, so that each upstream is in about as
-  // many subsets. A change of the list moves a subset by one upstream at most.
+  // `own_place`: the position of this sidecar on the ring, in [0, 1). Implements deterministic subsetting
+  // (aperture): all sidecars order the upstreams alike on one ring, and the subset of a sidecar is the
+  // segment that begins at its own place. The places are spread evenly by the sidecars' numbers, so that each
+  // upstream is in about the same number of subsets. A change of the list moves a subset by one upstream at
+  // most.
   explicit Membership(double own_place) : own_place_(own_place) {}
 
   std::size_t size() const { return ring_.size(); }
-  // Null where no upstream has this id.
+  // Returns null if no upstream has this id.
   UpstreamPtr Find(const std::string& id) const;
-  // `place` counts from this sidecar's own, and is less than size().
+  // Returns the upstream at `place`, which counts from this sidecar's own place and is less than size().
   Upstream& At(std::size_t place) const {
     ++visits_;
     const std::size_t index = first_ + place;
     return *ring_[index < ring_.size() ? index : index - ring_.size()];
   }
-  // The inverse of At(). `upstream` is listed.
+  // The inverse of At(). `upstream` must be listed.
   std::size_t PlaceOf(const Upstream& upstream) const;
 
-  // A whole list follows: what is not adopted from here to the next Settle() is gone.
-  void BeginWholeList();
-  struct Adopted {
+  // Begins a full list: upstreams that are not passed to ApplyEntry() before the next CommitUpdate() are
+  // gone.
+  void BeginFullList();
+  struct AppliedEntry {
     UpstreamPtr upstream;
-    bool new_process = false;  // it has no history
-    bool enters = false;       // it was not serving before
+    bool new_process = false;  // a new process, without history
+    bool enters = false;       // the upstream was not serving before
   };
-  // Takes in one entry of a list or of a change.
-  Adopted Adopt(const UpstreamInfo& info);
-  // The operators' word holds whatever the list says. Returns the entry to adopt now; nothing where the
-  // override changes nothing or the id is not listed.
+  // Applies one entry of a full list or of a change.
+  AppliedEntry ApplyEntry(const UpstreamInfo& info);
+  // Applies an operator's override, which takes precedence over the endpoint list. Returns the entry to pass
+  // to ApplyEntry() now; nothing if the override changes nothing or the id is not listed.
   std::optional<UpstreamInfo> ApplyOverride(const std::string& id, Override change, TimePoint now);
-  // Ends a list or a change. Those gone leave the ring and live on while requests refer to them.
-  void Settle();
+  // Ends a full list or a change. Upstreams that are gone leave the ring; they stay alive while requests
+  // refer to them.
+  void CommitUpdate();
 
-  // When the process started, as far as that is known: an upstream that operators enabled may have restarted
-  // while it was disabled.
+  // The start time of the process, as far as it is known. An upstream that operators enabled may have
+  // restarted while it was disabled, so the time of enabling counts as its start.
   static std::optional<TimePoint> StartTime(const Upstream& upstream) {
     return std::max(upstream.info.started, upstream.membership.enabled_at);
   }
@@ -63,13 +66,14 @@
     return upstream.membership.enabled_at.has_value();
   }
 
-  // Of all that serve by the list.
+  // The sum of the weights of all upstreams that serve according to the list.
   const WeightSum& listed_weight() const { return weight_; }
 
-  // The few that housekeeping has to look at: in use, failing, ejected or warming up. Whoever makes an
-  // upstream such a one calls Monitor(); StopMonitoring() drops those that are such no more.
+  // Housekeeping visits only the monitored upstreams: those in use, failing, ejected or warming up. A
+  // component that puts an upstream into one of these states calls Monitor(). StopMonitoring() drops those
+  // for which `condition` holds.
   void Monitor(Upstream& upstream);
-  std::vector<Upstream*> Monitored() const;  // along the ring from this sidecar's place
+  std::vector<Upstream*> Monitored() const;  // in ring order from this sidecar's place
   template <typename Condition>
   void StopMonitoring(Condition condition) {
     const auto dropped = [&condition](Upstream* upstream) {
@@ -79,11 +83,11 @@
     monitored_.EraseIf(dropped, visits_);
   }
 
-  // Those to which a call has ended, likewise along the ring.
+  // Upstreams to which a call has ended, in ring order from this sidecar's place.
   void MarkObserved(Upstream& upstream);
   std::vector<Upstream*> Observed() const;
 
-  // How many upstreams were looked at so far, for tests of what a change costs.
+  // The number of upstream entries visited so far, for tests of the cost of a change.
   std::size_t visits() const { return visits_; }
 
  private:
@@ -91,25 +95,26 @@
     bool disabled = false;
     TimePoint at;
   };
-  UpstreamPtr Replace(const std::string& id);  // by a new process
+  // Adds a new process in place of the earlier one with this id.
+  UpstreamPtr Replace(const std::string& id);
   void Drop(const std::string& id);
-  void Touch(const UpstreamPtr& upstream);
-  void DropUnlisted();  // what a whole list left out
-  void Leave(Upstream& upstream);
-  void LeaveTogether(const std::vector<Upstream*>& leaving);
-  void Forget(const Upstream& upstream);
-  std::vector<Upstream*> FromOwnPlace(const Ring& some) const;
+  void MarkChanged(const UpstreamPtr& upstream);
+  void DropUnlisted();  // upstreams that a full list omitted
+  void RemoveFromRings(Upstream& upstream);
+  void RemoveAllFromRings(const std::vector<Upstream*>& leaving);
+  void EraseFromIndex(const Upstream& upstream);
+  std::vector<Upstream*> InRingOrder(const Ring& ring) const;
 
-  std::unordered_map<std::string, UpstreamPtr> index_;          // owns those listed; never walked
-  std::unordered_map<std::string, OverrideInForce> overrides_;  // never walked
-  Ring ring_;                                                   // all that are listed
+  std::unordered_map<std::string, UpstreamPtr> index_;          // owns the listed upstreams; never iterated
+  std::unordered_map<std::string, OverrideInForce> overrides_;  // by id; never iterated
+  Ring ring_;                                                   // all listed upstreams
   Ring monitored_;
   Ring observed_;
   double own_place_;
-  std::size_t first_ = 0;          // the index on the ring of this sidecar's place
-  std::uint64_t list_number_ = 0;  // of the last whole list
-  bool whole_list_open_ = false;   // a whole list is being taken in
-  std::vector<UpstreamPtr> touched_;
+  std::size_t first_ = 0;          // ring index of this sidecar's place
+  std::uint64_t list_number_ = 0;  // number of the last full list
+  bool full_list_open_ = false;    // a full list is being applied
+  std::vector<UpstreamPtr> changed_;
   WeightSum weight_;
   mutable std::size_t visits_ = 0;
 };
--- a/balancer/outcome_recorder.cpp
+++ b/balancer/outcome_recorder.cpp
@@ -28,7 +28,7 @@
 
 void OutcomeRecorder::RecordHealth(const Attempt& attempt, Outcome outcome, TimePoint now) {
   Upstream& upstream = *attempt.upstream;
-  if (upstream.info.state == UpstreamState::kGone) return;  // nothing more is decided about it
+  if (upstream.info.state == UpstreamState::kGone) return;  // no further decisions concern this upstream
   const EjectionChange change = components_.outliers.RecordOutcome(upstream, attempt, outcome, now);
   if (change == EjectionChange::kReadmitted) {
     components_.rotation.Restart(upstream, now);
@@ -46,8 +46,9 @@
 void OutcomeRecorder::RecordLateness(const Request& request, Upstream& upstream, Outcome outcome,
                                      Duration elapsed, TimePoint now) {
   const bool late = LatenessStatistics::IsLate(*request.request_class, outcome, elapsed);
-  if (outcome != Outcome::kCancelled && !NeverLeft(outcome)) components_.lateness.Record(upstream, late, now);
-  if (components_.capacity.IsReportingLoad(upstream, now))
+  if (outcome != Outcome::kCancelled && !WasNeverSent(outcome))
+    components_.lateness.Record(upstream, late, now);
+  if (components_.capacity.LatenessIndicatesLoad(upstream, now))
     components_.limiter.RecordOutcome(upstream, outcome, late);
 }
 
--- a/balancer/outcome_recorder.h
+++ b/balancer/outcome_recorder.h
@@ -1,4 +1,4 @@
-// Passes the outcome of an attempt on to the components that learn from it.
+// Passes the outcome of an attempt to the components that record it.
 #pragma once
 
 #include "balancer/components.h"
@@ -8,16 +8,16 @@
 
 class OutcomeRecorder {
  public:
-  // `components` has to outlive this.
+  // `components` has to outlive this object.
   explicit OutcomeRecorder(Components& components) : components_(components) {}
 
-  // The attempt counts as in flight from now on: its request is complete. While a body still comes, or once
-  // the response has begun, its upstream is not what takes the time.
+  // The attempt counts as in flight from now on, because its request is complete. While the body is still
+  // being received, or once the response has begun, the upstream is not what the request waits for.
   void RecordStart(Attempt& attempt, TimePoint now);
-  // Once for each attempt: at its end, or where its response begins.
+  // Must be called once for each attempt: at its end, or when its response begins.
   void RecordOutcome(const Request& request, Attempt& attempt, Outcome outcome, Duration elapsed,
                      TimePoint now);
-  // What the outcome says of the upstream's health alone.
+  // Records only the effect of the outcome on the upstream's health.
   void RecordHealth(const Attempt& attempt, Outcome outcome, TimePoint now);
 
  private:
--- a/balancer/outlier_detector.cpp
+++ b/balancer/outlier_detector.cpp
@@ -12,23 +12,26 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// The ejection's times and their growth are the figures of the design page, after the linkerd RFC.
+// The ejection times and their growth are the figures of the design page, which follow the linkerd RFC.
 constexpr Duration kBaseEjectionTime = seconds(60);
-constexpr int kEjectionTimeMultiplier = 2;  // for an ejection within kBaseEjectionTime of the last one's end
+// Applies to an ejection that begins within kBaseEjectionTime of the end of the last one.
+constexpr int kEjectionTimeMultiplier = 2;
 constexpr Duration kMaxEjectionTime = seconds(120);
-// Overload is no outlier: where more than this share of the calls to the other upstreams fail, the run must
-// be so long that it is as rare as it is at this share.
-constexpr double kOrdinaryFailureShare = 0.1;
-// The first half-open probe of an ejected upstream comes after this time, and the next one after twice the
-// time with each that fails: most faults of a machine are over within seconds, and probes cost the service
-// little.
+// An overload is no outlier: if more than this share of the calls to the other upstreams fail, the required
+// number of consecutive failures is raised until it is as improbable as it would be at this share.
+constexpr double kNormalFailureShare = 0.1;
+// The time from an ejection to the first half-open probe. Each failed probe doubles the time to the next one.
+// Most faults of a machine pass within seconds, and probes cost the service little.
 constexpr Duration kFirstProbeInterval = milliseconds(1000);
 constexpr Duration kMaxProbeInterval = milliseconds(8000);
-// In a row, to be readmitted: one may be luck where an upstream fails now and then.
+// Consecutive served probes required for readmission. A single success may be chance at an upstream that
+// fails occasionally.
 constexpr int kProbesToReadmit = 2;
-// Usual response times without a sign of life, with requests in flight, that make a suspect.
-constexpr double kSilenceTimes = 3;
-// Consecutive failures that make a suspect: one may be the request's own fault.
+// The multiple of its usual response time without a response, with requests in flight, after which an
+// upstream is suspected.
+constexpr double kNoResponseMultiple = 3;
+// Consecutive failures after which an upstream is suspected. A single failure may be caused by the request
+// itself.
 constexpr int kFailuresToSuspect = 2;
 
 }  // namespace
@@ -40,7 +43,7 @@
   if (attempt.half_open_probe) change = RecordHalfOpenProbe(upstream, outcome, now);
   if (outcome != Outcome::kConnectFailed && outcome != Outcome::kTimeout && outcome != Outcome::kCancelled &&
       outcome != Outcome::kLocalFailure) {
-    state.silent_since = now;
+    state.no_response_since = now;
   }
   const bool served = outcome == Outcome::kServed;
   if (!served && !IsFailure(outcome)) return change;
@@ -58,11 +61,11 @@
 bool OutlierDetector::IsSuspectedOutlier(const Upstream& upstream, TimePoint now) const {
   if (upstream.outlier.failure_run >= RequiredFailureRun(upstream, kFailuresToSuspect)) return true;
   if (ConcurrencyLimiter::InFlight(upstream) == 0) return false;
-  return now - upstream.outlier.silent_since >
-         Scaled(latency_.UsualTime(), kSilenceTimes * LatencyStatistics::RelativeLatency(upstream));
+  return now - upstream.outlier.no_response_since >
+         Scaled(latency_.UsualTime(), kNoResponseMultiple * LatencyStatistics::RelativeLatency(upstream));
 }
 
-bool OutlierDetector::IsAtRest(const Upstream& upstream) {
+bool OutlierDetector::IsIdleAndHealthy(const Upstream& upstream) {
   return !upstream.outlier.ejected && upstream.outlier.failure_run == 0 &&
          ConcurrencyLimiter::InFlight(upstream) == 0;
 }
@@ -70,12 +73,12 @@
 bool OutlierDetector::IsDueForHalfOpenProbe(const Upstream& upstream, TimePoint now) const {
   const OutlierState& state = upstream.outlier;
   if (!state.ejected && !IsSuspectedOutlier(upstream, now)) return false;
-  return !state.half_open_probe_out && now >= state.next_half_open_probe;
+  return !state.half_open_probe_pending && now >= state.next_half_open_probe;
 }
 
 EjectionChange OutlierDetector::RecordHalfOpenProbe(Upstream& upstream, Outcome outcome, TimePoint now) {
   OutlierState& state = upstream.outlier;
-  state.half_open_probe_out = false;
+  state.half_open_probe_pending = false;
   state.next_half_open_probe = now;
   if (outcome == Outcome::kServed) {
     if (!state.ejected) return EjectionChange::kNone;
@@ -95,13 +98,13 @@
   return EjectionChange::kNone;
 }
 
-// The run that is as rare here as `run` in a row is at the ordinary share of failures. Without this an
-// overload or a slowdown of the whole fleet, whose time-outs come in a row at healthy upstreams, would eject
-// all of them.
+// Returns the number of consecutive failures that is as improbable at the peers' share of failures as `run`
+// is at the normal share. Without this, an overload or a slowdown of the whole fleet, in which healthy
+// upstreams have consecutive time-outs, would eject all of them.
 int OutlierDetector::RequiredFailureRun(const Upstream& upstream, int run) const {
   const double share = failures_.PeersFailureShare(upstream);
-  if (share <= kOrdinaryFailureShare) return run;
-  return static_cast<int>(std::ceil(run * std::log(kOrdinaryFailureShare) / std::log(share)));
+  if (share <= kNormalFailureShare) return run;
+  return static_cast<int>(std::ceil(run * std::log(kNormalFailureShare) / std::log(share)));
 }
 
 void OutlierDetector::Eject(Upstream& upstream, TimePoint now) {
--- a/balancer/overload_backoff.h
+++ b/balancer/overload_backoff.h
@@ -1,5 +1,5 @@
-// Backoff from an upstream that rejected a request as overloaded: it needs about the time of a response to
-// have capacity again. Until then it is sent no further request.
+// Backoff from an upstream that rejected a request because of overload: the upstream needs about one response
+// time to have capacity again, and is sent no request until then.
 #pragma once
 
 #include "balancer/decaying_average.h"
@@ -10,11 +10,11 @@
 
 class OverloadBackoff {
  public:
-  // `random` has to outlive this.
+  // `random` has to outlive this object.
   explicit OverloadBackoff(RandomSource& random) : random_(random) {}
 
-  // Jittered between 0.5 and 1.5 times the usual time of a response, so that sidecars that were rejected
-  // together do not come back together.
+  // Begins a backoff of 0.5 to 1.5 times the usual response time. The jitter keeps sidecars that were
+  // rejected together from returning together.
   void Start(Upstream& upstream, Duration usual_time, TimePoint now) {
     upstream.overloaded_until = now + Scaled(usual_time, kMinBackoff + random_.Uniform());
   }
@@ -23,7 +23,8 @@
   }
 
  private:
-  static constexpr double kMinBackoff = 0.5;  // of the usual response time: about half of it may be over
+  // Share of the usual response time. The requests in progress are half done on average.
+  static constexpr double kMinBackoff = 0.5;
   RandomSource& random_;
 };
 
--- a/balancer/poll_schedule.cpp
+++ b/balancer/poll_schedule.cpp
@@ -7,10 +7,10 @@
 namespace lb {
 namespace {
 
-// Polls that fit into the time that a list holds for, so that several may fail.
+// The number of polls that fit into the poll interval limit, so that several may fail.
 constexpr int kPollsWithinLimit = 4;
 
-// The jitter is up to twice the backoff, and the next housekeeping acts on it.
+// The pause is up to twice the backoff because of the jitter, plus the time until the next housekeeping.
 Duration MaxBackoff(const Settings& settings, Duration resolution) {
   return std::min(settings.fleet_limits.poll_interval_limit / kPollsWithinLimit,
                   (kMaxPollPause - resolution) / 2);
@@ -24,8 +24,8 @@
       random_(random),
       backoff_(max_backoff_ / 2) {}
 
-// Not at once: that would add to the load that made the poll fail. The backoff is jittered between 1 and 2
-// times its value.
+// The repeat is delayed, because an immediate one would add to the load that made the poll fail. The pause is
+// 1 to 2 times the backoff, at random.
 void PollSchedule::OnFailure(TimePoint now) {
   if (polled_) next_ = now + Scaled(backoff_, 1 + random_.Uniform());
   backoff_ = std::min(2 * backoff_, max_backoff_);
--- a/balancer/poll_schedule.h
+++ b/balancer/poll_schedule.h
@@ -1,5 +1,5 @@
-// Polled membership: when a poll that failed is repeated. The backoff is exponential with jitter; the
-// endpoint list stands meanwhile.
+// Polled membership: decides when a failed poll is repeated, by exponential backoff with jitter. The endpoint
+// list stays in force meanwhile.
 #pragma once
 
 #include <optional>
@@ -11,12 +11,12 @@
 
 class PollSchedule {
  public:
-  // `resolution`: IsDue() is asked this often. `random` has to outlive this.
+  // `resolution`: the interval at which TakeIfDue() is called. `random` has to outlive this object.
   PollSchedule(const Settings& settings, Duration resolution, RandomSource& random);
 
   void OnFailure(TimePoint now);
   void OnSuccess() { backoff_ = max_backoff_ / 2; }
-  // The next poll is due; true once.
+  // Whether the next poll is due. Returns true once for each scheduled poll.
   bool TakeIfDue(TimePoint now);
 
  private:
--- a/balancer/request_dispatcher.cpp
+++ b/balancer/request_dispatcher.cpp
@@ -68,7 +68,7 @@
   if (event.response_delivered) {
     EndRequest(*request);
   } else if (attempt->response_started) {
-    FinishRequest(*request);  // a streamed response broke off, and the sidecar still wants an answer for it
+    FinishRequest(*request);  // a streamed response broke off, and the sidecar still needs a final answer
   } else {
     ContinueRequest(*request, now);
   }
@@ -93,7 +93,7 @@
   }
 }
 
-// The deadline, the time for load reports, or the time for a hedged request.
+// Handles the deadline, the end of the wait for load reports, or the time for a hedged request.
 void RequestDispatcher::HandleRequestTimer(std::uint64_t token, TimePoint now) {
   const auto id = components_.requests.TakeTimer(token);
   Request* request = id ? components_.requests.Find(*id) : nullptr;
@@ -109,7 +109,7 @@
 // ---- Attempts ----
 
 void RequestDispatcher::ContinueRequest(Request& request, TimePoint now) {
-  if (request.ended || request.response_started || request.HasAttemptOut()) return;
+  if (request.ended || request.response_started || request.HasPendingAttempt()) return;
   if (!request.load_probes.empty()) return;
   const bool first = request.attempts.empty();
   if (first && ShouldShed(request, now)) {
@@ -125,8 +125,8 @@
   FinishRequest(request);
 }
 
-// A client's retry where many responses are late is late itself: its first try came a latency objective or
-// more ago.
+// If many responses are late, a client's retry is late itself, because its first try came at least a latency
+// objective ago.
 bool RequestDispatcher::ShouldShed(const Request& request, TimePoint now) {
   if (request.client_retry && components_.lateness.IsWidespread(now)) return true;
   return !components_.limiter.Admit(request.class_index);
@@ -151,8 +151,8 @@
   return true;
 }
 
-// A remote upstream has to earn the cost of the cross-zone call by a lower risk of a late response. One that
-// hardly had a call is taken to be good.
+// A remote upstream is used only if its lower risk of a late response outweighs the cost of the cross-zone
+// call. A remote upstream with hardly any calls counts as free of risk.
 UpstreamPtr RequestDispatcher::PreferLocal(const Request& request, const UpstreamPtr& upstream,
                                            TimePoint now) {
   const ZoneLocality& locality = components_.locality;
@@ -168,12 +168,12 @@
 void RequestDispatcher::AddLoadProbes(Request& request, TimePoint now) {
   const std::size_t count = components_.prober.ProbeCount(*request.load_probes.front().upstream, now);
   while (request.load_probes.size() < count) {
-    // The second is local where cross-zone calls have a cost; a third is anywhere, as local ones fill up
-    // together.
+    // The second is local if cross-zone calls have a cost; a third may be anywhere, because local upstreams
+    // become loaded together.
     const bool local = components_.locality.HasCost() && request.load_probes.size() == 1;
     UpstreamPtr next = local ? selector_.Choose(request, now, Preference::kLocalGoodStanding) : nullptr;
     if (!next || request.HasTried(*next)) next = selector_.Choose(request, now);
-    if (!next || request.HasTried(*next)) return;  // there is no other
+    if (!next || request.HasTried(*next)) return;  // no other upstream is available
     request.load_probes.push_back({next});
   }
 }
@@ -181,7 +181,8 @@
 void RequestDispatcher::SendLoadProbes(const Request& request, TimePoint now) {
   for (const LoadProbe& probe : request.load_probes) {
     if (!LoadProber::ClaimProbe(*probe.upstream)) continue;
-    components_.actions.Add(SendLoadProbe{probe.upstream->info.id, components_.connections.trusted_idle()});
+    components_.actions.Add(
+        SendLoadProbe{probe.upstream->info.id, components_.connections.max_connection_idle()});
   }
   components_.prober.BeginWaiting(request);
   SetRequestTimer(request, now + components_.prober.WaitTime());
@@ -204,7 +205,7 @@
   } else if (const UpstreamPtr other = selector_.Choose(request, now)) {
     return StartAttempt(request, other, AttemptKind::kOrdinary, now);
   }
-  if (!request.HasAttemptOut()) FinishRequest(request);
+  if (!request.HasPendingAttempt()) FinishRequest(request);
 }
 
 bool RequestDispatcher::SendHalfOpenProbe(Request& request, TimePoint now) {
@@ -215,14 +216,14 @@
   return true;
 }
 
-// Never to an upstream that is no better than the one that hangs.
+// A hedged request is never sent to an upstream that is no better than the one that hangs.
 void RequestDispatcher::SendHedgedRequest(Request& request, TimePoint now) {
   const HedgingPolicy::Decision decision = components_.hedging.Decide(request, now);
   if (decision == HedgingPolicy::Decision::kReschedule) return ScheduleHedge(request, now);
   if (decision == HedgingPolicy::Decision::kNone) return;
   const UpstreamPtr upstream = selector_.Choose(request, now, Preference::kGoodStanding);
   if (!upstream) return;
-  components_.retry_budget.SpendOne();
+  components_.retry_budget.SpendToken();
   StartAttempt(request, upstream, AttemptKind::kOrdinary, now);
 }
 
@@ -245,10 +246,10 @@
   if (!request.body_pending) outcomes_.RecordStart(request.attempts.back(), now);
   components_.actions.Add(SendAttempt{request.id, upstream->info.id,
                                       components_.retries.AttemptTimeout(request, now),
-                                      components_.connections.trusted_idle(), begin_within});
+                                      components_.connections.max_connection_idle(), begin_within});
 }
 
-// ---- The end of a request ----
+// ---- Final answers ----
 
 void RequestDispatcher::FinishRequest(Request& request) {
   if (request.ended) return;
@@ -266,7 +267,7 @@
   for (std::size_t i = 0; i < request.attempts.size(); ++i) CancelAttemptOf(request, AttemptId{i});
 }
 
-// A half-open probe is not cancelled with its request: its outcome decides readmission.
+// A half-open probe is not cancelled with its request, because its outcome decides on readmission.
 void RequestDispatcher::CancelAttemptOf(const Request& request, AttemptId attempt) {
   const Attempt& cancelled = request.attempts[static_cast<std::size_t>(attempt)];
   if (cancelled.outcome || cancelled.half_open_probe) return;
--- a/balancer/request_dispatcher.h
+++ b/balancer/request_dispatcher.h
@@ -1,5 +1,5 @@
-// The way of a request from its arrival to its final answer. Routes the events about requests to the
-// components, which decide, and turns their decisions into actions.
+// Handles a request from its arrival to its final answer: routes the events about requests to the components,
+// which decide, and turns their decisions into actions.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +16,7 @@
 
 class RequestDispatcher {
  public:
-  // Both have to outlive this.
+  // Both arguments have to outlive this object.
   RequestDispatcher(Components& components, UpstreamSelector& selector)
       : components_(components), selector_(selector), outcomes_(components) {}
 
@@ -31,31 +31,34 @@
  private:
   enum class AttemptKind { kOrdinary, kHalfOpenProbe };
 
-  // Makes another attempt where one helps and is allowed, else gives the final answer. Does nothing while an
-  // attempt is out.
+  // Makes another attempt if that helps and is allowed, else gives the final answer. Does nothing while an
+  // attempt is pending.
   void ContinueRequest(Request& request, TimePoint now);
   bool ShouldShed(const Request& request, TimePoint now);
   void RecordShedding(SheddingReason reason, TimePoint now);
 
-  // Sends the request, or load probes for it; false where no upstream can take it.
+  // Sends the request, or load probes for it. Returns false if no upstream can take the request.
   bool SendToNextUpstream(Request& request, TimePoint now);
   UpstreamPtr PreferLocal(const Request& request, const UpstreamPtr& upstream, TimePoint now);
   void AddLoadProbes(Request& request, TimePoint now);
   void SendLoadProbes(const Request& request, TimePoint now);
-  // All reports that the request waits for have come, or the time for them is over.
+  // Called when all awaited load reports have arrived or the wait time is over: sends the request to the
+  // upstream with the least load.
   void SendByLoadReports(Request& request, TimePoint now);
-  // Tests an ejected or suspected upstream with a copy of the request, whose client does not depend on it.
-  // Where no other upstream stands the request itself is the probe: rejecting all is the worst outcome.
+  // Probes an ejected or suspected upstream with a copy of the request. The client does not depend on the
+  // copy, unless no other upstream is available: then the request itself is the probe, because rejecting
+  // every request is the worst outcome.
   bool SendHalfOpenProbe(Request& request, TimePoint now);
   void SendHedgedRequest(Request& request, TimePoint now);
   void ScheduleHedge(Request& request, TimePoint now);
-  // `reported_in_flight`: by the upstream's load probe, with this attempt; 0: not reported.
+  // `reported_in_flight`: requests in flight at the upstream, as its load probe reported, this attempt
+  // included; 0: not reported.
   void StartAttempt(Request& request, const UpstreamPtr& upstream, AttemptKind kind, TimePoint now,
                     double reported_in_flight = 0);
 
-  // The final answer by this sidecar: a rejection where that is true, else a failure.
+  // Gives the sidecar's own final answer: a rejection if RetryPolicy::CanReject() allows it, else a failure.
   void FinishRequest(Request& request);
-  // The request has its final answer: nothing more is sent for it, and attempts still out are cancelled.
+  // Marks the request as answered: no further attempts are made, and pending attempts are cancelled.
   void EndRequest(Request& request);
   void CancelAttemptOf(const Request& request, AttemptId attempt);
   void SetRequestTimer(const Request& request, TimePoint at);
--- a/balancer/request_table.cpp
+++ b/balancer/request_table.cpp
@@ -16,7 +16,7 @@
 
 void RequestTable::EraseIfDone(RequestId id) {
   const auto it = requests_.find(id);
-  if (it != requests_.end() && it->second.ended && !it->second.HasAttemptOut()) requests_.erase(it);
+  if (it != requests_.end() && it->second.ended && !it->second.HasPendingAttempt()) requests_.erase(it);
 }
 
 std::uint64_t RequestTable::AddTimer(RequestId id) {
--- a/balancer/request_table.h
+++ b/balancer/request_table.h
@@ -1,4 +1,4 @@
-// The requests that have no final answer yet, or an attempt still out, and the timers set for them.
+// The requests that have no final answer yet or a pending attempt, and the timers set for them.
 #pragma once
 
 #include <cstdint>
@@ -9,19 +9,20 @@
 
 namespace lb {
 
-// Both maps are looked up and never walked: the order of their entries is not deterministic.
+// The maps are used for lookups and never iterated, because the order of their entries is not deterministic.
 class RequestTable {
  public:
-  // A new request with this id; null where it is known already. Valid until EraseIfDone().
+  // Adds a request. Returns null if the id is known already. The pointer is valid until EraseIfDone().
   Request* Insert(RequestId id);
-  // Null where it is not known.
+  // Returns null if the id is not known.
   Request* Find(RequestId id);
-  // Drops a request that has its final answer and no attempt out.
+  // Erases the request if it has its final answer and no pending attempt.
   void EraseIfDone(RequestId id);
 
-  // A token for a timer of `id`, unique and positive.
+  // Returns a token for a new timer of request `id`; tokens are unique and positive.
   std::uint64_t AddTimer(RequestId id);
-  // The request that a fired timer was set for; nothing where the token is not known.
+  // Returns the request that a fired timer was set for, and removes the timer; nothing if the token is not
+  // known.
   std::optional<RequestId> TakeTimer(std::uint64_t token);
 
  private:
--- a/balancer/retry_budget.h
+++ b/balancer/retry_budget.h
@@ -1,5 +1,5 @@
-// Retry budget, as in gRPC and Finagle: retries and hedged requests are at most a share of the requests,
-// saved up to a burst, so that they never feed an overload.
+// Retry budget, as in gRPC and Finagle: a token bucket that bounds retries and hedged requests to a share of
+// the requests plus a burst, so that they never feed an overload.
 #pragma once
 
 #include <algorithm>
@@ -8,17 +8,17 @@
 
 class RetryBudget {
  public:
-  void OnRequest() { saved_ = std::min(kBurst, saved_ + kShare); }
-  bool HasOne() const { return saved_ >= 1; }
-  // HasOne() is true.
-  void SpendOne() { saved_ -= 1; }
+  void OnRequest() { tokens_ = std::min(kMaxTokens, tokens_ + kTokensPerRequest); }
+  bool HasToken() const { return tokens_ >= 1; }
+  // Requires HasToken().
+  void SpendToken() { tokens_ -= 1; }
 
  private:
-  // Retries and hedged requests for each request.
-  static constexpr double kShare = 0.3;
-  // Retries that are saved up at most, and that a sidecar begins with.
-  static constexpr double kBurst = 10;
-  double saved_ = kBurst;
+  // Tokens per request.
+  static constexpr double kTokensPerRequest = 0.3;
+  // Maximum number of tokens, which is also the initial number.
+  static constexpr double kMaxTokens = 10;
+  double tokens_ = kMaxTokens;
 };
 
 }  // namespace lb
--- a/balancer/retry_policy.cpp
+++ b/balancer/retry_policy.cpp
@@ -6,21 +6,22 @@
 namespace lb {
 namespace {
 
-// Attempts that this machine could not open a connection for reached no upstream: they may come beyond
-// max_attempts, up to this number, where an upstream has a connection already.
+// Attempts for which this host could not open a connection reached no upstream. They may exceed max_attempts
+// by up to this number if an upstream already has a connection.
 constexpr std::size_t kMaxLocalFailures = 16;
-// Attempts, with proof that none ran, up to which a further one is free of the retry budget.
+// The number of attempts, all proven not to have run, up to which a further attempt needs no token from the
+// retry budget.
 constexpr std::size_t kFreeAttempts = 2;
-// The part of the key window in which repeats are begun: the rest is left for connecting and the way there.
+// Repeats begin only within 1/2 of the key window: the rest is left for connecting and transmission.
 constexpr int kKeyWindowDivisor = 2;
-// The jitter of Retry-After, as a part of the longest: not all clients come back in step.
+// The jitter of Retry-After as a share of its maximum, so that clients do not return in step.
 constexpr double kRetryAfterJitter = 0.1;
 
 }  // namespace
 
 bool RetryPolicy::CanSend(const Request& request, TimePoint now) const {
   if (request.ended || request.response_started || request.body_consumed) return false;
-  if (request.body_streams && request.HasAttemptOut()) return false;
+  if (request.body_streams && request.HasPendingAttempt()) return false;
   if (!request.body_pending && now >= request.deadline) return false;
   if (!HasAttemptLeft(request, true)) return false;
   const Idempotency idempotency = request.request_class->idempotency;
@@ -40,7 +41,7 @@
   if (!CanSend(request, now)) return false;
   if (!HasAttemptLeft(request, connections_.HasConnection(upstream, now))) return false;
   if (request.request_class->idempotency != Idempotency::kIdempotencyKey) return true;
-  // Only upstreams that know the key drop repeats.
+  // Only upstreams that share the record of the key drop repeats.
   const KeyScope scope = request.request_class->key_scope;
   return std::ranges::all_of(request.attempts, [&](const Attempt& attempt) {
     if (!attempt.MayHaveRun()) return true;
@@ -58,15 +59,15 @@
 bool RetryPolicy::ShouldRetry(const Request& request, TimePoint now) {
   if (request.attempts.empty()) return true;
   const RequestClass& request_class = *request.request_class;
-  // It can no longer be in time for any value.
+  // A response after the latency objective would have no value.
   if (!request.body_pending && request_class.late_priority_weight <= 0 &&
       now >= request.arrived + request_class.latency_objective)
     return false;
   const auto& last = request.attempts.back().outcome;
-  if (last && ProvesNotRun(*last) && (NeverLeft(*last) || request.attempts.size() <= kFreeAttempts))
+  if (last && ProvesNotRun(*last) && (WasNeverSent(*last) || request.attempts.size() <= kFreeAttempts))
     return true;
-  if (!budget_.HasOne()) return false;
-  budget_.SpendOne();
+  if (!budget_.HasToken()) return false;
+  budget_.SpendToken();
   return true;
 }
 
@@ -80,21 +81,23 @@
 
 Duration RetryPolicy::AttemptTimeout(const Request& request, TimePoint now) const {
   const RequestClass& request_class = *request.request_class;
-  const Duration left = request.deadline - (request.body_pending ? request.arrived : now);
-  // A late response that has a value is waited for: given up at the latency objective, all work on it would
-  // be lost and started again, and in an overload that is most of what the upstreams do.
-  if (request_class.late_priority_weight > 0) return left;
-  // Any other request that may be repeated is given up at its latency objective: another upstream may respond
-  // in time. Under overload so is one that may not: its response is worth nothing and holds up the rest.
+  const Duration remaining = request.deadline - (request.body_pending ? request.arrived : now);
+  // Requests whose late responses have a value wait until the deadline. A time-out at the latency objective
+  // would lose and restart all work on them, and in an overload that is most of the upstreams' work.
+  if (request_class.late_priority_weight > 0) return remaining;
+  // Any other request that may be repeated times out at its latency objective, because another upstream may
+  // respond in time. Under overload a request that may not be repeated does so, too: its late response has no
+  // value and delays other requests.
   const bool give_up = request_class.idempotency != Idempotency::kNotIdempotent || limiter_.IsLimiting();
-  if (!give_up) return left;
-  if (request.body_pending) return std::min(left, request_class.latency_objective);
+  if (!give_up) return remaining;
+  if (request.body_pending) return std::min(remaining, request_class.latency_objective);
   const TimePoint objective = request.arrived + request_class.latency_objective;
-  return now < objective ? std::min(left, Duration(objective - now)) : left;
+  return now < objective ? std::min(remaining, Duration(objective - now)) : remaining;
 }
 
-// A copy whose connection comes up late must not begin when the first attempt that may have run is about to
-// be forgotten: a quarter of the key window is left for the way there.
+// If the connection for a copy is established late, the copy must not begin when the upstreams are about to
+// forget the key of the first attempt that may have run: a quarter of the key window is left for
+// transmission.
 Duration RetryPolicy::BeginWithin(const Request& request, TimePoint now) const {
   Duration within = Duration::max();
   if (request.request_class->idempotency != Idempotency::kIdempotencyKey) return within;
--- a/balancer/retry_policy.h
+++ b/balancer/retry_policy.h
@@ -1,5 +1,6 @@
-// What may be sent again, to whom, and for how long it is waited for: the rules of idempotency, of deadlines
-// and of the number of attempts. Idempotency as RFC 9110 (9.2.2) has it, with idempotency keys beside it.
+// Decides whether a request may be sent (again), to which upstreams, and with which time-out, by the rules of
+// idempotency, deadlines and the maximum number of attempts. Idempotency is as in RFC 9110, section 9.2.2,
+// extended by idempotency keys.
 #pragma once
 
 #include "balancer/concurrency_limiter.h"
@@ -14,28 +15,29 @@
 
 class RetryPolicy {
  public:
-  // All have to outlive this.
+  // All arguments have to outlive this object.
   RetryPolicy(const Limits& limits, const ConnectionTracker& connections, const ConcurrencyLimiter& limiter,
               RetryBudget& budget, RandomSource& random)
       : limits_(limits), connections_(connections), limiter_(limiter), budget_(budget), random_(random) {}
 
-  // The request may be sent (again), to some upstream.
+  // Whether the request may be sent (again) to some upstream.
   bool CanSend(const Request& request, TimePoint now) const;
-  // And to this one. The one gate to every attempt.
+  // Whether the request may be sent to `upstream`. Every attempt must pass this check.
   bool CanSendTo(const Request& request, const Upstream& upstream, TimePoint now) const;
-  // Another attempt beside one that is out may be made for the request.
+  // Whether the request may have another attempt beside a pending one.
   bool CanSendCopy(const Request& request) const;
-  // Another attempt is worth its cost; spends from the retry budget what it takes. No attempt is out.
+  // Whether another attempt is worth its cost. Takes a token from the retry budget if the attempt needs one.
+  // No attempt may be pending.
   bool ShouldRetry(const Request& request, TimePoint now);
-  // Rejecting the request promises no more than is true: nothing ran, or a repeat is harmless.
+  // Whether a rejection would be truthful: no attempt ran, or a repeat is harmless.
   bool CanReject(const Request& request) const;
 
-  // For the next attempt.
+  // Time-out of the next attempt.
   Duration AttemptTimeout(const Request& request, TimePoint now) const;
-  // The next attempt must begin within this time, or not at all. Duration::max(): whenever.
+  // The next attempt must begin within this time or not at all. Duration::max(): no limit.
   Duration BeginWithin(const Request& request, TimePoint now) const;
-  // The Retry-After of a rejected request; zero: no advice. A retry that comes sooner gains nothing: it would
-  // be late or rejected too, and the retries of all sidecars together keep an overload up.
+  // The Retry-After of a rejected request; zero: none. A retry that comes sooner is useless: it would be late
+  // or rejected again, and the retries of all sidecars together would sustain an overload.
   Duration RetryAfter() const;
 
  private:
--- a/balancer/ring.cpp
+++ b/balancer/ring.cpp
@@ -26,8 +26,8 @@
   sorted_.insert(sorted_.begin() + static_cast<std::ptrdiff_t>(IndexOf(upstream, visits)), &upstream);
 }
 
-// Searches on from the first of equal rank and id: while a change is taken in, a process and its successor
-// have the same.
+// Searches from the first entry of equal rank and id, because while a change is applied the ring can contain
+// a process and its successor, whose rank and id are equal.
 void Ring::Erase(const Upstream& upstream, std::size_t& visits) {
   const auto from = sorted_.begin() + static_cast<std::ptrdiff_t>(IndexOf(upstream, visits));
   const auto at = std::find(from, sorted_.end(), &upstream);
--- a/balancer/ring.h
+++ b/balancer/ring.h
@@ -1,4 +1,4 @@
-// Upstreams sorted by their rank on the ring that all sidecars share, by id where two have one rank.
+// The upstreams sorted by their rank on the ring that all sidecars share, and by id if ranks are equal.
 #pragma once
 
 #include <algorithm>
@@ -9,18 +9,18 @@
 
 namespace lb {
 
-// Holds pointers only: the upstreams have to outlive their stay on it. Each operation adds the number of
-// upstreams that it looked at to `visits`.
+// Does not own the upstreams: they have to stay alive while they are on the ring. Each operation adds the
+// number of upstreams that it visited to `visits`.
 class Ring {
  public:
   std::size_t size() const { return sorted_.size(); }
   Upstream* operator[](std::size_t index) const { return sorted_[index]; }
 
-  // How many come before `upstream`, which need not be on the ring.
+  // The number of entries before `upstream`, which need not be on the ring.
   std::size_t IndexOf(const Upstream& upstream, std::size_t& visits) const;
   void Insert(Upstream& upstream, std::size_t& visits);
   void Erase(const Upstream& upstream, std::size_t& visits);
-  // Inserts many in one pass.
+  // Inserts several upstreams in one pass.
   void Merge(std::vector<Upstream*> entering, std::size_t& visits);
   template <typename Condition>
   void EraseIf(Condition condition, std::size_t& visits) {
--- a/balancer/service_capacity.h
+++ b/balancer/service_capacity.h
@@ -1,5 +1,5 @@
-// The weight of the upstreams that serve by the list, of those that can take requests now, and of those whose
-// lateness tells of load.
+// The total weights of the upstreams that serve according to the list, of those that can take requests now,
+// and of those whose late responses indicate load.
 #pragma once
 
 #include "balancer/membership.h"
@@ -11,18 +11,19 @@
 
 class ServiceCapacity {
  public:
-  // All have to outlive this.
+  // All arguments have to outlive this object.
   ServiceCapacity(const Membership& membership, const OutlierDetector& outliers, const SlowStart& slow_start)
       : membership_(membership), outliers_(outliers), slow_start_(slow_start) {}
 
-  // To be called at each housekeeping.
+  // Must be called at each housekeeping.
   void Update(TimePoint now);
 
-  // Lateness there tells of load: at an upstream that warms up, is suspected or ejected it is its own fault,
-  // unless these are the most.
-  bool IsReportingLoad(const Upstream& upstream, TimePoint now) const;
+  // Whether late responses of `upstream` indicate load. At an upstream that is warming up, suspected or
+  // ejected, lateness is the upstream's own fault, unless at least half of the serving weight is in such a
+  // state.
+  bool LatenessIndicatesLoad(const Upstream& upstream, TimePoint now) const;
 
-  // Of the upstreams in service, those that warm up by their fraction.
+  // The weight of the upstreams in service; those that warm up count by their warm-up fraction.
   double available_weight() const { return available_weight_; }
 
  private:
@@ -33,7 +34,7 @@
   const SlowStart& slow_start_;
   double serving_weight_ = 0;
   double available_weight_ = 0;
-  double reporting_weight_ = 0;
+  double good_standing_weight_ = 0;
 };
 
 }  // namespace lb
--- a/balancer/settings.cpp
+++ b/balancer/settings.cpp
@@ -1,4 +1,4 @@
-// Settings that make no sense are turned away before a balancer acts on them.
+// Validation of settings, before a balancer uses them.
 #include "balancer/settings.h"
 
 #include <chrono>
@@ -11,18 +11,19 @@
 namespace lb {
 namespace {
 
-void Require(bool sound, const char* setting) {
-  if (!sound) throw std::invalid_argument(std::string("bad setting ") + setting);
+void Require(bool valid, const char* setting) {
+  if (!valid) throw std::invalid_argument(std::string("bad setting ") + setting);
 }
 
-// Longer is a slip of units, and too long to be added to a time.
-constexpr Duration kLongest = std::chrono::hours(24);
+// The longest accepted duration. A longer one is probably a mistake in the unit, and could overflow when
+// added to a time.
+constexpr Duration kMaxDuration = std::chrono::hours(24);
 
-bool Positive(Duration d) { return d > Duration::zero() && d <= kLongest; }
+bool Positive(Duration d) { return d > Duration::zero() && d <= kMaxDuration; }
 
-// By its name alone a request finds its class, or its tenant.
+// Whether the names are distinct: a request finds its class or its tenant by the name alone.
 template <typename T>
-bool NamesDiffer(const std::vector<T>& items) {
+bool HaveDistinctNames(const std::vector<T>& items) {
   std::set<std::string> names;
   for (const T& item : items) {
     if (item.name.empty() || !names.insert(item.name).second) return false;
@@ -34,8 +35,8 @@
 
 void Settings::Validate() const {
   Require(!classes.empty(), "classes");
-  Require(NamesDiffer(classes), "classes.name");
-  Require(NamesDiffer(tenants), "tenants.name");
+  Require(HaveDistinctNames(classes), "classes.name");
+  Require(HaveDistinctNames(tenants), "tenants.name");
   for (const RequestClass& c : classes) {
     Require(Positive(c.latency_objective), "classes.aim");
     Require(Positive(c.deadline), "classes.deadline");
@@ -52,7 +53,7 @@
   for (const auto& [time, name] : {std::pair(limits.max_retry_after, "limits.max_retry_after"),
                                    std::pair(fleet_limits.answer_grace, "rules.answer_grace"),
                                    std::pair(fleet_limits.drain_grace, "rules.drain_grace")}) {
-    Require(time >= Duration::zero() && time <= kLongest, name);
+    Require(time >= Duration::zero() && time <= kMaxDuration, name);
   }
   for (const double price : {decision_costs.cross_zone, decision_costs.handshake, decision_costs.probe,
                              decision_costs.waste, decision_costs.late_fail}) {
--- a/balancer/shedding_episode.h
+++ b/balancer/shedding_episode.h
@@ -1,5 +1,5 @@
-// Load shedding as the on-call engineers see it: an episode from the first request that is shed until none
-// was for a while, so that the log has two lines for it.
+// Groups shed requests into episodes for the log: an episode lasts from the first shed request until no
+// request was shed for kQuietTime, so that the log has two lines for each episode.
 #pragma once
 
 #include <chrono>
@@ -10,14 +10,14 @@
 
 class SheddingEpisode {
  public:
-  // A request is shed. True where that begins an episode.
+  // Records a shed request. Returns true if that begins an episode.
   bool Begin(TimePoint now) {
     const bool begins = !active_;
     active_ = true;
     last_shed_ = now;
     return begins;
   }
-  // True where the episode has ended, once.
+  // Ends the episode if no request was shed for kQuietTime. Returns true if it did.
   bool EndIfQuiet(TimePoint now) {
     if (!active_ || now - last_shed_ <= kQuietTime) return false;
     active_ = false;
@@ -25,7 +25,7 @@
   }
 
  private:
-  // Without a request shed: an overload sheds some every second.
+  // Time without a shed request that ends an episode. An overload sheds requests every second.
   static constexpr Duration kQuietTime = std::chrono::seconds(2);
   bool active_ = false;
   TimePoint last_shed_;
--- a/balancer/slow_start.h
+++ b/balancer/slow_start.h
@@ -1,6 +1,6 @@
-// Slow start, as in Envoy: an upstream that started a moment ago has a part of its capacity only, which rises
-// evenly to the whole. Its weight rises with it, and a budget bounds the requests that it is sent when others
-// fail and their requests turn to it.
+// Slow start, as in Envoy: a newly started upstream has only a part of its capacity, which grows linearly to
+// the full capacity. Its weight grows with it, and a budget bounds the requests that it is sent when other
+// upstreams fail and their requests are redirected to it.
 #pragma once
 
 #include <algorithm>
@@ -16,11 +16,11 @@
 
 class SlowStart {
  public:
-  // All have to outlive this.
+  // All arguments have to outlive this object.
   SlowStart(const FleetLimits& limits, const Membership& membership, const TrafficStatistics& traffic,
             const Subsetting& subsetting, RandomSource& random);
 
-  // The least share of its capacity that an upstream has by now: from slow_start_initial_share to 1.
+  // The share of its capacity that an upstream has at least: from slow_start_initial_share to 1.
   double WarmUpFraction(const Upstream& upstream, TimePoint now) const {
     const auto started = Membership::StartTime(upstream);
     if (!started) return 1;
@@ -33,13 +33,13 @@
   }
 
   void OnNewProcess(Upstream& upstream, TimePoint now);
-  // Refills the budget of one that warms up; true where it suffices for a request. Always for one that is
-  // warm.
+  // Whether the budget suffices for a request; always true for an upstream that is not warming up. Refills
+  // the budget of one that is.
   bool HasSlowStartBudget(Upstream& upstream, TimePoint now) {
     const double warm_up = WarmUpFraction(upstream, now);
     return warm_up >= 1 || HasBudgetWhileWarmingUp(upstream, warm_up, now);
   }
-  // A request is sent to `upstream`.
+  // Must be called when a request is sent to `upstream`.
   void Spend(Upstream& upstream, TimePoint now) const;
 
  private:
--- a/balancer/subsetting.cpp
+++ b/balancer/subsetting.cpp
@@ -7,12 +7,12 @@
 namespace lb {
 namespace {
 
-// Upstreams: where one fails and one is busy, one is left.
+// Minimum number of upstreams: if one fails and one is busy, one is left.
 constexpr double kMinSubsetSize = 3;
-// Connections at each upstream, were all sidecars alike, before the rate of requests is known; and beyond
-// which a subset only grows where its members are busy.
-constexpr double kFirstConnections = 5;
-constexpr double kFairConnections = 15;
+// Connections at each upstream, if all sidecars were alike: the number before the rate of requests is known,
+// and the number beyond which a subset grows only if its members are busy.
+constexpr double kInitialConnections = 5;
+constexpr double kMaxIdleConnections = 15;
 // Requests of this sidecar in flight at a busy member.
 constexpr double kBusyInFlight = 2;
 
@@ -29,14 +29,14 @@
 
 double Subsetting::Size(TimePoint now) const {
   const auto listed = static_cast<double>(membership_.size());
-  const double for_one_connection_each = listed / sidecar_count_;
+  const double upstreams_per_sidecar = listed / sidecar_count_;
   if (!traffic_.IsRateKnown(now))
-    return std::max(kMinSubsetSize, std::min(listed, kFirstConnections * for_one_connection_each));
-  const double met_often =
+    return std::max(kMinSubsetSize, std::min(listed, kInitialConnections * upstreams_per_sidecar));
+  const double sampled_often =
       traffic_.request_rate() * Seconds(failure_memory_) / OutlierDetector::kFailuresToEject;
-  const double busy = limiter_.UsualInFlight() / kBusyInFlight;
+  const double kept_busy = limiter_.UsualInFlight() / kBusyInFlight;
   return std::max(kMinSubsetSize,
-                  std::min(met_often, std::max(kFairConnections * for_one_connection_each, busy)));
+                  std::min(sampled_often, std::max(kMaxIdleConnections * upstreams_per_sidecar, kept_busy)));
 }
 
 double Subsetting::Share(TimePoint now) const {
--- a/balancer/subsetting.h
+++ b/balancer/subsetting.h
@@ -1,5 +1,6 @@
-// Deterministic subsetting (aperture, as in Finagle): how many upstreams, from this sidecar's place on the
-// ring on, it spreads its requests over. Membership places the subset; this is its size.
+// Deterministic subsetting (aperture, as in Finagle): computes the number of upstreams, starting from this
+// sidecar's place on the ring, that the sidecar spreads its requests over. Membership places the subset; this
+// class determines its size.
 #pragma once
 
 #include <cstddef>
@@ -13,18 +14,20 @@
 
 class Subsetting {
  public:
-  // All have to outlive this. `failure_memory`: how long what a failure tells counts.
+  // All arguments have to outlive this object. `failure_memory`: how long a failure counts.
   Subsetting(const Settings& settings, const Membership& membership, const TrafficStatistics& traffic,
              const ConcurrencyLimiter& limiter, Duration failure_memory);
 
-  // Upstreams in the subset; may be a fraction, and more than are listed.
+  // The number of upstreams in the subset. May be a fraction, and more than are listed.
   //
-  // As many as are sent OutlierDetector::kFailuresToEject requests within `failure_memory`: with few requests
-  // spread so thin that no upstream is met twice, every request needs a new connection and tells nothing of
-  // the next. With many requests it is the whole list; but where the fleet is so large that the connections
-  // of all sidecars would fill the upstreams' tables, it is as many as this sidecar keeps busy.
+  // It is the number of upstreams to which the sidecar sends OutlierDetector::kFailuresToEject requests each
+  // within `failure_memory`. If few requests were spread over more upstreams, hardly any upstream would get a
+  // second request in time: every request would need a new connection, and its outcome would not help the
+  // next one. With many requests the subset is the whole list, unless the fleet is so large that the
+  // connections of all sidecars would exhaust the upstreams' connection tables: then it is the number of
+  // upstreams that this sidecar keeps busy.
   double Size(TimePoint now) const;
-  // The share of the list that is in the subset, 0 to 1.
+  // The share of the listed upstreams that is in the subset, 0 to 1.
   double Share(TimePoint now) const;
 
  private:
--- a/balancer/traffic_statistics.cpp
+++ b/balancer/traffic_statistics.cpp
@@ -6,7 +6,7 @@
 namespace lb {
 namespace {
 
-// Eight updates: less says little of the rate.
+// Eight updates: with fewer, the measured rate is too inaccurate.
 constexpr Duration kRateKnownAfter = std::chrono::seconds(2);
 
 }  // namespace
--- a/balancer/traffic_statistics.h
+++ b/balancer/traffic_statistics.h
@@ -1,6 +1,6 @@
-// What this sidecar usually carries: requests and served responses a second, and the list's weight, all
-// changing slowly. A burst, or the loss of half the list, must not raise the budgets of upstreams that warm
-// up.
+// The usual traffic of this sidecar: requests and served responses per second, and the weight of the endpoint
+// list, as slowly changing averages. A burst, or the loss of half the list, must not raise the slow start
+// budgets of upstreams.
 #pragma once
 
 #include <cstdint>
@@ -12,32 +12,32 @@
 
 class TrafficStatistics {
  public:
-  // `slow_start_duration`: an upstream warms up within this time; the averages change more slowly.
+  // `slow_start_duration`: the time that an upstream takes to warm up. The averages change more slowly.
   explicit TrafficStatistics(Duration slow_start_duration) : slow_start_duration_(slow_start_duration) {}
 
   void Start(TimePoint now) { started_ = now; }
   void RecordRequest() { ++requests_; }
   void RecordServed() { ++served_; }
-  // Every `interval`. `listed_weight`: of all upstreams that serve.
+  // Must be called at every `interval`. `listed_weight`: the weight of all upstreams that serve.
   void Update(TimePoint now, Duration interval, double listed_weight);
 
-  // Requests accepted a second, clients' retries included.
+  // Requests received per second, clients' retries included.
   double request_rate() const { return request_rate_; }
-  // The rate of calls that an upstream's share is reckoned by. At least half of the requests count: where few
-  // are served, the rest still needs somewhere to go.
+  // Calls per second, from which an upstream's expected share is computed. At least half of the requests
+  // count, because when few requests are served the others still need an upstream.
   double CallRate() const;
-  // The weight of the list, which follows a rise at once and a fall slowly.
+  // The weight of the list. Follows an increase at once and a decrease slowly.
   double usual_weight() const { return usual_weight_; }
-  // Long enough after the start for request_rate() to be meant.
+  // Whether request_rate() is meaningful: enough time has passed since the start, and there were requests.
   bool IsRateKnown(TimePoint now) const;
 
  private:
   const Duration slow_start_duration_;
   TimePoint started_;
   std::uint64_t requests_ = 0;  // since the last update
-  std::uint64_t served_ = 0;    // likewise
-  double request_rate_ = 0;     // a second
-  double served_rate_ = 0;      // a second
+  std::uint64_t served_ = 0;    // since the last update
+  double request_rate_ = 0;     // per second
+  double served_rate_ = 0;      // per second
   double usual_weight_ = 0;
 };
 
--- a/balancer/weight_sum.cpp
+++ b/balancer/weight_sum.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr int kUnitBits = 64;
-// Bounds the sum: 2^15 weights of this size still fit into the 128 bits of it.
+// Bounds the sum: 2^15 weights of this size fit into its 128 bits.
 constexpr double kMaxWeight = 0x1p48;
 
 }  // namespace
--- a/balancer/weight_sum.h
+++ b/balancer/weight_sum.h
@@ -1,11 +1,11 @@
-// A sum of weights that does not depend on the order of the additions, so that it can be kept up to date by
-// additions and subtractions: it is exact, and rounded once where it is read.
+// An exact sum of weights, kept up to date by additions and subtractions. Its value does not depend on their
+// order and is rounded only once, when it is read.
 #pragma once
 
 namespace lb {
 
-// In units of 2^-64: a weight from 2^-11 up to 2^48 is added as it is, a lesser one to the nearest unit, a
-// greater one as 2^48.
+// A fixed-point sum in units of 2^-64. A weight from 2^-11 to 2^48 is added exactly, a lower one is truncated
+// to a multiple of the unit, and a higher one counts as 2^48.
 class WeightSum {
  public:
   void Add(double weight) { units_ += Units(weight); }
--- a/balancer/weighted_round_robin.cpp
+++ b/balancer/weighted_round_robin.cpp
@@ -9,9 +9,10 @@
 namespace lb {
 namespace {
 
-// Of the share of successes in a weight: errors come fast, and without this attract requests.
+// The exponent of the share of successes in a weight. Errors return fast and would attract requests without
+// it.
 constexpr int kSuccessPower = 3;
-// The part of its weight that an upstream keeps at least, so that it shows when it recovers.
+// The minimum share of its weight that an upstream keeps, so that its recovery shows.
 constexpr double kMinSuccess = 0.02;
 
 }  // namespace
@@ -20,15 +21,16 @@
                                        const SlowStart& slow_start, RandomSource& random)
     : membership_(membership), subsetting_(subsetting), slow_start_(slow_start), random_(random) {}
 
-// The relative latency counts squared: responses of a slow upstream are late far more often.
+// The relative latency counts squared, because the responses of a slow upstream are late far more often.
 double WeightedRoundRobin::EffectiveWeight(const Upstream& upstream, TimePoint now) const {
-  // Time-outs beside fast responses attract no requests: whatever else the upstream takes it serves.
-  const double swallowed =
+  // Time-outs at an upstream that responds fast to other requests reduce its weight only linearly: they do
+  // not attract requests as fast errors do, and the upstream serves the other requests that it gets.
+  const double unanswered_share =
       LatencyStatistics::IsLoaded(upstream) ? 0 : FailureStatistics::TimeoutShare(upstream);
-  const double failing = FailureStatistics::FailureShare(upstream) - swallowed;
+  const double error_share = FailureStatistics::FailureShare(upstream) - unanswered_share;
   const double latency = LatencyStatistics::RelativeLatency(upstream);
   return upstream.info.weight * slow_start_.WarmUpFraction(upstream, now) / (latency * latency) *
-         std::max(kMinSuccess, std::pow(1 - failing, kSuccessPower) * (1 - swallowed));
+         std::max(kMinSuccess, std::pow(1 - error_share, kSuccessPower) * (1 - unanswered_share));
 }
 
 Upstream& WeightedRoundRobin::ChooseNext(const std::vector<WeightedUpstream>& candidates) {
@@ -36,7 +38,8 @@
   Upstream* best = candidates.front().upstream;
   for (const WeightedUpstream& candidate : candidates) sum += candidate.weight;
   for (const WeightedUpstream& candidate : candidates) {
-    // One that has not been a candidate for long has its credit from a rotation of another length.
+    // The credit of an upstream that has not been a candidate for long comes from a rotation of another
+    // length.
     double& credit = candidate.upstream->rotation.credit;
     credit = std::clamp(credit, -sum, sum) + candidate.weight;
     if (credit > best->rotation.credit) best = candidate.upstream;
@@ -59,7 +62,7 @@
   if (credit < 0) credit = std::min(0.0, credit + EffectiveWeight(upstream, now));
 }
 
-// The sum of the weights in the subset, about.
+// The approximate sum of the weights in the subset.
 double WeightedRoundRobin::RotationLength(TimePoint now) const {
   return membership_.listed_weight().value() * subsetting_.Share(now);
 }
--- a/balancer/weighted_round_robin.h
+++ b/balancer/weighted_round_robin.h
@@ -1,5 +1,6 @@
-// Smooth weighted round robin, as in nginx: each choice adds every candidate's weight to its credit, takes
-// the one with the most, and subtracts the sum of the weights from it. The weights follow what was observed.
+// Smooth weighted round robin, as in nginx: each choice adds every candidate's weight to its credit, chooses
+// the candidate with the highest credit, and subtracts the sum of the weights from that credit. The weights
+// follow the observed failures and latency.
 #pragma once
 
 #include <vector>
@@ -12,8 +13,8 @@
 
 namespace lb {
 
-// A candidate for a choice, with its effective weight: computed once for each choice, as it costs the most of
-// it.
+// A candidate for a choice with its effective weight. The weight is computed only once for each choice,
+// because it is the most expensive part of the choice.
 struct WeightedUpstream {
   Upstream* upstream = nullptr;
   double weight = 0;
@@ -21,24 +22,25 @@
 
 class WeightedRoundRobin {
  public:
-  // All have to outlive this.
+  // All arguments have to outlive this object.
   WeightedRoundRobin(const Membership& membership, const Subsetting& subsetting, const SlowStart& slow_start,
                      RandomSource& random);
 
-  // The registered weight, less while warming up, for failures and for high latency.
+  // The registered weight, reduced during slow start, for failures and for high latency.
   double EffectiveWeight(const Upstream& upstream, TimePoint now) const;
 
-  // The next of `candidates`, which is not empty. Their credits move.
+  // Returns the next of `candidates`, which must not be empty, and updates their credits.
   static Upstream& ChooseNext(const std::vector<WeightedUpstream>& candidates);
 
-  // An upstream that enters or is readmitted starts somewhere in a rotation: without saved credit, and so
-  // that sidecars that hear of it together do not all choose it next.
+  // Gives an upstream that enters service or is readmitted a random negative credit: it has no saved credit,
+  // and sidecars that learn of it at the same time do not all choose it next.
   void Restart(Upstream& upstream, TimePoint now);
-  // To be called with the whole list known: a rotation drawn from a part of it would put the first of the
-  // list first at every sidecar.
+  // Likewise for several upstreams. Must be called after the complete update is applied: credits drawn for a
+  // partial list would put the first entry of the list first at every sidecar.
   void Restart(const std::vector<UpstreamPtr>& entering, TimePoint now);
 
-  // An upstream that waits for its slow start budget does not wait for its turn besides.
+  // Raises a negative credit of an upstream that lacks slow start budget, so that it does not wait for its
+  // turn in addition to its budget.
   void AccrueWhileWarmingUp(Upstream& upstream, TimePoint now) const;
 
  private:
--- a/balancer/zone_locality.h
+++ b/balancer/zone_locality.h
@@ -1,4 +1,4 @@
-// Zone locality: what a call to another zone costs, and when a local upstream is worth more.
+// Zone locality: the cost of a call to another zone, and the choice between a local and a remote upstream.
 #pragma once
 
 #include "balancer/settings.h"
@@ -8,23 +8,25 @@
 
 class ZoneLocality {
  public:
-  // `settings` has to outlive this.
+  // `settings` has to outlive this object.
   explicit ZoneLocality(const Settings& settings) : settings_(settings) {}
 
   bool IsLocal(const Upstream& upstream) const { return upstream.info.zone == settings_.zone; }
-  // Cross-zone calls have a cost in this deployment.
+  // Whether cross-zone calls have a cost in this deployment.
   bool HasCost() const { return settings_.decision_costs.cross_zone > 0; }
-  // Of a call to `upstream`, as a share of a call's value.
+  // The zone cost of a call to `upstream` as a share of a call's value.
   double Cost(const Upstream& upstream) const {
     return IsLocal(upstream) ? 0 : settings_.decision_costs.cross_zone;
   }
-  // Both risks: how likely the call is late, 0 to 1.
+  // Whether a local upstream is preferable to a remote one. The risks are the probabilities, 0 to 1, that a
+  // call to the upstream is late.
   bool IsLocalWorthMore(double local_risk, double remote_risk) const {
     return local_risk < remote_risk + settings_.decision_costs.cross_zone * kCostShare;
   }
 
  private:
-  // Of the cost of a cross-zone call: local upstreams must not fill up to the whole of it.
+  // The share of the cross-zone cost that counts in the comparison. With the full cost, a local upstream
+  // would be preferred until it is too heavily loaded.
   static constexpr double kCostShare = 0.5;
   const Settings& settings_;
 };
--- a/tests/balancer/components_fixture.h
+++ b/tests/balancer/components_fixture.h
@@ -1,4 +1,5 @@
-// The components of one balancer with upstreams "a", "b", ... listed, for tests of single components.
+// A fixture with the components of one balancer, for tests of single components. The tests add upstreams with
+// AddUpstream().
 #pragma once
 
 #include <memory>
@@ -19,15 +20,15 @@
     components_.traffic.Start(now_);
   }
 
-  UpstreamPtr Adopt(const UpstreamInfo& info) {
-    UpstreamPtr upstream = components_.membership.Adopt(info).upstream;
+  UpstreamPtr AddUpstream(const UpstreamInfo& info) {
+    UpstreamPtr upstream = components_.membership.ApplyEntry(info).upstream;
     components_.latency.AssignKind(*upstream);
-    components_.membership.Settle();
+    components_.membership.CommitUpdate();
     components_.failures.Invalidate();
     return upstream;
   }
 
-  // Ends an attempt to `upstream`, for the outlier detector alone.
+  // Records the end of an attempt to `upstream` in the outlier detector only.
   EjectionChange Finish(Upstream& upstream, Outcome outcome, bool half_open_probe = false) {
     Attempt attempt;
     attempt.half_open_probe = half_open_probe;
--- a/tests/balancer/concurrency_limiter_test.cpp
+++ b/tests/balancer/concurrency_limiter_test.cpp
@@ -12,7 +12,7 @@
   }
 
   ConcurrencyLimiter& limiter_ = components_.limiter;
-  const UpstreamPtr upstream_ = Adopt(MakeUpstream("a"));
+  const UpstreamPtr upstream_ = AddUpstream(MakeUpstream("a"));
 };
 
 TEST_F(ConcurrencyLimiterTest, AdmitsEverythingWhileResponsesAreInTime) {
@@ -23,7 +23,7 @@
   EXPECT_TRUE(limiter_.Admit(0));
 }
 
-TEST_F(ConcurrencyLimiterTest, LimitsTheRequestsInFlightWhereResponsesAreLate) {
+TEST_F(ConcurrencyLimiterTest, LimitsTheRequestsInFlightWhenResponsesAreLate) {
   for (int i = 0; i < 10; ++i) limiter_.OnAttemptStarted(*upstream_);
 
   RecordOutcomes(20, true);
@@ -34,13 +34,13 @@
   EXPECT_FALSE(limiter_.Admit(0));  // ten are in flight, and the limit is four
 }
 
-TEST_F(ConcurrencyLimiterTest, LiftsALimitThatBindsNothing) {
+TEST_F(ConcurrencyLimiterTest, LiftsALimitFarAboveTheDemand) {
   for (int i = 0; i < 10; ++i) limiter_.OnAttemptStarted(*upstream_);
   RecordOutcomes(20, true);
   limiter_.Update(1);
   for (int i = 0; i < 10; ++i) limiter_.OnAttemptFinished(*upstream_);
 
-  for (int i = 0; i < 2; ++i) {  // the peak since the last decision falls with the second
+  for (int i = 0; i < 2; ++i) {  // the peak since the last adjustment falls only with the second update
     RecordOutcomes(20, false);
     limiter_.Update(1);
   }
--- a/tests/balancer/connection_tracker_test.cpp
+++ b/tests/balancer/connection_tracker_test.cpp
@@ -14,7 +14,7 @@
   }
 
   ConnectionTracker& connections_ = components_.connections;
-  const UpstreamPtr upstream_ = Adopt(MakeUpstream("a"));
+  const UpstreamPtr upstream_ = AddUpstream(MakeUpstream("a"));
 };
 
 TEST_F(ConnectionTrackerTest, KeepsTheConnectionOfAServedCallUntilItIsClosed) {
@@ -26,20 +26,20 @@
   EXPECT_TRUE(connections_.ClaimConnection(*upstream_, now_).connects);
 }
 
-TEST_F(ConnectionTrackerTest, TrustsIdleConnectionsForLessAfterOneWasFoundDropped) {
+TEST_F(ConnectionTrackerTest, HalvesTheMaxConnectionIdleAfterADroppedConnection) {
   Record(Outcome::kReset, 1ms, 4s);
   Record(Outcome::kServed, 10ms);
 
-  EXPECT_EQ(connections_.trusted_idle(), 2s);
+  EXPECT_EQ(connections_.max_connection_idle(), 2s);
   EXPECT_TRUE(connections_.ClaimConnection(*upstream_, now_ + 3s).close_idle);
 }
 
-TEST_F(ConnectionTrackerTest, TrustsThemForLongerAgainWithTime) {
+TEST_F(ConnectionTrackerTest, RaisesTheMaxConnectionIdleWithTime) {
   Record(Outcome::kReset, 1ms, 4s);
 
-  connections_.ExtendTrust();
+  connections_.RaiseMaxConnectionIdle();
 
-  EXPECT_EQ(connections_.trusted_idle(), 2040ms);
+  EXPECT_EQ(connections_.max_connection_idle(), 2040ms);
 }
 
 TEST_F(ConnectionTrackerTest, PausesConnectingAfterALocalFailure) {
--- a/tests/balancer/decaying_average_test.cpp
+++ b/tests/balancer/decaying_average_test.cpp
@@ -33,14 +33,14 @@
   EXPECT_NEAR(average.DecayedTo(start + seconds(10), seconds(10)).samples, 4 / 2.718281828, 1e-6);
 }
 
-TEST(DecayingAverage, TakesLessThanOneSampleForOne) {
+TEST(DecayingAverage, CountsLessThanOneSampleAsOne) {
   DecayingAverage average;
   average.Add(1, TimePoint{}, seconds(1));
 
   EXPECT_LT(average.DecayedTo(TimePoint{} + seconds(5), seconds(1)).Share(), 0.01);
 }
 
-TEST(DurationOr, GivesTheUnknownForAnEmptyMean) {
+TEST(DurationOr, ReturnsTheDefaultForAnEmptyMean) {
   EXPECT_EQ(DurationOr(RunningMean{}, seconds(3)), seconds(3));
   EXPECT_EQ(DurationOr(RunningMean{1500, 1}, seconds(3)), Duration(1500));
 }
--- a/tests/balancer/failure_statistics_test.cpp
+++ b/tests/balancer/failure_statistics_test.cpp
@@ -11,8 +11,8 @@
     for (int i = 0; i < calls; ++i) components_.failures.Record(upstream, outcome);
   }
 
-  const UpstreamPtr upstream_ = Adopt(MakeUpstream("a"));
-  const UpstreamPtr peer_ = Adopt(MakeUpstream("b"));
+  const UpstreamPtr upstream_ = AddUpstream(MakeUpstream("a"));
+  const UpstreamPtr peer_ = AddUpstream(MakeUpstream("b"));
 };
 
 TEST_F(FailureStatisticsTest, CountsAFirstFailureAsAFifth) {
@@ -36,7 +36,7 @@
   EXPECT_LT(FailureStatistics::FailureShare(*upstream_), 0.01);
 }
 
-TEST_F(FailureStatisticsTest, PeersShareLeavesTheUpstreamItselfOut) {
+TEST_F(FailureStatisticsTest, PeersShareExcludesTheUpstreamItself) {
   Record(*upstream_, Outcome::kError, 10);
   Record(*peer_, Outcome::kServed, 10);
 
--- a/tests/balancer/hedging_policy_test.cpp
+++ b/tests/balancer/hedging_policy_test.cpp
@@ -9,7 +9,7 @@
 
 class HedgingPolicyTest : public ComponentsFixture {
  protected:
-  Request WithAttemptOut(ClassId request_class) {
+  Request WithPendingAttempt(ClassId request_class) {
     Request request = MakeRequest(request_class);
     request.attempts.push_back({upstream_, now_});
     OutlierDetector::OnFirstInFlight(*upstream_, now_);
@@ -17,10 +17,10 @@
     return request;
   }
 
-  const UpstreamPtr upstream_ = Adopt(MakeUpstream("a"));
+  const UpstreamPtr upstream_ = AddUpstream(MakeUpstream("a"));
 };
 
-TEST_F(HedgingPolicyTest, SchedulesOnlyWhatMayBeRepeated) {
+TEST_F(HedgingPolicyTest, SchedulesOnlyRequestsThatMayBeRepeated) {
   Request safe = MakeRequest(kIdempotent);
   Request unsafe = MakeRequest(kNotIdempotent);
 
@@ -28,8 +28,8 @@
   EXPECT_EQ(components_.hedging.Schedule(unsafe, now_), std::nullopt);
 }
 
-TEST_F(HedgingPolicyTest, HedgesARequestWhoseUpstreamIsSilent) {
-  Request request = WithAttemptOut(kIdempotent);
+TEST_F(HedgingPolicyTest, HedgesARequestWhoseUpstreamDoesNotRespond) {
+  Request request = WithPendingAttempt(kIdempotent);
   components_.hedging.Schedule(request, now_);
 
   EXPECT_EQ(components_.hedging.Decide(request, now_ + 299ms), Decision::kNone);
@@ -37,7 +37,7 @@
 }
 
 TEST_F(HedgingPolicyTest, WaitsWhileTheUpstreamRespondsToOthers) {
-  Request request = WithAttemptOut(kIdempotent);
+  Request request = WithPendingAttempt(kIdempotent);
   components_.hedging.Schedule(request, now_);
   OutlierDetector::OnFirstInFlight(*upstream_, now_ + 200ms);
 
--- a/tests/balancer/latency_statistics_test.cpp
+++ b/tests/balancer/latency_statistics_test.cpp
@@ -7,10 +7,10 @@
 
 class LatencyStatisticsTest : public ComponentsFixture {
  protected:
-  UpstreamPtr AdoptOfKind(const std::string& id, const std::string& kind) {
+  UpstreamPtr AddUpstreamOfKind(const std::string& id, const std::string& kind) {
     UpstreamInfo info = MakeUpstream(id);
     info.kind = kind;
-    return Adopt(info);
+    return AddUpstream(info);
   }
 
   void Record(Upstream& upstream, Duration elapsed, int calls) {
@@ -18,12 +18,12 @@
   }
 };
 
-TEST_F(LatencyStatisticsTest, TakesAQuarterOfTheObjectiveWhileNothingIsKnown) {
+TEST_F(LatencyStatisticsTest, UsesAQuarterOfTheObjectiveBeforeAnyResponse) {
   EXPECT_EQ(components_.latency.UsualTime(0), 100ms);
 }
 
 TEST_F(LatencyStatisticsTest, LearnsTheUsualTimeOfAClass) {
-  const UpstreamPtr upstream = Adopt(MakeUpstream("a"));
+  const UpstreamPtr upstream = AddUpstream(MakeUpstream("a"));
 
   Record(*upstream, 20ms, 50);
 
@@ -31,9 +31,9 @@
   EXPECT_EQ(components_.latency.UsualTime(1), 100ms) << "another class";
 }
 
-TEST_F(LatencyStatisticsTest, ComparesUpstreamsWithinBounds) {
-  const UpstreamPtr fast = AdoptOfKind("a", "x");
-  const UpstreamPtr slow = AdoptOfKind("b", "y");
+TEST_F(LatencyStatisticsTest, BoundsTheRelativeLatency) {
+  const UpstreamPtr fast = AddUpstreamOfKind("a", "x");
+  const UpstreamPtr slow = AddUpstreamOfKind("b", "y");
   for (int i = 0; i < 200; ++i) {
     Record(*fast, 10ms, 1);
     Record(*slow, 200ms, 1);
@@ -44,21 +44,21 @@
   EXPECT_LE(LatencyStatistics::RelativeLatency(*slow), 3);
 }
 
-TEST_F(LatencyStatisticsTest, TakesANewUpstreamForTheUsualOneOfItsKind) {
-  const UpstreamPtr fast = AdoptOfKind("a", "fast");
-  const UpstreamPtr slow = AdoptOfKind("b", "slow");
+TEST_F(LatencyStatisticsTest, EstimatesANewUpstreamByItsKind) {
+  const UpstreamPtr fast = AddUpstreamOfKind("a", "fast");
+  const UpstreamPtr slow = AddUpstreamOfKind("b", "slow");
   for (int i = 0; i < 200; ++i) {
     Record(*fast, 10ms, 1);
     Record(*slow, 40ms, 1);
   }
 
-  const UpstreamPtr unknown = AdoptOfKind("c", "slow");
+  const UpstreamPtr unknown = AddUpstreamOfKind("c", "slow");
 
   EXPECT_GT(LatencyStatistics::RelativeLatency(*unknown), 1.2);
 }
 
-TEST_F(LatencyStatisticsTest, TakesAnUpstreamForLoadedByItsShareOfTheObjective) {
-  const UpstreamPtr upstream = Adopt(MakeUpstream("a"));
+TEST_F(LatencyStatisticsTest, JudgesLoadByTheShareOfTheObjective) {
+  const UpstreamPtr upstream = AddUpstream(MakeUpstream("a"));
   Record(*upstream, 20ms, 50);
   EXPECT_FALSE(LatencyStatistics::IsLoaded(*upstream));
 
--- a/tests/balancer/lateness_statistics_test.cpp
+++ b/tests/balancer/lateness_statistics_test.cpp
@@ -7,7 +7,7 @@
 
 using LatenessStatisticsTest = ComponentsFixture;
 
-TEST_F(LatenessStatisticsTest, TakesThreeQuartersOfTheObjectiveForLate) {
+TEST_F(LatenessStatisticsTest, CountsResponsesAboveThreeQuartersOfTheObjectiveAsLate) {
   const RequestClass request_class = MakeClass("a", Idempotency::kIdempotent);  // 400 ms
 
   EXPECT_FALSE(LatenessStatistics::IsLate(request_class, Outcome::kServed, 300ms));
@@ -16,7 +16,7 @@
 }
 
 TEST_F(LatenessStatisticsTest, IsWidespreadAboveFifteenPercentOfAllCalls) {
-  const UpstreamPtr upstream = Adopt(MakeUpstream("a"));
+  const UpstreamPtr upstream = AddUpstream(MakeUpstream("a"));
   for (int i = 0; i < 100; ++i) components_.lateness.Record(*upstream, i % 10 == 0, now_);
   EXPECT_FALSE(components_.lateness.IsWidespread(now_));
 
@@ -25,8 +25,8 @@
   EXPECT_TRUE(components_.lateness.IsWidespread(now_));
 }
 
-TEST_F(LatenessStatisticsTest, IsForgottenWithTime) {
-  const UpstreamPtr upstream = Adopt(MakeUpstream("a"));
+TEST_F(LatenessStatisticsTest, DecaysWithTimeToNoRisk) {
+  const UpstreamPtr upstream = AddUpstream(MakeUpstream("a"));
   for (int i = 0; i < 100; ++i) components_.lateness.Record(*upstream, true, now_);
 
   now_ += 10 * components_.lateness.memory();
@@ -36,8 +36,8 @@
 }
 
 TEST_F(LatenessStatisticsTest, JudgesAnUnknownUpstreamByAllOthers) {
-  const UpstreamPtr known = Adopt(MakeUpstream("a"));
-  const UpstreamPtr unknown = Adopt(MakeUpstream("b"));
+  const UpstreamPtr known = AddUpstream(MakeUpstream("a"));
+  const UpstreamPtr unknown = AddUpstream(MakeUpstream("b"));
   for (int i = 0; i < 100; ++i) components_.lateness.Record(*known, i % 2 == 0, now_);
 
   EXPECT_NEAR(components_.lateness.Risk(*unknown, now_), 0.5, 1e-9);
--- a/tests/balancer/load_prober_test.cpp
+++ b/tests/balancer/load_prober_test.cpp
@@ -17,7 +17,7 @@
  protected:
   explicit LoadProberTest(double probe_cost = 0.001) : ComponentsFixture(ProbingSettings(probe_cost)) {}
 
-  // A request in the table that waits for the reports of these upstreams.
+  // Inserts a request that waits for the reports of these upstreams into the request table.
   Request& WaitingRequest(const std::vector<UpstreamPtr>& upstreams) {
     const Request made = MakeRequest(kIdempotent);
     Request& request = *components_.requests.Insert(made.id);
@@ -34,8 +34,8 @@
     return report;
   }
 
-  const UpstreamPtr first_ = Adopt(MakeUpstream("a"));
-  const UpstreamPtr second_ = Adopt(MakeUpstream("b"));
+  const UpstreamPtr first_ = AddUpstream(MakeUpstream("a"));
+  const UpstreamPtr second_ = AddUpstream(MakeUpstream("b"));
 };
 
 class CostlyLoadProberTest : public LoadProberTest {
@@ -70,7 +70,7 @@
   EXPECT_TRUE(LoadProber::ClaimProbe(*first_));
 }
 
-TEST_F(LoadProberTest, GivesAReportToEveryRequestThatWaits) {
+TEST_F(LoadProberTest, PassesAReportToEveryWaitingRequest) {
   Request& one = WaitingRequest({first_, second_});
   Request& other = WaitingRequest({first_});
 
@@ -102,7 +102,8 @@
   EXPECT_FALSE(choice.overloaded);
 }
 
-// Half of the latency objective of 400 ms at 100 requests a second: more than 20 in flight are an overload.
+// Within half of the latency objective of 400 ms, 100 requests per second make 20 requests: more in flight
+// are an overload.
 TEST_F(LoadProberTest, ChoosesNoOverloadedUpstream) {
   const Request request = MakeRequest(kIdempotent);
 
--- a/tests/balancer/log_lines_test.cpp
+++ b/tests/balancer/log_lines_test.cpp
@@ -7,7 +7,7 @@
 namespace lb {
 namespace {
 
-TEST(LogLines, GiveAnEventAndItsFields) {
+TEST(LogLines, ContainAnEventAndItsFields) {
   EXPECT_EQ(UpstreamEjectedLine({"s-5be2"}, 5, std::chrono::seconds(60)),
             "upstream_ejected upstream=s-5be2 failures=5 duration_ms=60000");
   EXPECT_EQ(UpstreamReadmittedLine({"s-5be2"}, ReadmissionReason::kEjectionExpired),
@@ -16,7 +16,7 @@
   EXPECT_EQ(SheddingStoppedLine(), "shedding_stopped");
 }
 
-TEST(LogLines, QuoteIdsThatWouldBreakTheForm) {
+TEST(LogLines, QuoteIdsWithSpecialCharacters) {
   EXPECT_EQ(UpstreamReadmittedLine({"a \"b\"\n"}, ReadmissionReason::kProbesSucceeded),
             "upstream_readmitted upstream=\"a \\\"b\\\" \" reason=probes_succeeded");
   EXPECT_EQ(UpstreamReadmittedLine({""}, ReadmissionReason::kProbesSucceeded),
--- a/tests/balancer/membership_test.cpp
+++ b/tests/balancer/membership_test.cpp
@@ -8,12 +8,13 @@
 
 Membership WithUpstreams(std::size_t count, double own_place = 0) {
   Membership membership(own_place);
-  for (std::size_t i = 0; i < count; ++i) membership.Adopt(MakeUpstream("upstream-" + std::to_string(i)));
-  membership.Settle();
+  for (std::size_t i = 0; i < count; ++i)
+    membership.ApplyEntry(MakeUpstream("upstream-" + std::to_string(i)));
+  membership.CommitUpdate();
   return membership;
 }
 
-TEST(Membership, PlacesAreTheInverseOfTheOrder) {
+TEST(Membership, PlaceOfIsTheInverseOfAt) {
   const Membership membership = WithUpstreams(12, 0.5);
 
   for (std::size_t place = 0; place < membership.size(); ++place)
@@ -28,30 +29,30 @@
     EXPECT_EQ(second.At(place).info.id, first.At((place + 6) % 12).info.id);
 }
 
-TEST(Membership, DropsWhatAWholeListLeavesOut) {
+TEST(Membership, DropsUpstreamsMissingFromAFullList) {
   Membership membership = WithUpstreams(3);
 
-  membership.BeginWholeList();
-  membership.Adopt(MakeUpstream("upstream-1"));
-  membership.Settle();
+  membership.BeginFullList();
+  membership.ApplyEntry(MakeUpstream("upstream-1"));
+  membership.CommitUpdate();
 
   EXPECT_EQ(membership.size(), 1U);
   EXPECT_EQ(membership.Find("upstream-0"), nullptr);
   EXPECT_EQ(membership.listed_weight().value(), 1);
 }
 
-TEST(Membership, TakesANewStartTimeForANewProcess) {
+TEST(Membership, TreatsANewStartTimeAsANewProcess) {
   Membership membership = WithUpstreams(1);
   const UpstreamPtr earlier = membership.Find("upstream-0");
   UpstreamInfo info = MakeUpstream("upstream-0");
   info.started = TimePoint(5s);
 
-  const Membership::Adopted adopted = membership.Adopt(info);
-  membership.Settle();
+  const Membership::AppliedEntry applied = membership.ApplyEntry(info);
+  membership.CommitUpdate();
 
-  EXPECT_TRUE(adopted.new_process);
+  EXPECT_TRUE(applied.new_process);
   EXPECT_EQ(earlier->info.state, UpstreamState::kGone);
-  EXPECT_EQ(membership.Find("upstream-0"), adopted.upstream);
+  EXPECT_EQ(membership.Find("upstream-0"), applied.upstream);
   EXPECT_EQ(membership.size(), 1U);
 }
 
@@ -60,9 +61,9 @@
 
   const auto info = membership.ApplyOverride("upstream-0", Membership::Override::kDisable, TimePoint(1s));
   ASSERT_TRUE(info);
-  membership.Adopt(*info);
-  membership.Adopt(MakeUpstream("upstream-0"));
-  membership.Settle();
+  membership.ApplyEntry(*info);
+  membership.ApplyEntry(MakeUpstream("upstream-0"));
+  membership.CommitUpdate();
 
   EXPECT_EQ(membership.Find("upstream-0")->info.state, UpstreamState::kDraining);
   EXPECT_EQ(membership.listed_weight().value(), 0);
--- a/tests/balancer/outlier_detector_test.cpp
+++ b/tests/balancer/outlier_detector_test.cpp
@@ -13,7 +13,7 @@
     ASSERT_EQ(Finish(upstream, Outcome::kError), EjectionChange::kEjected);
   }
 
-  const UpstreamPtr upstream_ = Adopt(MakeUpstream("a"));
+  const UpstreamPtr upstream_ = AddUpstream(MakeUpstream("a"));
 };
 
 TEST_F(OutlierDetectorTest, EjectsAfterConsecutiveFailures) {
@@ -24,7 +24,7 @@
   EXPECT_EQ(OutlierDetector::EjectionTime(*upstream_), 60s);
 }
 
-TEST_F(OutlierDetectorTest, StartsAnewAfterAServedCall) {
+TEST_F(OutlierDetectorTest, RestartsTheCountAfterAServedCall) {
   for (int i = 0; i < 4; ++i) ASSERT_EQ(Finish(*upstream_, Outcome::kReset), EjectionChange::kNone);
   ASSERT_EQ(Finish(*upstream_, Outcome::kServed), EjectionChange::kNone);
 
@@ -73,15 +73,15 @@
   EXPECT_TRUE(components_.outliers.IsDueForHalfOpenProbe(*upstream_, now_ + 2s));
 }
 
-TEST_F(OutlierDetectorTest, RequiresALongerRunWhereItsPeersFailToo) {
-  const UpstreamPtr peer = Adopt(MakeUpstream("b"));
+TEST_F(OutlierDetectorTest, RequiresMoreFailuresIfThePeersFailToo) {
+  const UpstreamPtr peer = AddUpstream(MakeUpstream("b"));
   for (int i = 0; i < 20; ++i)
     components_.failures.Record(*peer, i % 2 == 0 ? Outcome::kError : Outcome::kServed);
 
   for (int i = 0; i < 10; ++i) EXPECT_EQ(Finish(*upstream_, Outcome::kError), EjectionChange::kNone);
 }
 
-TEST_F(OutlierDetectorTest, SuspectsAnUpstreamThatIsSilent) {
+TEST_F(OutlierDetectorTest, SuspectsAnUpstreamWithoutResponses) {
   OutlierDetector::OnFirstInFlight(*upstream_, now_);
   components_.limiter.OnAttemptStarted(*upstream_);
 
--- a/tests/balancer/poll_schedule_test.cpp
+++ b/tests/balancer/poll_schedule_test.cpp
@@ -15,7 +15,7 @@
 
 class PollScheduleTest : public ::testing::Test {
  protected:
-  // The time from a failure to the next poll.
+  // Records a failure and returns the time until the next poll.
   Duration NextPause() {
     const TimePoint failed = now_;
     schedule_.OnFailure(now_);
@@ -45,7 +45,7 @@
   EXPECT_LE(longest, kMaxPollPause);
 }
 
-TEST_F(PollScheduleTest, StartsAgainAfterASuccess) {
+TEST_F(PollScheduleTest, ResetsTheBackoffAfterASuccess) {
   for (int i = 0; i < 5; ++i) NextPause();
 
   schedule_.OnSuccess();
--- a/tests/balancer/request_table_test.cpp
+++ b/tests/balancer/request_table_test.cpp
@@ -5,14 +5,14 @@
 namespace lb {
 namespace {
 
-TEST(RequestTable, TakesAnIdOnce) {
+TEST(RequestTable, AcceptsAnIdOnce) {
   RequestTable table;
 
   EXPECT_NE(table.Insert(RequestId{1}), nullptr);
   EXPECT_EQ(table.Insert(RequestId{1}), nullptr);
 }
 
-TEST(RequestTable, KeepsARequestWhileAnAttemptIsOut) {
+TEST(RequestTable, KeepsARequestWhileAnAttemptIsPending) {
   RequestTable table;
   Request& request = *table.Insert(RequestId{1});
   request.ended = true;
@@ -26,7 +26,7 @@
   EXPECT_EQ(table.Find(RequestId{1}), nullptr);
 }
 
-TEST(RequestTable, GivesATimersRequestOnce) {
+TEST(RequestTable, ReturnsATimersRequestOnce) {
   RequestTable table;
   const std::uint64_t token = table.AddTimer(RequestId{7});
 
--- a/tests/balancer/slow_start_test.cpp
+++ b/tests/balancer/slow_start_test.cpp
@@ -7,17 +7,17 @@
 
 class SlowStartTest : public ComponentsFixture {
  protected:
-  UpstreamPtr StartedNow() {
+  UpstreamPtr AddStartingUpstream() {
     UpstreamInfo info = MakeUpstream("a");
     info.started = now_;
-    return Adopt(info);
+    return AddUpstream(info);
   }
 
   SlowStart& slow_start_ = components_.slow_start;
 };
 
-TEST_F(SlowStartTest, RisesEvenlyToTheWhole) {
-  const UpstreamPtr upstream = StartedNow();
+TEST_F(SlowStartTest, RisesLinearlyToFullCapacity) {
+  const UpstreamPtr upstream = AddStartingUpstream();
 
   EXPECT_DOUBLE_EQ(slow_start_.WarmUpFraction(*upstream, now_), 0.1);
   EXPECT_DOUBLE_EQ(slow_start_.WarmUpFraction(*upstream, now_ + 10s), 0.55);
@@ -25,12 +25,12 @@
   EXPECT_FALSE(slow_start_.IsWarmingUp(*upstream, now_ + 20s));
 }
 
-TEST_F(SlowStartTest, TakesAnUnknownStartForLongAgo) {
-  EXPECT_FALSE(slow_start_.IsWarmingUp(*Adopt(MakeUpstream("a")), now_));
+TEST_F(SlowStartTest, TreatsAnUnknownStartAsLongAgo) {
+  EXPECT_FALSE(slow_start_.IsWarmingUp(*AddUpstream(MakeUpstream("a")), now_));
 }
 
 TEST_F(SlowStartTest, BoundsTheRequestsToAnUpstreamThatWarmsUp) {
-  const UpstreamPtr upstream = StartedNow();
+  const UpstreamPtr upstream = AddStartingUpstream();
   slow_start_.OnNewProcess(*upstream, now_);
 
   EXPECT_FALSE(
--- a/tests/balancer/subsetting_test.cpp
+++ b/tests/balancer/subsetting_test.cpp
@@ -16,10 +16,10 @@
 class SubsettingTest : public ComponentsFixture {
  protected:
   SubsettingTest() : ComponentsFixture(LargeFleetSettings()) {
-    for (int i = 0; i < 200; ++i) Adopt(MakeUpstream("u" + std::to_string(i)));
+    for (int i = 0; i < 200; ++i) AddUpstream(MakeUpstream("u" + std::to_string(i)));
   }
 
-  void PlayRequests(int requests_a_second) {
+  void RecordRequestRate(int requests_a_second) {
     constexpr Duration kInterval = 250ms;
     for (int update = 0; update < 40; ++update) {
       now_ += kInterval;
@@ -31,24 +31,24 @@
   double Size() const { return components_.subsetting.Size(now_); }
 };
 
-// Two upstreams to a sidecar; five times that until the rate is known.
+// There are two upstreams per sidecar; until the rate is known, the subset has five times that.
 TEST_F(SubsettingTest, BeginsWithFiveConnectionsAtEachUpstream) {
   EXPECT_DOUBLE_EQ(Size(), 10);
   EXPECT_DOUBLE_EQ(components_.subsetting.Share(now_), 0.05);
 }
 
 TEST_F(SubsettingTest, KeepsThreeUpstreamsForFewRequests) {
-  PlayRequests(4);
+  RecordRequestRate(4);
 
   EXPECT_NEAR(Size(), 4 * Seconds(components_.lateness.memory()) / 5, 0.5);
 
-  PlayRequests(0);
+  RecordRequestRate(0);
   now_ += 1h;
   EXPECT_GE(Size(), 3);
 }
 
 TEST_F(SubsettingTest, IsBoundedByTheConnectionsOfTheWholeFleet) {
-  PlayRequests(4000);
+  RecordRequestRate(4000);
 
   EXPECT_DOUBLE_EQ(Size(), 30);
 }
--- a/tests/balancer/traffic_statistics_test.cpp
+++ b/tests/balancer/traffic_statistics_test.cpp
@@ -11,8 +11,8 @@
  protected:
   TrafficStatisticsTest() { traffic_.Start(now_); }
 
-  // Four updates a second, with so many requests in each, of which every second one is served.
-  void Play(Duration time, int requests_each, double listed_weight = 10) {
+  // Makes four updates per second with `requests_each` requests each, of which every second one is served.
+  void RecordTraffic(Duration time, int requests_each, double listed_weight = 10) {
     const TimePoint end = now_ + time;
     while (now_ < end) {
       now_ += kInterval;
@@ -28,42 +28,42 @@
   TrafficStatistics traffic_{60s};
 };
 
-TEST_F(TrafficStatisticsTest, KnowsTheRateAfterTwoSeconds) {
-  Play(1750ms, 10);
+TEST_F(TrafficStatisticsTest, ReportsTheRateAfterTwoSeconds) {
+  RecordTraffic(1750ms, 10);
   EXPECT_FALSE(traffic_.IsRateKnown(now_));
 
-  Play(250ms, 10);
+  RecordTraffic(250ms, 10);
 
   EXPECT_TRUE(traffic_.IsRateKnown(now_));
   EXPECT_NEAR(traffic_.request_rate(), 40, 1e-6);
 }
 
-TEST_F(TrafficStatisticsTest, KnowsNoRateWithoutRequests) {
-  Play(10s, 0);
+TEST_F(TrafficStatisticsTest, ReportsNoRateWithoutRequests) {
+  RecordTraffic(10s, 0);
 
   EXPECT_FALSE(traffic_.IsRateKnown(now_));
 }
 
 TEST_F(TrafficStatisticsTest, CountsHalfOfTheRequestsAtLeast) {
-  Play(10s, 10);
+  RecordTraffic(10s, 10);
 
   EXPECT_NEAR(traffic_.CallRate(), 20, 1e-6);
 }
 
 TEST_F(TrafficStatisticsTest, FollowsABurstSlowly) {
-  Play(60s, 10);
+  RecordTraffic(60s, 10);
 
-  Play(1s, 1000);
+  RecordTraffic(1s, 1000);
 
   EXPECT_LT(traffic_.request_rate(), 0.1 * 4000);
 }
 
-TEST_F(TrafficStatisticsTest, FollowsTheListsWeightUpAtOnceAndDownSlowly) {
-  Play(1s, 1, 10);
-  Play(250ms, 1, 20);
+TEST_F(TrafficStatisticsTest, FollowsIncreasesOfTheWeightAtOnceAndDecreasesSlowly) {
+  RecordTraffic(1s, 1, 10);
+  RecordTraffic(250ms, 1, 20);
   EXPECT_DOUBLE_EQ(traffic_.usual_weight(), 20);
 
-  Play(1s, 1, 5);
+  RecordTraffic(1s, 1, 5);
 
   EXPECT_GT(traffic_.usual_weight(), 19);
 }
--- a/tests/balancer/upstream_selector_test.cpp
+++ b/tests/balancer/upstream_selector_test.cpp
@@ -26,8 +26,8 @@
 }
 
 TEST_F(UpstreamSelectorTest, RotatesOverEqualUpstreams) {
-  const UpstreamPtr first = Adopt(MakeUpstream("a"));
-  const UpstreamPtr second = Adopt(MakeUpstream("b"));
+  const UpstreamPtr first = AddUpstream(MakeUpstream("a"));
+  const UpstreamPtr second = AddUpstream(MakeUpstream("b"));
 
   const UpstreamPtr chosen = Choose(MakeRequest(kIdempotent));
   const UpstreamPtr next = Choose(MakeRequest(kIdempotent));
@@ -36,16 +36,16 @@
   EXPECT_TRUE(chosen == first || chosen == second);
 }
 
-TEST_F(UpstreamSelectorTest, PassesOverWhatDrains) {
-  Adopt(MakeUpstream("a", UpstreamState::kDraining));
-  const UpstreamPtr serving = Adopt(MakeUpstream("b"));
+TEST_F(UpstreamSelectorTest, SkipsDrainingUpstreams) {
+  AddUpstream(MakeUpstream("a", UpstreamState::kDraining));
+  const UpstreamPtr serving = AddUpstream(MakeUpstream("b"));
 
   EXPECT_EQ(Choose(MakeRequest(kIdempotent)), serving);
   EXPECT_EQ(Choose(MakeRequest(kIdempotent)), serving);
 }
 
-TEST_F(UpstreamSelectorTest, PassesOverAnEjectedUpstreamUntilItsTimeIsOver) {
-  const UpstreamPtr ejected = Adopt(MakeUpstream("a"));
+TEST_F(UpstreamSelectorTest, SkipsAnEjectedUpstreamUntilItsTimeIsOver) {
+  const UpstreamPtr ejected = AddUpstream(MakeUpstream("a"));
   Eject(*ejected);
   EXPECT_EQ(Choose(MakeRequest(kIdempotent)), nullptr);
 
@@ -54,8 +54,8 @@
   EXPECT_EQ(Choose(MakeRequest(kIdempotent)), ejected);
 }
 
-TEST_F(UpstreamSelectorTest, PassesOverAnOverloadedUpstreamForAMoment) {
-  const UpstreamPtr overloaded = Adopt(MakeUpstream("a"));
+TEST_F(UpstreamSelectorTest, SkipsAnOverloadedUpstreamDuringItsBackoff) {
+  const UpstreamPtr overloaded = AddUpstream(MakeUpstream("a"));
   components_.overload_backoff.Start(*overloaded, 100ms, now_);
   EXPECT_EQ(Choose(MakeRequest(kIdempotent)), nullptr);
 
@@ -65,8 +65,8 @@
 }
 
 TEST_F(UpstreamSelectorTest, PrefersAnUpstreamThatTheRequestHasNotTried) {
-  const UpstreamPtr tried = Adopt(MakeUpstream("a"));
-  const UpstreamPtr other = Adopt(MakeUpstream("b"));
+  const UpstreamPtr tried = AddUpstream(MakeUpstream("a"));
+  const UpstreamPtr other = AddUpstream(MakeUpstream("b"));
   Request request = MakeRequest(kIdempotent);
   Attempt attempt;
   attempt.upstream = tried;
@@ -76,18 +76,18 @@
   EXPECT_EQ(Choose(request), other);
 }
 
-TEST_F(UpstreamSelectorTest, FindsNoUpstreamOfItsZoneInAnother) {
+TEST_F(UpstreamSelectorTest, FindsNoLocalUpstreamInAnotherZone) {
   UpstreamInfo far = MakeUpstream("a");
   far.zone = "there";
-  const UpstreamPtr upstream = Adopt(far);
+  const UpstreamPtr upstream = AddUpstream(far);
 
   EXPECT_EQ(Choose(MakeRequest(kIdempotent), Preference::kLocalGoodStanding), nullptr);
   EXPECT_EQ(Choose(MakeRequest(kIdempotent), Preference::kGoodStanding), upstream);
 }
 
 TEST_F(UpstreamSelectorTest, ChoosesAnEjectedUpstreamForAHalfOpenProbe) {
-  const UpstreamPtr ejected = Adopt(MakeUpstream("a"));
-  Adopt(MakeUpstream("b"));
+  const UpstreamPtr ejected = AddUpstream(MakeUpstream("a"));
+  AddUpstream(MakeUpstream("b"));
   Eject(*ejected);
   components_.membership.Monitor(*ejected);
   EXPECT_EQ(selector_.ChooseForHalfOpenProbe(MakeRequest(kIdempotent), now_), nullptr) << "not yet due";
--- a/tests/balancer/weight_sum_test.cpp
+++ b/tests/balancer/weight_sum_test.cpp
@@ -14,7 +14,7 @@
   EXPECT_EQ(sum.value(), 0.1);
 }
 
-TEST(WeightSum, TakesGreaterWeightsForTheGreatest) {
+TEST(WeightSum, ClampsWeightsAboveTheMaximum) {
   WeightSum sum;
   sum.Add(1e300);
 
--- a/tests/balancer/weighted_round_robin_test.cpp
+++ b/tests/balancer/weighted_round_robin_test.cpp
@@ -10,8 +10,8 @@
 using WeightedRoundRobinTest = ComponentsFixture;
 
 TEST_F(WeightedRoundRobinTest, ChoosesByWeightAndSmoothly) {
-  const UpstreamPtr heavy = Adopt(MakeUpstream("a"));
-  const UpstreamPtr light = Adopt(MakeUpstream("b"));
+  const UpstreamPtr heavy = AddUpstream(MakeUpstream("a"));
+  const UpstreamPtr light = AddUpstream(MakeUpstream("b"));
   const std::vector<WeightedUpstream> candidates = {{heavy.get(), 2}, {light.get(), 1}};
 
   std::string order;
@@ -21,7 +21,7 @@
 }
 
 TEST_F(WeightedRoundRobinTest, LowersTheWeightOfAnUpstreamThatFails) {
-  const UpstreamPtr upstream = Adopt(MakeUpstream("a"));
+  const UpstreamPtr upstream = AddUpstream(MakeUpstream("a"));
   const double before = components_.rotation.EffectiveWeight(*upstream, now_);
 
   for (int i = 0; i < 3; ++i) components_.failures.Record(*upstream, Outcome::kError);
