--- a/tests/balancer_harness.h
+++ b/tests/balancer_harness.h
@@ -1,4 +1,5 @@
-// A small harness around one balancer, for tests through handle().
+// Test harness around one balancer: passes it events through Handle(), runs its timers on a simulated clock
+// and records its actions.
 #pragma once
 
 #include <chrono>
@@ -54,7 +55,7 @@
   return info;
 }
 
-// Upstreams "s0", "s1", ...
+// `count` upstreams: "s0", "s1", ...
 inline std::vector<UpstreamInfo> NumberedUpstreams(int count) {
   std::vector<UpstreamInfo> upstreams;
   upstreams.reserve(static_cast<std::size_t>(count));
@@ -76,7 +77,7 @@
   explicit BalancerHarness(Settings settings = DefaultSettings(), std::uint64_t seed = 7)
       : balancer_(std::move(settings), seed) {}
 
-  // Upstreams "a", "b", ... up to `count`.
+  // Lists `count` upstreams: "a", "b", ...
   void ListUpstreams(int count) {
     MembershipUpdate update;
     update.kind = MembershipUpdate::Kind::kRestored;
@@ -91,18 +92,19 @@
     Handle(MembershipUpdate{MembershipUpdate::Kind::kChanges, {std::move(info)}});
   }
 
-  // Hands over one event; everything it caused is in `actions` (this event's only) and in the records below.
+  // Passes one event to the balancer. `actions` then holds the actions that this event caused; the records
+  // below hold those of all events.
   void Handle(const Event& event) {
     actions.clear();
     balancer_.Handle(now, event, actions);
     for (const Action& action : actions) std::visit([this](const auto& a) { Record(a); }, action);
   }
 
-  RequestId SendRequest(ClassId cls = kIdempotent, Duration patience = 2s) {
+  RequestId SendRequest(ClassId cls = kIdempotent, Duration time_to_deadline = 2s) {
     RequestArrived e;
     e.request = RequestId{++last_request_};
     e.request_class = cls;
-    e.deadline = now + patience;
+    e.deadline = now + time_to_deadline;
     Handle(e);
     return e.request;
   }
@@ -116,7 +118,7 @@
                            {}});
   }
 
-  // Moves the clock on and fires the timers that come due on the way, in order.
+  // Advances the clock by `by` and fires the timers that become due, in order.
   void Advance(Duration by) {
     const TimePoint end = now + by;
     while (!timers.empty() && timers.begin()->first <= end) {
@@ -128,22 +130,24 @@
     now = end;
   }
 
-  // Ends every attempt sent from number `from` on: with `outcome` at `bad`, served elsewhere. How many hit
-  // `bad`.
-  int FinishAttemptsFrom(std::size_t from, const std::string& bad = "", Outcome outcome = Outcome::kServed) {
-    int hits = 0;
+  // Finishes the attempts `sent[from]` and later: those at the upstream `failing` with `outcome`, all others
+  // as served. Returns the number of attempts at `failing`.
+  int FinishAttemptsFrom(std::size_t from, const std::string& failing = "",
+                         Outcome outcome = Outcome::kServed) {
+    int attempts_at_failing = 0;
     bool served = false;
     for (std::size_t i = from; i < sent.size(); ++i) {
       const SentAttempt attempt = sent[i];
-      const bool hit = attempt.upstream == bad;
-      hits += hit;
-      FinishAttempt(attempt, hit ? outcome : Outcome::kServed, served);
-      served = served || !hit || outcome == Outcome::kServed;
+      const bool at_failing = attempt.upstream == failing;
+      attempts_at_failing += at_failing;
+      FinishAttempt(attempt, at_failing ? outcome : Outcome::kServed, served);
+      served = served || !at_failing || outcome == Outcome::kServed;
     }
-    return hits;
+    return attempts_at_failing;
   }
 
-  // A request that is served at once: the upstream that took it, or "".
+  // Sends a request that is served after 10 ms. Returns the upstream of its first attempt, or "" if none was
+  // sent.
   std::string ServeRequest(ClassId cls = kIdempotent) {
     const std::size_t before = sent.size();
     SendRequest(cls);
@@ -152,24 +156,25 @@
     return sent.size() == before ? "" : sent[before].upstream;
   }
 
-  // Calls each served, but those to `bad`, which end with `outcome`; until `bad` has had `failures`. Slow
-  // enough for trials, that are all an upstream under suspicion is sent.
-  void FailConsecutively(const std::string& bad, int failures, Outcome outcome = Outcome::kError) {
-    for (int guard = 0; failures > 0 && guard < 3000; ++guard) {
+  // Sends requests until `failures` attempts at the upstream `failing` have ended with `outcome`; all other
+  // attempts are served. Waits 100 ms between requests, because a suspected upstream gets only half-open
+  // probes, which are sent at intervals.
+  void FailConsecutively(const std::string& failing, int failures, Outcome outcome = Outcome::kError) {
+    for (int tries = 0; failures > 0 && tries < 3000; ++tries) {
       const std::size_t before = sent.size();
       SendRequest(kIdempotent);
       now += 10ms;
-      failures -= FinishAttemptsFrom(before, bad, outcome);
+      failures -= FinishAttemptsFrom(before, failing, outcome);
       if (failures > 0) Advance(100ms);
     }
-    EXPECT_LE(failures, 0) << bad << " took too few calls";
+    EXPECT_LE(failures, 0) << failing << " got too few attempts";
   }
 
-  // How often each upstream is picked in `calls` served calls.
-  std::map<std::string, int> ServeAndCount(int calls, ClassId cls = kIdempotent) {
-    std::map<std::string, int> spread;
-    for (int i = 0; i < calls; ++i) ++spread[ServeRequest(cls)];
-    return spread;
+  // Serves `requests` requests. Returns the number of requests by upstream.
+  std::map<std::string, int> ServeAndCount(int requests, ClassId cls = kIdempotent) {
+    std::map<std::string, int> requests_by_upstream;
+    for (int i = 0; i < requests; ++i) ++requests_by_upstream[ServeRequest(cls)];
+    return requests_by_upstream;
   }
 
   bool HasLogged(const std::string& part) const {
--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -1,4 +1,4 @@
-// What concerns the module as a whole: polled membership, settings, determinism.
+// Tests of the decision module as a whole: polled membership, validation of settings, determinism.
 #include <algorithm>
 #include <cstddef>
 #include <stdexcept>
@@ -9,17 +9,17 @@
 namespace lb::testing {
 namespace {
 
-TEST(PolledMembership, IsPolledAgainAfterAFailure) {
+TEST(PolledMembership, IsPolledAgainAfterAFailedPoll) {
   Settings settings = DefaultSettings();
   settings.polled_membership = true;
   BalancerHarness harness(settings);
   harness.ListUpstreams(2);
   EXPECT_EQ(harness.subscribed, 1);
   harness.Handle(MembershipUpdate{MembershipUpdate::Kind::kFailed, {}});
-  EXPECT_EQ(harness.subscribed, 1) << "not at once";
+  EXPECT_EQ(harness.subscribed, 1) << "no immediate poll after a failure";
   harness.Advance(settings.fleet_limits.poll_interval_limit / 2);
   EXPECT_EQ(harness.subscribed, 2);
-  EXPECT_GT(harness.ServeAndCount(10)["a"], 0) << "the old list stays in force";
+  EXPECT_GT(harness.ServeAndCount(10)["a"], 0) << "the previous list stays in use";
 }
 
 TEST(PolledMembership, BacksOffUntilAListIsReceived) {
@@ -27,26 +27,26 @@
   settings.polled_membership = true;
   BalancerHarness harness(settings, 11);
   harness.ListUpstreams(2);
-  const auto pause = [&harness] {
+  const auto fail_and_wait_for_poll = [&harness] {
     const int subscribed = harness.subscribed;
     const TimePoint failed = harness.now;
     harness.Handle(MembershipUpdate{MembershipUpdate::Kind::kFailed, {}});
     while (harness.subscribed == subscribed && harness.now < failed + 60s) harness.Advance(50ms);
     return harness.now - failed;
   };
-  const Duration first = pause();
-  pause();
-  Duration third = pause();
+  const Duration first = fail_and_wait_for_poll();
+  fail_and_wait_for_poll();
+  Duration third = fail_and_wait_for_poll();
   EXPECT_GT(third, first);
-  for (int i = 0; i < 20; ++i) third = std::max(third, pause());
+  for (int i = 0; i < 20; ++i) third = std::max(third, fail_and_wait_for_poll());
   EXPECT_LT(third, settings.fleet_limits.poll_interval_limit);
   EXPECT_LE(third, kMaxPollPause);
   harness.ReplaceList({MakeUpstream("a"), MakeUpstream("b")});
-  EXPECT_LT(pause(), settings.fleet_limits.poll_interval_limit / 4);
+  EXPECT_LT(fail_and_wait_for_poll(), settings.fleet_limits.poll_interval_limit / 4);
 }
 
-TEST(BalancerSettings, NameTheFieldThatIsOutOfRange) {
-  const auto named = [](auto change, const std::string& name) {
+TEST(BalancerSettings, ErrorNamesTheFieldOutOfRange) {
+  const auto error_names = [](auto change, const std::string& name) {
     Settings settings = DefaultSettings();
     change(settings);
     try {
@@ -56,31 +56,38 @@
     }
     return false;
   };
-  EXPECT_TRUE(named([](Settings& settings) { settings.classes.clear(); }, "classes"));
-  EXPECT_TRUE(named([](Settings& settings) { settings.classes[0].latency_objective = 0ms; }, "aim"));
-  EXPECT_TRUE(named([](Settings& settings) { settings.classes[0].deadline = -1ms; }, "deadline"));
-  EXPECT_TRUE(named([](Settings& settings) { settings.classes[2].key_window = 0ms; }, "key_window"));
-  EXPECT_TRUE(named([](Settings& settings) { settings.limits.max_attempts = 0; }, "max_attempts"));
+  EXPECT_TRUE(error_names([](Settings& settings) { settings.classes.clear(); }, "classes"));
+  EXPECT_TRUE(error_names([](Settings& settings) { settings.classes[0].latency_objective = 0ms; }, "aim"));
+  EXPECT_TRUE(error_names([](Settings& settings) { settings.classes[0].deadline = -1ms; }, "deadline"));
+  EXPECT_TRUE(error_names([](Settings& settings) { settings.classes[2].key_window = 0ms; }, "key_window"));
+  EXPECT_TRUE(error_names([](Settings& settings) { settings.limits.max_attempts = 0; }, "max_attempts"));
+  EXPECT_TRUE(error_names([](Settings& settings) { settings.fleet_limits.slow_start_initial_share = 0; },
+                          "cold_from"));
+  EXPECT_TRUE(error_names([](Settings& settings) { settings.fleet_limits.slow_start_initial_share = 1.5; },
+                          "cold_from"));
   EXPECT_TRUE(
-      named([](Settings& settings) { settings.fleet_limits.slow_start_initial_share = 0; }, "cold_from"));
+      error_names([](Settings& settings) { settings.fleet_limits.slow_start_duration = 0ms; }, "cold_time"));
   EXPECT_TRUE(
-      named([](Settings& settings) { settings.fleet_limits.slow_start_initial_share = 1.5; }, "cold_from"));
+      error_names([](Settings& settings) { settings.fleet_limits.overload_window = 0ms; }, "fall_window"));
   EXPECT_TRUE(
-      named([](Settings& settings) { settings.fleet_limits.slow_start_duration = 0ms; }, "cold_time"));
-  EXPECT_TRUE(named([](Settings& settings) { settings.fleet_limits.overload_window = 0ms; }, "fall_window"));
+      error_names([](Settings& settings) { settings.fleet_limits.overload_multiple = 0; }, "fall_multiple"));
+  EXPECT_TRUE(error_names([](Settings& settings) { settings.classes[1].name = settings.classes[0].name; },
+                          "classes.name"));
+  EXPECT_TRUE(error_names([](Settings& settings) { settings.classes[1].name = ""; }, "classes.name"));
+  EXPECT_TRUE(error_names(
+      [](Settings& settings) {
+        settings.tenants = {{"a"}, {"b"}, {"a"}};
+      },
+      "tenants.name"));
   EXPECT_TRUE(
-      named([](Settings& settings) { settings.fleet_limits.overload_multiple = 0; }, "fall_multiple"));
+      error_names([](Settings& settings) { settings.classes[0].deadline = Duration::max(); }, "deadline"));
+  EXPECT_TRUE(error_names([](Settings& settings) { settings.classes[2].key_window = Duration::max(); },
+                          "key_window"));
+  EXPECT_TRUE(error_names([](Settings& settings) { settings.fleet_limits.drain_grace = Duration::max(); },
+                          "drain_grace"));
   EXPECT_TRUE(
-      named([](Settings& settings) { settings.classes[1].name = settings.classes[0].name; }, "classes.name"));
-  EXPECT_TRUE(named([](Settings& settings) { settings.classes[1].name = ""; }, "classes.name"));
-  EXPECT_TRUE(named([](Settings& settings) { settings.tenants = {{"a"}, {"b"}, {"a"}}; }, "tenants.name"));
-  EXPECT_TRUE(named([](Settings& settings) { settings.classes[0].deadline = Duration::max(); }, "deadline"));
-  EXPECT_TRUE(
-      named([](Settings& settings) { settings.classes[2].key_window = Duration::max(); }, "key_window"));
-  EXPECT_TRUE(
-      named([](Settings& settings) { settings.fleet_limits.drain_grace = Duration::max(); }, "drain_grace"));
-  EXPECT_TRUE(named([](Settings& settings) { settings.limits.max_retry_after = -1ms; }, "max_retry_after"));
-  EXPECT_TRUE(named([](Settings& settings) { settings.decision_costs.waste = -0.1; }, "prices"));
+      error_names([](Settings& settings) { settings.limits.max_retry_after = -1ms; }, "max_retry_after"));
+  EXPECT_TRUE(error_names([](Settings& settings) { settings.decision_costs.waste = -0.1; }, "prices"));
 }
 
 TEST(Balancer, GivesTheSameActionsForTheSameEvents) {
--- a/tests/ejection_test.cpp
+++ b/tests/ejection_test.cpp
@@ -1,4 +1,4 @@
-// Ejection of failing upstreams: after how many failures, for how long, and how an upstream returns.
+// Ejection of failing upstreams: after how many failures, for how long, and how an upstream is readmitted.
 #include <cstddef>
 #include <cstdint>
 #include <string>
@@ -21,12 +21,12 @@
   }
 }
 
-TEST(Ejection, DoesNotCountFailuresAheadOfAServedRequest) {
+TEST(Ejection, DoesNotCountFailuresBeforeAServedRequest) {
   BalancerHarness harness;
   harness.ListUpstreams(4);
   harness.FailConsecutively("b", 4);
   harness.Advance(2s);
-  harness.ServeAndCount(40);  // a half-open probe among them
+  harness.ServeAndCount(40);  // a half-open probe is among the attempts
   harness.FailConsecutively("b", 4);
   EXPECT_FALSE(harness.HasLogged("upstream_ejected"));
 }
@@ -43,24 +43,24 @@
   }
 }
 
-TEST(Ejection, LastsTwiceAsLongAfterARelapseUpToALimit) {
+TEST(Ejection, DurationDoublesWithEachRelapseUpToALimit) {
   BalancerHarness harness;
   harness.ListUpstreams(4);
-  const auto eject_and_return = [&harness] {
+  const auto eject_and_readmit = [&harness] {
     harness.logs.clear();
     harness.FailConsecutively("b", 5);
     EXPECT_FALSE(harness.logs.empty());
     std::string line = harness.logs.empty() ? "" : harness.logs.front();
     harness.Advance(1500ms);
-    harness.ServeAndCount(5);  // two half-open probes among them
+    harness.ServeAndCount(5);  // two half-open probes are among the attempts
     EXPECT_TRUE(harness.HasLogged("upstream_readmitted upstream=b "));
     return line;
   };
-  EXPECT_EQ(eject_and_return(), "upstream_ejected upstream=b failures=5 duration_ms=60000");
-  EXPECT_EQ(eject_and_return(), "upstream_ejected upstream=b failures=5 duration_ms=120000");
-  EXPECT_EQ(eject_and_return(), "upstream_ejected upstream=b failures=5 duration_ms=120000");
+  EXPECT_EQ(eject_and_readmit(), "upstream_ejected upstream=b failures=5 duration_ms=60000");
+  EXPECT_EQ(eject_and_readmit(), "upstream_ejected upstream=b failures=5 duration_ms=120000");
+  EXPECT_EQ(eject_and_readmit(), "upstream_ejected upstream=b failures=5 duration_ms=120000");
   harness.Advance(61s);
-  EXPECT_EQ(eject_and_return(), "upstream_ejected upstream=b failures=5 duration_ms=60000");
+  EXPECT_EQ(eject_and_readmit(), "upstream_ejected upstream=b failures=5 duration_ms=60000");
 }
 
 TEST(Ejection, EndsWhenTheUpstreamRestarts) {
@@ -69,47 +69,48 @@
   harness.FailConsecutively("b", 5);
   ASSERT_TRUE(harness.HasLogged("upstream_ejected upstream=b "));
   UpstreamInfo b = MakeUpstream("b");
-  b.started = harness.now - 1h;  // new to this sidecar, warm by now
+  b.started = harness.now - 1h;  // the sidecar learns of the restart only now; the slow start is over
   harness.ChangeUpstream(b);
   EXPECT_GT(harness.ServeAndCount(40)["b"], 0);
 }
 
-TEST(Ejection, EndsWhenTheUpstreamLeavesTheList) {
+TEST(Ejection, EndsWhenTheUpstreamIsRemovedFromTheList) {
   BalancerHarness harness;
   harness.ListUpstreams(4);
   const std::size_t before = harness.sent.size();
   harness.SendRequest(kNotIdempotent, 100s);
-  const SentAttempt held = harness.sent[before];
-  harness.FailConsecutively(held.upstream, 5);
-  ASSERT_TRUE(harness.HasLogged("upstream_ejected upstream=" + held.upstream + " "));
-  harness.ChangeUpstream(MakeUpstream(held.upstream, UpstreamState::kGone));
-  harness.ChangeUpstream(MakeUpstream(held.upstream));
-  EXPECT_GT(harness.ServeAndCount(40)[held.upstream], 0);
-  harness.FinishAttempt(held, Outcome::kServed);  // of the one before
-  EXPECT_GT(harness.ServeAndCount(40)[held.upstream], 0);
+  const SentAttempt pending = harness.sent[before];
+  harness.FailConsecutively(pending.upstream, 5);
+  ASSERT_TRUE(harness.HasLogged("upstream_ejected upstream=" + pending.upstream + " "));
+  harness.ChangeUpstream(MakeUpstream(pending.upstream, UpstreamState::kGone));
+  harness.ChangeUpstream(MakeUpstream(pending.upstream));
+  EXPECT_GT(harness.ServeAndCount(40)[pending.upstream], 0);
+  // The attempt was sent before the upstream was removed and listed again.
+  harness.FinishAttempt(pending, Outcome::kServed);
+  EXPECT_GT(harness.ServeAndCount(40)[pending.upstream], 0);
 }
 
-TEST(Ejection, IsRareWhileAllUpstreamsFailAlike) {
+TEST(Ejection, IsRareWhileAllUpstreamsFailEquallyOften) {
   BalancerHarness harness;
   harness.ListUpstreams(6);
-  // Half of all attempts fail at every upstream: five in a row come by chance.
-  std::uint64_t coin = 12345;
+  // Half of all attempts fail at every upstream, so that five consecutive failures occur by chance.
+  std::uint64_t random_state = 12345;
   int ejections = 0;
   for (int i = 0; i < 1500; ++i) {
     const std::size_t before = harness.sent.size();
     harness.SendRequest(kNotIdempotent);
     harness.now += 20ms;
-    coin = coin * 6364136223846793005u + 1442695040888963407u;
+    random_state = random_state * 6364136223846793005u + 1442695040888963407u;
     for (std::size_t k = before; k < harness.sent.size(); ++k) {
-      harness.FinishAttempt(harness.sent[k], (coin >> 40) % 2 == 0 ? Outcome::kTimeout : Outcome::kServed,
-                            true);
+      harness.FinishAttempt(harness.sent[k],
+                            (random_state >> 40) % 2 == 0 ? Outcome::kTimeout : Outcome::kServed, true);
     }
   }
   for (const std::string& line : harness.logs) ejections += line.find("upstream_ejected ") == 0;
   EXPECT_LE(ejections, 3);
 }
 
-TEST(EjectedUpstream, IsProbedByHedgedRequestsAndReturnsOnceItServes) {
+TEST(EjectedUpstream, IsProbedByHedgedRequestsAndReadmittedOnceItServes) {
   BalancerHarness harness;
   harness.ListUpstreams(4);
   harness.FailConsecutively("b", 5);
@@ -141,7 +142,7 @@
   harness.ListUpstreams(3);
   harness.FailConsecutively("b", 5);
   int probes = 0;
-  for (int i = 0; i < 300; ++i) {  // 30 s: after 1, 2, 4 and 8 s, then every 8
+  for (int i = 0; i < 300; ++i) {  // 30 s; the intervals between probes are 1, 2, 4 and 8 s, then always 8 s
     const std::size_t before = harness.sent.size();
     harness.SendRequest(kIdempotent);
     harness.now += 10ms;
@@ -152,7 +153,7 @@
   EXPECT_LE(probes, 6);
 }
 
-TEST(EjectedUpstream, ServesIfThereIsNoOther) {
+TEST(EjectedUpstream, GetsRequestsIfItIsTheOnlyUpstream) {
   BalancerHarness harness;
   harness.ListUpstreams(1);
   harness.FailConsecutively("a", 5);
@@ -161,13 +162,13 @@
   EXPECT_EQ(harness.ServeRequest(), "a");
 }
 
-TEST(EjectedUpstream, LeadsToRejectionsWithRetryAfterIfThereIsNoOther) {
+TEST(EjectedUpstream, LeadsToRejectionsWithRetryAfterIfItIsTheOnlyUpstream) {
   BalancerHarness harness;
   harness.ListUpstreams(1);
   harness.FailConsecutively("a", 5);
-  const std::size_t refused = harness.rejected.size();
+  const std::size_t rejected_before = harness.rejected.size();
   harness.SendRequest(kNotIdempotent);
-  EXPECT_EQ(harness.rejected.size(), refused + 1);
+  EXPECT_EQ(harness.rejected.size(), rejected_before + 1);
   EXPECT_GT(harness.last_retry_after, 0ms);
   EXPECT_TRUE(harness.HasLogged("shedding_started reason=no_upstream"));
   harness.Advance(70s);
@@ -175,10 +176,10 @@
   EXPECT_TRUE(harness.HasLogged("upstream_readmitted upstream=a reason=ejection_expired"));
 }
 
-TEST(HungUpstream, IsAvoidedBeforeItIsEjected) {
+TEST(UnresponsiveUpstream, IsAvoidedBeforeItIsEjected) {
   BalancerHarness harness;
   harness.ListUpstreams(4);
-  harness.ServeAndCount(100);  // about 10 ms each
+  harness.ServeAndCount(100);  // each takes 10 ms
   for (int i = 0; i < 40; ++i) {
     const std::size_t before = harness.sent.size();
     harness.SendRequest(kNotIdempotent);
@@ -187,10 +188,10 @@
       if (harness.sent[k].upstream != "c") harness.FinishAttempt(harness.sent[k], Outcome::kServed);
     }
   }
-  int stuck = 0;
+  int sent_to_unresponsive = 0;
   for (std::size_t k = harness.sent.size() - 40; k < harness.sent.size(); ++k)
-    stuck += harness.sent[k].upstream == "c";
-  EXPECT_LE(stuck, 2);
+    sent_to_unresponsive += harness.sent[k].upstream == "c";
+  EXPECT_LE(sent_to_unresponsive, 2);
   EXPECT_FALSE(harness.HasLogged("upstream_ejected"));
 }
 
--- a/tests/embed_example.cpp
+++ b/tests/embed_example.cpp
@@ -1,4 +1,4 @@
-// Embeds the decision module: hands it events and carries out the actions that come back.
+// Example of embedding the decision module: passes events to it and executes the actions that it returns.
 #include <cstdio>
 #include <exception>
 #include <variant>
@@ -8,10 +8,11 @@
 
 using namespace std::chrono_literals;
 
-// Stands for the sockets and timers of a real host. The actions not named here are left out for brevity.
-struct CarryOut {
+// Prints the actions that a real host would execute with sockets and timers. Other actions are ignored for
+// brevity.
+struct ActionPrinter {
   void operator()(const lb::SendAttempt& a) { std::printf("send to %s\n", a.upstream.value.c_str()); }
-  void operator()(const lb::RejectRequest&) { std::printf("refuse\n"); }
+  void operator()(const lb::RejectRequest&) { std::printf("reject\n"); }
   void operator()(const lb::FailRequest&) { std::printf("fail\n"); }
   void operator()(const lb::LogLine& a) { std::printf("log: %s\n", a.text.c_str()); }
   template <typename Other>
@@ -35,10 +36,10 @@
   balancer.Handle(now, list, actions);
   balancer.Handle(now, lb::RequestArrived{.request = lb::RequestId{1}, .deadline = now + 1s}, actions);
 
-  CarryOut carry_out;
+  ActionPrinter print_action;
   bool sent = false;
   for (const lb::Action& action : actions) {
-    std::visit(carry_out, action);
+    std::visit(print_action, action);
     sent = sent || std::holds_alternative<lb::SendAttempt>(action);
   }
   return sent ? 0 : 1;
--- a/tests/equivalence/random_plays.cpp
+++ b/tests/equivalence/random_plays.cpp
@@ -1,6 +1,7 @@
-// Compares the decisions of the module in 4,000 random plays with recorded ones: one hash a play, over every
-// action but the text of log lines. `random_plays record FILE` writes the hashes, `random_plays compare FILE`
-// plays again and exits with 1 where one differs, after naming each play that does.
+// Compares the decisions of the decision module in 4,000 random plays with recorded decisions. Each play has
+// one hash over all its actions, without the text of log lines. `random_plays record FILE` writes the hashes
+// to FILE. `random_plays compare FILE` repeats the plays, prints each play whose hash differs and then exits
+// with status 1.
 #include <algorithm>
 #include <cstdint>
 #include <cstdlib>
@@ -20,7 +21,7 @@
 
 constexpr std::size_t kPlays = 4000;
 
-// The hashes of plays 0 to `count` - 1, on all cores.
+// Runs plays 0 to `count` - 1 on all cores and returns their hashes.
 std::vector<std::uint64_t> PlayAll(std::size_t count) {
   std::vector<std::uint64_t> hashes(count);
   const std::size_t workers = std::max(1U, std::thread::hardware_concurrency());
--- a/tests/fleet_fixtures.h
+++ b/tests/fleet_fixtures.h
@@ -1,4 +1,4 @@
-// A fleet of balancers, for tests of what they do together.
+// Fixtures for tests of several balancers together and of load reports.
 #pragma once
 
 #include <cstddef>
@@ -11,7 +11,7 @@
 
 namespace lb::testing {
 
-// `count` sidecars that share nothing but the list they are told.
+// `count` sidecars that share no state; each has its own seed.
 inline std::vector<std::unique_ptr<BalancerHarness>> MakeFleet(int count,
                                                                const Settings& settings = DefaultSettings()) {
   std::vector<std::unique_ptr<BalancerHarness>> fleet;
@@ -21,6 +21,7 @@
   return fleet;
 }
 
+// Default settings with load probes allowed, at a cost of 0.002 of a request's value.
 inline Settings SettingsWithLoadReports() {
   Settings settings = DefaultSettings();
   settings.load_by_probe = settings.limits.load_probes_allowed = true;
@@ -28,9 +29,11 @@
   return settings;
 }
 
-inline void ReportLoad(BalancerHarness& harness, const std::string& id, double held, double rate = 0) {
+// Finishes the pending load probe of upstream `id` with a report of `in_flight` requests and, unless it is 0,
+// a service rate of `rate` per second.
+inline void ReportLoad(BalancerHarness& harness, const std::string& id, double in_flight, double rate = 0) {
   LoadReport load;
-  load.in_flight = held;
+  load.in_flight = in_flight;
   load.rate = rate;
   harness.Handle(LoadProbeFinished{{id}, Outcome::kServed, 1ms, load});
 }
--- a/tests/hedging_test.cpp
+++ b/tests/hedging_test.cpp
@@ -1,4 +1,4 @@
-// Hedged requests, and the bound on retries.
+// Hedged requests and the retry budget.
 #include <algorithm>
 #include <cstddef>
 
@@ -7,7 +7,7 @@
 namespace lb::testing {
 namespace {
 
-TEST(LateRequest, IsHedgedElsewhere) {
+TEST(LateRequest, IsHedgedAtAnotherUpstream) {
   BalancerHarness harness;
   harness.ListUpstreams(4);
   harness.ServeAndCount(100);
@@ -17,13 +17,13 @@
   ASSERT_EQ(harness.sent.size(), before + 2);
   EXPECT_NE(harness.sent[before].upstream, harness.sent[before + 1].upstream);
   harness.FinishAttempt(harness.sent[before + 1], Outcome::kServed);
-  EXPECT_EQ(harness.cancelled.back().second, AttemptId{0}) << "the attempt that lost is cancelled";
+  EXPECT_EQ(harness.cancelled.back().second, AttemptId{0}) << "the slower attempt is cancelled";
 }
 
-TEST(LateRequest, IsNotHedgedWhileItsUpstreamAnswersOthers) {
+TEST(LateRequest, IsNotHedgedWhileItsUpstreamServesOtherRequests) {
   BalancerHarness harness;
   harness.ListUpstreams(4);
-  harness.ServeAndCount(100);  // about 10 ms each
+  harness.ServeAndCount(100);  // each takes 10 ms
   const std::size_t before = harness.sent.size();
   harness.SendRequest(kIdempotent);
   const SentAttempt late = harness.sent[before];
@@ -32,18 +32,19 @@
                          [&](const SentAttempt& sent) { return sent.request == late.request; }) -
            1;
   };
-  int others = 0;
+  int others_at_same_upstream = 0;
   for (int i = 0; i < 10; ++i) {
     const std::size_t next = harness.sent.size();
     for (int k = 0; k < 8; ++k)
-      harness.SendRequest(kNotIdempotent);  // at once: each upstream has some of them
-    for (std::size_t k = next; k < next + 8; ++k) others += harness.sent[k].upstream == late.upstream;
+      harness.SendRequest(kNotIdempotent);  // concurrently, so that each upstream gets some of them
+    for (std::size_t k = next; k < next + 8; ++k)
+      others_at_same_upstream += harness.sent[k].upstream == late.upstream;
     harness.Advance(10ms);
     for (std::size_t k = next; k < next + 8; ++k) harness.FinishAttempt(harness.sent[k], Outcome::kServed);
   }
-  ASSERT_GE(others, 10);
+  ASSERT_GE(others_at_same_upstream, 10);
   EXPECT_EQ(hedges(), 0);
-  harness.Advance(200ms);  // now it answers nothing at all
+  harness.Advance(200ms);  // the upstream no longer responds to any request
   EXPECT_EQ(hedges(), 1);
 }
 
@@ -58,7 +59,7 @@
       harness.FinishAttempt(harness.sent[k], Outcome::kError);
   }
   EXPECT_LE(harness.sent.size(), 500u + 150u + 10u + 50u)
-      << "first tries, three tenths, the burst, and probes";
+      << "first attempts, retries for 30% of them, the burst of the budget, and half-open probes";
 }
 
 }  // namespace
--- a/tests/load_probes_test.cpp
+++ b/tests/load_probes_test.cpp
@@ -1,4 +1,5 @@
-// Load probes: which upstream takes a request whose candidates report their load.
+// Load probes: when they are sent, and which upstream gets a request after its candidates have reported their
+// load.
 #include <algorithm>
 #include <cstddef>
 #include <map>
@@ -12,7 +13,7 @@
 namespace lb::testing {
 namespace {
 
-TEST(LoadProbes, LeastLoadedCandidateTakesTheRequest) {
+TEST(LoadProbes, LeastLoadedCandidateGetsTheRequest) {
   BalancerHarness harness(SettingsWithLoadReports());
   harness.ListUpstreams(6);
   for (int i = 0; i < 12; ++i) {
@@ -20,26 +21,26 @@
     const std::size_t before = harness.sent.size();
     harness.SendRequest(kNotIdempotent);
     ASSERT_EQ(harness.probed.size(), 3U);
-    ASSERT_EQ(harness.sent.size(), before) << "waits for the reports";
-    const std::vector<std::string> asked = harness.probed;
-    ReportLoad(harness, asked[0], 9);
-    ReportLoad(harness, asked[1], 2);
-    ReportLoad(harness, asked[2], 5);
+    ASSERT_EQ(harness.sent.size(), before) << "the request waits for the reports";
+    const std::vector<std::string> candidates = harness.probed;
+    ReportLoad(harness, candidates[0], 9);
+    ReportLoad(harness, candidates[1], 2);
+    ReportLoad(harness, candidates[2], 5);
     ASSERT_EQ(harness.sent.size(), before + 1);
-    EXPECT_EQ(harness.sent.back().upstream, asked[1]);
+    EXPECT_EQ(harness.sent.back().upstream, candidates[1]);
     harness.now += 10ms;
     harness.FinishAttempt(harness.sent.back(), Outcome::kServed);
   }
 }
 
-// With a probe's price as in a large fleet, where a call is worth a dozen probes.
-TEST(LoadProbes, CostlyProbesAreSentForRequestsAtRiskOnly) {
+// A probe costs 0.08 of a request's value, as in a large fleet: a request is worth about a dozen probes.
+TEST(LoadProbes, CostlyProbesAreSentOnlyForRequestsAtRiskOfBeingLate) {
   Settings settings = SettingsWithLoadReports();
   settings.decision_costs.probe = 0.08;
   BalancerHarness harness(settings);
   harness.ListUpstreams(6);
   for (int i = 0; i < 12; ++i) EXPECT_NE(harness.ServeRequest(kNotIdempotent), "");
-  EXPECT_TRUE(harness.probed.empty()) << "all in time: nothing to learn";
+  EXPECT_TRUE(harness.probed.empty()) << "no probes while all responses are on time";
   for (int i = 0; i < 6; ++i) {
     const std::size_t before = harness.sent.size();
     harness.SendRequest(kNotIdempotent);
@@ -47,60 +48,61 @@
     harness.probed.clear();
     ASSERT_EQ(harness.sent.size(), before + 1);
     harness.now += 600ms;
-    harness.FinishAttempt(harness.sent.back(), Outcome::kServed);  // its aim was 400 ms
+    harness.FinishAttempt(harness.sent.back(), Outcome::kServed);  // the latency objective is 400 ms
   }
   harness.SendRequest(kNotIdempotent);
-  ASSERT_EQ(harness.probed.size(), 2U) << "the pick and one to turn to";
-  const std::vector<std::string> asked = harness.probed;
-  ReportLoad(harness, asked[0], 1);
-  ReportLoad(harness, asked[1], 0);
-  EXPECT_EQ(harness.sent.back().upstream, asked[1]);
+  ASSERT_EQ(harness.probed.size(), 2U) << "the selected upstream and one alternative";
+  const std::vector<std::string> candidates = harness.probed;
+  ReportLoad(harness, candidates[0], 1);
+  ReportLoad(harness, candidates[1], 0);
+  EXPECT_EQ(harness.sent.back().upstream, candidates[1]);
   harness.FinishAttempt(harness.sent.back(), Outcome::kServed);
   harness.probed.clear();
-  harness.Advance(60s);  // what was seen then tells nothing any more
+  harness.Advance(60s);  // the late responses are too old to count
   EXPECT_NE(harness.ServeRequest(kNotIdempotent), "");
   EXPECT_TRUE(harness.probed.empty());
 }
 
-TEST(LoadProbes, SilentProbeDelaysARequestBrieflyAndCountsAsFailure) {
+TEST(LoadProbes, UnansweredProbeDelaysARequestBrieflyAndCountsAsFailure) {
   BalancerHarness harness(SettingsWithLoadReports());
   harness.ListUpstreams(6);
   harness.SendRequest(kNotIdempotent);
-  const std::string silent = harness.probed[0], well = harness.probed[1];
-  ReportLoad(harness, well, 50);
+  const std::string unanswered = harness.probed[0], answered = harness.probed[1];
+  ReportLoad(harness, answered, 50);
   EXPECT_TRUE(harness.sent.empty());
   harness.Advance(30ms);
-  ASSERT_EQ(harness.sent.size(), 1U) << "one attempt, no copy of a call that is not late";
-  EXPECT_EQ(harness.sent.back().upstream, well) << "of those that answered";
+  ASSERT_EQ(harness.sent.size(), 1U) << "one attempt: a request that is not late is not hedged";
+  EXPECT_EQ(harness.sent.back().upstream, answered) << "the upstream that reported its load";
   harness.FinishAttempt(harness.sent.back(), Outcome::kServed);
-  for (int i = 0; i < 2; ++i) harness.Handle(LoadProbeFinished{{silent}, Outcome::kTimeout, 400ms, {}});
+  for (int i = 0; i < 2; ++i) harness.Handle(LoadProbeFinished{{unanswered}, Outcome::kTimeout, 400ms, {}});
   harness.probed.clear();
   for (int i = 0; i < 5; ++i) harness.SendRequest(kNotIdempotent);
-  EXPECT_EQ(std::count(harness.probed.begin(), harness.probed.end(), silent), 0) << "a suspect now";
+  EXPECT_EQ(std::count(harness.probed.begin(), harness.probed.end(), unanswered), 0)
+      << "a suspected upstream is not probed";
 }
 
-TEST(LoadProbes, BurstSharesTheReportsOfOneProbeEach) {
+TEST(LoadProbes, BurstSharesOneProbePerUpstream) {
   BalancerHarness harness(SettingsWithLoadReports());
   harness.ListUpstreams(6);
   for (int i = 0; i < 30; ++i) harness.SendRequest(kNotIdempotent);
-  std::set<std::string> asked(harness.probed.begin(), harness.probed.end());
-  EXPECT_EQ(harness.probed.size(), asked.size()) << "no upstream twice";
+  std::set<std::string> candidates(harness.probed.begin(), harness.probed.end());
+  EXPECT_EQ(harness.probed.size(), candidates.size()) << "one probe for each upstream";
   EXPECT_TRUE(harness.sent.empty());
-  for (const std::string& id : asked) ReportLoad(harness, id, 1);
+  for (const std::string& id : candidates) ReportLoad(harness, id, 1);
   EXPECT_EQ(harness.sent.size(), 30U);
-  std::map<std::string, int> spread;
+  std::map<std::string, int> attempts_by_upstream;
   for (const SentAttempt& sent : harness.sent)
-    EXPECT_LE(++spread[sent.upstream], 8) << "not all to the same one";
+    EXPECT_LE(++attempts_by_upstream[sent.upstream], 8) << "the burst is spread over the upstreams";
   harness.probed.clear();
   harness.SendRequest(kNotIdempotent);
-  EXPECT_EQ(harness.probed.size(), 3U) << "asked anew once the answers are in";
+  EXPECT_EQ(harness.probed.size(), 3U) << "new probes are sent once the reports have arrived";
 }
 
-TEST(LoadProbes, RequestThatEndsWhileItWaitsIsNotSent) {
+TEST(LoadProbes, RequestCancelledWhileItWaitsIsNotSent) {
   BalancerHarness harness(SettingsWithLoadReports());
   harness.ListUpstreams(6);
-  const RequestId gone = harness.SendRequest(kNotIdempotent);
-  harness.Handle(RequestCancelled{gone});
+  const RequestId cancelled = harness.SendRequest(kNotIdempotent);
+  harness.Handle(RequestCancelled{cancelled});
   for (const std::string& id : std::vector<std::string>(harness.probed)) ReportLoad(harness, id, 1);
   harness.Advance(3s);
   EXPECT_TRUE(harness.sent.empty());
--- a/tests/random_play.h
+++ b/tests/random_play.h
@@ -1,4 +1,5 @@
-// Plays random events against one balancer and hashes every action, to compare two versions of the module.
+// Passes random events to one balancer and hashes its actions. Equal hashes show that two versions of the
+// decision module make the same decisions.
 #pragma once
 
 #include <algorithm>
@@ -17,64 +18,67 @@
 
 namespace lb::testing {
 
-// How a deployment's weights look: all alike, sums of powers of two, or any decimal number.
-enum class Weights { kAlike, kDyadic, kDecimal };
+// The weights of a deployment's upstreams: all equal, multiples of 1/4 (their sums are exact in binary
+// floating point), or decimal fractions (their sums are rounded).
+enum class Weights { kEqual, kDyadic, kDecimal };
 
 struct PlayOptions {
   std::size_t upstreams = 40;
-  Weights weights = Weights::kAlike;
+  Weights weights = Weights::kEqual;
   std::size_t sidecar_count = 30;
-  bool on_request = false;  // membership
-  bool probes = false;      // tell the load, and are cheap
-  double cross_zone = 0;    // price
-  bool tight = false;       // no hedged requests, no cancels, little budget for cold upstreams
+  bool polled_membership = false;
+  bool load_probes = false;  // allowed at a low cost; responses report the load
+  double cross_zone = 0;     // cost of crossing zones
+  bool restricted = false;   // no hedged requests, no cancellation, small slow-start budget
   std::size_t events = 1500;
 };
 
-// Drawn from the number alone, so that a list of numbers stands for many deployments.
+// Derives the options from the number of the play, so that a range of numbers covers many deployments.
 inline PlayOptions OptionsOf(std::uint64_t number) {
   static constexpr std::size_t kSizes[] = {3, 9, 40, 120, 400};
-  static constexpr std::size_t kBalancers[] = {1, 7, 300};
+  static constexpr std::size_t kSidecarCounts[] = {1, 7, 300};
   PlayOptions o;
   o.upstreams = kSizes[number % 5];
   o.weights = static_cast<Weights>(number / 2 % 3);
-  o.sidecar_count = kBalancers[number / 3 % 3];
-  o.on_request = number / 4 % 2 == 1;
-  o.probes = number / 5 % 3 == 1;
+  o.sidecar_count = kSidecarCounts[number / 3 % 3];
+  o.polled_membership = number / 4 % 2 == 1;
+  o.load_probes = number / 5 % 3 == 1;
   o.cross_zone = number / 7 % 2 == 1 ? 0.05 : 0;
-  o.tight = number / 11 % 3 == 1;
+  o.restricted = number / 11 % 3 == 1;
   return o;
 }
 
-// One play. Upstreams are healthy, slow, failing or silent by their names; lists change all the time.
+// One play of random events. Whether an upstream is healthy, slow, failing or unresponsive follows from its
+// id and the time; the upstream list changes often.
 class RandomPlay {
  public:
   RandomPlay(const PlayOptions& options, std::uint64_t seed)
       : options_(options), random_(seed), balancer_(MakeSettings(options, seed), seed) {
     MembershipUpdate first{MembershipUpdate::Kind::kRestored, {}};
     for (std::size_t i = 0; i < options.upstreams; ++i) first.upstreams.push_back(NewUpstream());
-    Hear(std::move(first));
+    HandleUpdate(std::move(first));
   }
 
   std::uint64_t Run() {
     for (std::size_t i = 0; i < options_.events; ++i) {
-      Pass(Below(40) == 0 ? Duration(Below(3'000'000)) : Duration(Below(12'000)));
-      Step();
+      Advance(Below(40) == 0 ? Duration(Below(3'000'000)) : Duration(Below(12'000)));
+      PlayRandomEvent();
     }
-    Pass(std::chrono::seconds(130));  // every ejection and every ramp is over
+    Advance(std::chrono::seconds(130));  // longer than the longest ejection and slow start
     return hash_;
   }
 
-  // As Run()'s result, but without the text of log lines: equal wherever the decisions are.
+  // The hash that Run() returns, but without the text of log lines.
   std::uint64_t decisions() const { return decisions_; }
   std::size_t actions() const { return actions_; }
   std::size_t ejections() const { return ejections_; }
   std::size_t sent() const { return sent_; }
-  // Attempts sent to an upstream that was draining, gone or disabled, and requests answered twice.
+  // Rule violations: attempts sent to an upstream that was draining, removed or disabled, and requests with
+  // two final answers.
   std::size_t broken() const { return broken_; }
 
  private:
-  struct Attempted {
+  struct PendingAttempt {
     RequestId request{};
     AttemptId attempt{};
     std::string upstream;
@@ -86,14 +90,14 @@
     Settings s = DefaultSettings();
     s.sidecar_count = o.sidecar_count;
     s.sidecar_index = seed % o.sidecar_count;
-    s.polled_membership = o.on_request;
-    s.limits.load_probes_allowed = s.load_by_probe = o.probes;
-    s.decision_costs.probe = o.probes ? 0.004 : 0;
+    s.polled_membership = o.polled_membership;
+    s.limits.load_probes_allowed = s.load_by_probe = o.load_probes;
+    s.decision_costs.probe = o.load_probes ? 0.004 : 0;
     s.decision_costs.cross_zone = o.cross_zone;
     s.classes[0].late_priority_weight = seed % 2 == 0 ? 0.4 : 0;
     s.classes[0].stream = true;
     s.tenants = {{"one", 0.5, 100}, {"two", 0.5, 100}};
-    if (o.tight) {
+    if (o.restricted) {
       s.limits.hedging_allowed = s.limits.cancellation_allowed = false;
       s.fleet_limits.slow_start_initial_share = 0.02;
       s.fleet_limits.slow_start_duration = std::chrono::seconds(6);
@@ -101,10 +105,11 @@
     return s;
   }
 
+  // Returns a random number from 0 to `bound` - 1.
   std::uint64_t Below(std::uint64_t bound) { return random_() % bound; }
 
-  double SomeWeight() {
-    if (options_.weights == Weights::kAlike) return 1;
+  double DrawWeight() {
+    if (options_.weights == Weights::kEqual) return 1;
     if (options_.weights == Weights::kDyadic) return 0.25 * static_cast<double>(1 + Below(16));
     return 0.1 * static_cast<double>(1 + Below(60)) / 3;
   }
@@ -115,22 +120,22 @@
     info.zone = Below(3) == 0 ? "there" : "here";
     info.kind = Below(4) == 0 ? "" : "kind-" + std::to_string(Below(3));
     info.cell = static_cast<std::int64_t>(Below(3));
-    info.weight = SomeWeight();
+    info.weight = DrawWeight();
     if (Below(2) == 0) info.started = now_ - Duration(Below(40'000'000)) + Duration(1'000'000);
     listed_[info.id.value] = info;
     return info;
   }
 
-  UpstreamInfo& Some() {
+  UpstreamInfo& DrawListedUpstream() {
     auto it = listed_.begin();
     std::advance(it, static_cast<std::ptrdiff_t>(Below(listed_.size())));
     return it->second;
   }
 
-  // One line of a change; what it says is what the list holds from then on.
-  UpstreamInfo Line() {
+  // Draws one entry of a membership change and applies it to `listed_`.
+  UpstreamInfo DrawChangedUpstream() {
     if (listed_.empty() || (listed_.size() < options_.upstreams && Below(3) == 0)) return NewUpstream();
-    UpstreamInfo& info = Some();
+    UpstreamInfo& info = DrawListedUpstream();
     switch (Below(7)) {
       case 0:
         info.state = UpstreamState::kDraining;
@@ -146,7 +151,7 @@
         info.state = UpstreamState::kServing;
         break;
       case 3:
-        info.weight = SomeWeight();
+        info.weight = DrawWeight();
         break;
       case 4:
         if (Below(4) == 0) info.started.reset();
@@ -157,14 +162,15 @@
     return info;
   }
 
-  void Change() {
+  void ChangeMembership() {
     MembershipUpdate update{MembershipUpdate::Kind::kChanges, {}};
     const std::uint64_t kind = Below(12);
-    if (kind == 0) return Hear({MembershipUpdate::Kind::kFailed, {}});
+    if (kind == 0) return HandleUpdate({MembershipUpdate::Kind::kFailed, {}});
     if (kind < 8) {
-      const std::uint64_t lines = kind == 1 ? 1 + Below(options_.upstreams) : 1 + Below(2);
-      for (std::uint64_t i = 0; i < lines; ++i) update.upstreams.push_back(Line());
-      if (kind == 2) {  // of one that was never listed, and back in the same change
+      const std::uint64_t changes = kind == 1 ? 1 + Below(options_.upstreams) : 1 + Below(2);
+      for (std::uint64_t i = 0; i < changes; ++i) update.upstreams.push_back(DrawChangedUpstream());
+      // Removes an upstream that was never listed, and in half of the cases adds it in the same update.
+      if (kind == 2) {
         UpstreamInfo info = NewUpstream();
         info.state = UpstreamState::kGone;
         update.upstreams.push_back(info);
@@ -175,42 +181,43 @@
           listed_.erase(info.id.value);
         }
       }
-      return Hear(std::move(update));
+      return HandleUpdate(std::move(update));
     }
-    const std::uint64_t missing = Below(4) * Below(4);  // of twenty
-    std::erase_if(listed_, [&](const auto&) { return Below(20) < missing; });
+    const std::uint64_t removed_of_20 = Below(4) * Below(4);  // on average, of 20 listed upstreams
+    std::erase_if(listed_, [&](const auto&) { return Below(20) < removed_of_20; });
     update.kind = kind == 8 ? MembershipUpdate::Kind::kRestored : MembershipUpdate::Kind::kFull;
     while (listed_.size() < options_.upstreams && Below(8) != 0) NewUpstream();
     for (const auto& [id, info] : listed_) update.upstreams.push_back(info);
-    Hear(std::move(update));
+    HandleUpdate(std::move(update));
   }
 
-  void Hear(MembershipUpdate update) { Do(std::move(update)); }
+  void HandleUpdate(MembershipUpdate update) { HandleEvent(std::move(update)); }
 
-  void Step() {
-    const std::uint64_t what = Below(100);
-    if (what < 70) return Arrive();
-    if (what < 84) return Change();
-    if (what < 88 && !listed_.empty()) {
-      const std::string id = Below(2) == 0 || disabled_.empty() ? Some().id.value : *disabled_.begin();
-      const bool out = !disabled_.contains(id);
-      if (out) disabled_.insert(id);
-      if (!out) disabled_.erase(id);
-      return Do(OperatorOverride{{id}, out});
+  void PlayRandomEvent() {
+    const std::uint64_t roll = Below(100);
+    if (roll < 70) return SendRequests();
+    if (roll < 84) return ChangeMembership();
+    if (roll < 88 && !listed_.empty()) {
+      const std::string id =
+          Below(2) == 0 || disabled_.empty() ? DrawListedUpstream().id.value : *disabled_.begin();
+      const bool disable = !disabled_.contains(id);
+      if (disable) disabled_.insert(id);
+      if (!disable) disabled_.erase(id);
+      return HandleEvent(OperatorOverride{{id}, disable});
     }
     if (requests_.empty()) return;
     auto it = requests_.begin();
     std::advance(it, static_cast<std::ptrdiff_t>(Below(requests_.size())));
     const RequestId id = *it;
-    if (open_.erase(id) > 0) return Do(RequestCompleted{id, now_ + std::chrono::seconds(2)});
-    if (what < 94) {
+    if (body_pending_.erase(id) > 0) return HandleEvent(RequestCompleted{id, now_ + std::chrono::seconds(2)});
+    if (roll < 94) {
       requests_.erase(it);
-      Do(RequestCancelled{id});
+      HandleEvent(RequestCancelled{id});
     }
   }
 
-  void Arrive() {
-    // Bursts, so that the limit on requests in flight binds now and then.
+  void SendRequests() {
+    // One in 30 arrivals is a burst, so that the concurrency limit takes effect at times.
     for (std::uint64_t i = Below(30) == 0 ? 30 : 1; i > 0; --i) {
       RequestArrived e;
       e.request = RequestId{++last_request_};
@@ -219,132 +226,134 @@
       e.deadline = now_ + Duration(20'000 + Below(2'000'000));
       e.client_retry = Below(9) == 0;
       e.body_pending = Below(12) == 0;
-      if (e.body_pending) open_.insert(e.request);
+      if (e.body_pending) body_pending_.insert(e.request);
       requests_.insert(e.request);
-      Do(e);
+      HandleEvent(e);
     }
   }
 
-  // By its number one in seven fails, one in eleven is silent, one in five slow, in turns of some seconds.
-  void Plan(const SendAttempt& a, AttemptId attempt) {
+  // Schedules the end of an attempt. A number derived from the upstream's id and the current interval of 9 s
+  // decides how the upstream behaves: one number in 5 is slow, one in 7 fails, one in 13 rejects requests or
+  // connections, one in 11 does not respond.
+  void ScheduleEnd(const SendAttempt& a, AttemptId attempt) {
     std::uint64_t number = 0;
     for (const char c : a.upstream.value) number = number * 31 + static_cast<unsigned char>(c);
     number += static_cast<std::uint64_t>(now_.time_since_epoch().count()) / 9'000'000;
-    Duration takes(2'000 + Below(40'000));
+    Duration duration(2'000 + Below(40'000));
     Outcome outcome = Outcome::kServed;
-    if (number % 5 == 0) takes *= 8;
+    if (number % 5 == 0) duration *= 8;
     if (number % 7 == 0) outcome = Below(5) == 0 ? Outcome::kReset : Outcome::kError;
     if (number % 13 == 0) outcome = Below(2) == 0 ? Outcome::kRejected : Outcome::kConnectFailed;
-    if (number % 11 == 0 || takes >= a.timeout) outcome = Outcome::kTimeout, takes = a.timeout;
+    if (number % 11 == 0 || duration >= a.timeout) outcome = Outcome::kTimeout, duration = a.timeout;
     if (Below(60) == 0) outcome = Outcome::kNotSent;
-    ends_.emplace(now_ + takes, Attempted{a.request, attempt, a.upstream.value, now_, outcome});
+    ends_.emplace(now_ + duration, PendingAttempt{a.request, attempt, a.upstream.value, now_, outcome});
   }
 
-  void Pass(Duration by) {
+  void Advance(Duration by) {
     const TimePoint end = now_ + by;
     for (;;) {
       const TimePoint timer = timers_.empty() ? TimePoint::max() : timers_.begin()->first;
-      const TimePoint ended = ends_.empty() ? TimePoint::max() : ends_.begin()->first;
-      const TimePoint probed = probes_.empty() ? TimePoint::max() : probes_.begin()->first;
-      const TimePoint next = std::min({timer, ended, probed});
+      const TimePoint attempt_end = ends_.empty() ? TimePoint::max() : ends_.begin()->first;
+      const TimePoint probe_end = probes_.empty() ? TimePoint::max() : probes_.begin()->first;
+      const TimePoint next = std::min({timer, attempt_end, probe_end});
       if (next > end) break;
       now_ = std::max(now_, next);
       if (next == timer) {
         const std::uint64_t token = timers_.begin()->second;
         timers_.erase(timers_.begin());
-        Do(TimerFired{token});
-      } else if (next == ended) {
-        const Attempted a = ends_.begin()->second;
+        HandleEvent(TimerFired{token});
+      } else if (next == attempt_end) {
+        const PendingAttempt a = ends_.begin()->second;
         ends_.erase(ends_.begin());
-        End(a);
+        FinishAttempt(a);
       } else {
         LoadProbeFinished e{{probes_.begin()->second}, Outcome::kServed, Duration(1000), {}};
         probes_.erase(probes_.begin());
         if (Below(12) == 0) e.outcome = Outcome::kTimeout;
         if (e.outcome == Outcome::kServed) e.load.in_flight = static_cast<double>(Below(12));
         if (Below(2) == 0) e.load.rate = static_cast<double>(Below(90));
-        Do(e);
+        HandleEvent(e);
       }
     }
     now_ = end;
   }
 
-  void End(const Attempted& a) {
+  void FinishAttempt(const PendingAttempt& a) {
     AttemptFinished e{a.request, a.attempt, a.outcome, now_ - a.sent, false, {}};
     if (Below(3) == 0) e.connection_idle_for = Duration(Below(9'000'000));
     if (a.outcome == Outcome::kServed && Below(6) == 0 && requests_.contains(a.request))
-      Do(ResponseStarted{a.request, a.attempt});
-    // The first served answer is the client's.
+      HandleEvent(ResponseStarted{a.request, a.attempt});
+    // The first served response is delivered to the client.
     e.response_delivered = a.outcome == Outcome::kServed && requests_.erase(a.request) > 0;
-    Do(e);
+    HandleEvent(e);
   }
 
-  void Do(const Event& event) {
+  void HandleEvent(const Event& event) {
     std::vector<Action> actions;
     balancer_.Handle(now_, event, actions);
     for (const Action& action : actions) {
       ++actions_;
-      Mix(action.index());
+      AddToHash(action.index());
       std::visit([this](const auto& a) { Record(a); }, action);
     }
   }
 
-  void Mix(std::uint64_t value) {
+  void AddToHash(std::uint64_t value) {
     hash_ = (hash_ ^ value) * 0x100000001b3;
     decisions_ = (decisions_ ^ value) * 0x100000001b3;
   }
-  void Mix(const std::string& text) {
-    for (const char c : text) Mix(static_cast<unsigned char>(c));
+  void AddToHash(const std::string& text) {
+    for (const char c : text) AddToHash(static_cast<unsigned char>(c));
   }
-  void Mix(Duration d) { Mix(static_cast<std::uint64_t>(d.count())); }
+  void AddToHash(Duration d) { AddToHash(static_cast<std::uint64_t>(d.count())); }
 
   void Record(const SendAttempt& a) {
     ++sent_;
     const auto it = listed_.find(a.upstream.value);
     broken_ += it == listed_.end() || it->second.state != UpstreamState::kServing ||
                disabled_.contains(a.upstream.value);
-    Mix(static_cast<std::uint64_t>(a.request));
-    Mix(a.upstream.value);
-    Mix(a.timeout), Mix(a.max_connection_idle), Mix(a.begin_within);
-    Plan(a, AttemptId{attempts_[a.request]++});
+    AddToHash(static_cast<std::uint64_t>(a.request));
+    AddToHash(a.upstream.value);
+    AddToHash(a.timeout), AddToHash(a.max_connection_idle), AddToHash(a.begin_within);
+    ScheduleEnd(a, AttemptId{attempts_[a.request]++});
   }
   void Record(const CancelAttempt& a) {
-    Mix(static_cast<std::uint64_t>(a.request)), Mix(static_cast<std::uint64_t>(a.attempt));
+    AddToHash(static_cast<std::uint64_t>(a.request)), AddToHash(static_cast<std::uint64_t>(a.attempt));
     for (auto it = ends_.begin(); it != ends_.end(); ++it) {
       if (it->second.request != a.request || it->second.attempt != a.attempt) continue;
-      Attempted ended = it->second;
-      ended.outcome = Outcome::kCancelled;
+      PendingAttempt attempt = it->second;
+      attempt.outcome = Outcome::kCancelled;
       ends_.erase(it);
-      ends_.emplace(now_, ended);
+      ends_.emplace(now_, attempt);
       return;
     }
   }
-  void Final(RequestId id) {
-    broken_ += !final_.insert(id).second;
+  void RecordFinalAnswer(RequestId id) {
+    broken_ += !answered_.insert(id).second;
     requests_.erase(id);
   }
   void Record(const RejectRequest& a) {
-    Mix(static_cast<std::uint64_t>(a.request)), Mix(a.retry_after);
-    Final(a.request);
+    AddToHash(static_cast<std::uint64_t>(a.request)), AddToHash(a.retry_after);
+    RecordFinalAnswer(a.request);
   }
   void Record(const FailRequest& a) {
-    Mix(static_cast<std::uint64_t>(a.request));
-    Final(a.request);
+    AddToHash(static_cast<std::uint64_t>(a.request));
+    RecordFinalAnswer(a.request);
   }
   void Record(const SetTimer& a) {
-    Mix(a.at.time_since_epoch()), Mix(a.token);
+    AddToHash(a.at.time_since_epoch()), AddToHash(a.token);
     timers_.emplace(a.at, a.token);
   }
   void Record(const SendLoadProbe& a) {
-    Mix(a.upstream.value), Mix(a.max_connection_idle);
+    AddToHash(a.upstream.value), AddToHash(a.max_connection_idle);
     probes_.emplace(now_ + Duration(500 + Below(30'000)), a.upstream.value);
   }
-  void Record(const CloseIdleConnections& a) { Mix(a.upstream.value); }
+  void Record(const CloseIdleConnections& a) { AddToHash(a.upstream.value); }
   void Record(const Subscribe&) {}
   void Record(const LogLine& a) {
     ejections_ += a.text.starts_with("upstream_ejected ");
     const std::uint64_t decisions = decisions_;
-    Mix(a.text);
+    AddToHash(a.text);
     decisions_ = decisions;
   }
 
@@ -354,10 +363,10 @@
   TimePoint now_{std::chrono::seconds(1000)};
   std::map<std::string, UpstreamInfo> listed_;
   std::set<std::string> disabled_;
-  std::set<RequestId> requests_, open_, final_;
+  std::set<RequestId> requests_, body_pending_, answered_;
   std::map<RequestId, std::size_t> attempts_;
   std::multimap<TimePoint, std::uint64_t> timers_;
-  std::multimap<TimePoint, Attempted> ends_;
+  std::multimap<TimePoint, PendingAttempt> ends_;
   std::multimap<TimePoint, std::string> probes_;
   std::uint64_t next_upstream_ = 0, last_request_ = 0;
   std::uint64_t hash_ = 0xcbf29ce484222325;
--- a/tests/random_rules_test.cpp
+++ b/tests/random_rules_test.cpp
@@ -1,5 +1,6 @@
-// The rules that hold whatever happens, checked over seeded random histories of events: each action that the
-// balancer gives is compared with what the requests, the upstreams and the settings allow at that moment.
+// Checks the invariants of the decision module over seeded random sequences of events: each action that the
+// balancer returns must be allowed by the state of the requests, the state of the upstreams and the settings
+// at that moment.
 #include <algorithm>
 #include <cstdint>
 #include <deque>
@@ -24,7 +25,7 @@
   explicit RandomHistory(std::uint64_t seed)
       : random_(seed), settings_(DrawSettings()), harness_(settings_, seed) {}
 
-  // Ends early after a fatal failure.
+  // Returns early after a fatal failure.
   void Play() {
     ListSixUpstreams();
     for (int step = 0; step < kSteps; ++step) {
@@ -34,7 +35,7 @@
       PlayEvent(step);
       if (::testing::Test::HasFatalFailure()) return;
     }
-    ExpectSlowStartKept();
+    ExpectSlowStartBudgetKept();
     harness_.Advance(5s);
     CheckActions();
   }
@@ -42,7 +43,7 @@
  private:
   struct Attempt {
     SentAttempt sent;
-    std::optional<Outcome> outcome;  // none while it is outstanding
+    std::optional<Outcome> outcome;  // absent while the attempt is pending
 
     bool MayHaveRun() const {
       return !outcome || (*outcome != Outcome::kRejected && *outcome != Outcome::kConnectFailed &&
@@ -61,14 +62,17 @@
                                           [](const Attempt& attempt) { return attempt.outcome.has_value(); });
     }
   };
-  // What an upstream that warms up was sent, and its warm-up fraction then.
+  // An attempt sent to an upstream in slow start, and the share of its full capacity that the upstream had
+  // then.
   struct WarmingSend {
     TimePoint at;
-    double fraction = 0;
+    double capacity_share = 0;
   };
-  // An upstream and when its process started: what an earlier process was sent does not load the next one.
+  // An upstream and the start time of its process. Attempts sent to an earlier process do not load a
+  // restarted one.
   using Process = std::pair<std::string, TimePoint>;
 
+  // Returns a random number from 0 to `bound` - 1.
   std::uint64_t Below(std::uint64_t bound) { return random_() % bound; }
 
   Settings DrawSettings() {
@@ -86,7 +90,7 @@
     return settings_.classes[static_cast<std::size_t>(request.request_class)];
   }
 
-  // ---- The events ----
+  // ---- Events ----
 
   void ListSixUpstreams() {
     harness_.ReplaceList({});
@@ -132,7 +136,7 @@
     CheckActions();
   }
 
-  // Null where no request is in flight.
+  // Returns null if no request is in flight.
   std::map<RequestId, Request>::value_type* DrawRequest() {
     if (requests_.empty()) return nullptr;
     auto drawn = requests_.begin();
@@ -173,9 +177,10 @@
     CheckActions();
   }
 
-  // ---- The rules ----
+  // ---- Invariants ----
 
-  // Every timer up to now has fired: what is still open is inside its deadline.
+  // Requires that all due timers have fired: a request without a final answer must then be within its
+  // deadline and the grace period after it.
   void ExpectNothingOverdue() {
     for (auto at = requests_.begin(); at != requests_.end();) {
       const Request& request = at->second;
@@ -187,7 +192,7 @@
 
   void CheckActions() {
     for (const Action& action : harness_.actions) {
-      std::visit([this](const auto& given) { Check(given); }, action);
+      std::visit([this](const auto& checked_action) { Check(checked_action); }, action);
       if (::testing::Test::HasFatalFailure()) return;
     }
   }
@@ -196,7 +201,7 @@
     Request* const request = FindOpen(send.request);
     ASSERT_NE(request, nullptr);
     for (const Attempt& attempt : request->attempts) {
-      if (attempt.MayHaveRun()) CheckCopy(*request, attempt, send);
+      if (attempt.MayHaveRun()) CheckRepeatedAttempt(*request, attempt, send);
     }
     EXPECT_LT(harness_.now, request->deadline);
     EXPECT_LT(request->attempts.size(), settings_.limits.max_attempts);
@@ -233,22 +238,22 @@
   void Check(const Subscribe&) {}
   void Check(const LogLine&) {}
 
-  // Null, with a failure, where the request is unknown or has ended.
+  // Returns null and reports a test failure if the request is unknown or has ended.
   Request* FindOpen(RequestId id) {
     const auto found = requests_.find(id);
     if (found == requests_.end()) {
-      ADD_FAILURE() << "an action for an unknown request";
+      ADD_FAILURE() << "action for an unknown request";
       return nullptr;
     }
     if (found->second.ended) {
-      ADD_FAILURE() << "an action after the end";
+      ADD_FAILURE() << "action for a request that has ended";
       return nullptr;
     }
     return &found->second;
   }
 
-  // `send` repeats `earlier`, which may have run.
-  void CheckCopy(const Request& request, const Attempt& earlier, const SendAttempt& send) {
+  // Checks that `send` may repeat the attempt `earlier`, which may have run.
+  void CheckRepeatedAttempt(const Request& request, const Attempt& earlier, const SendAttempt& send) {
     const RequestClass& request_class = ClassOf(request);
     if (!earlier.outcome) {
       EXPECT_TRUE(settings_.limits.hedging_allowed);
@@ -271,14 +276,16 @@
     if (!upstream.started || harness_.now - *upstream.started >= limits.slow_start_duration) return;
     const double age = static_cast<double>((harness_.now - *upstream.started) / 1us) /
                        static_cast<double>(limits.slow_start_duration / 1us);
-    const double fraction = limits.slow_start_initial_share + (1 - limits.slow_start_initial_share) * age;
-    warming_sends_[{upstream.id.value, *upstream.started}].push_back({harness_.now, fraction});
+    const double capacity_share =
+        limits.slow_start_initial_share + (1 - limits.slow_start_initial_share) * age;
+    warming_sends_[{upstream.id.value, *upstream.started}].push_back({harness_.now, capacity_share});
   }
 
-  // About 45 first attempts a second, and seldom fewer than two of the six upstreams listed: one that is
-  // fully warm takes 22 a second at most. One that warms up may be sent `overload_multiple` times its
-  // fraction of that in `overload_window`, and two requests more, as arrivals are uneven.
-  void ExpectSlowStartKept() const {
+  // There are about 45 first attempts per second, and rarely fewer than two of the six upstreams are listed,
+  // so that a warm upstream gets at most 22 attempts per second. An upstream in slow start may get
+  // `overload_multiple` times its share of that in `overload_window`, and two more attempts because arrivals
+  // are uneven.
+  void ExpectSlowStartBudgetKept() const {
     constexpr double kMaxWarmUpstreamRate = 22;
     constexpr double kAllowance = 2;
     const FleetLimits& limits = settings_.fleet_limits;
@@ -288,7 +295,7 @@
         while (last + 1 < sends.size() && sends[last + 1].at - sends[first].at < limits.overload_window)
           ++last;
         EXPECT_LE(static_cast<double>(last - first + 1),
-                  kAllowance + limits.overload_multiple * sends[last].fraction * kMaxWarmUpstreamRate)
+                  kAllowance + limits.overload_multiple * sends[last].capacity_share * kMaxWarmUpstreamRate)
             << process.first;
       }
     }
@@ -304,7 +311,7 @@
 
 class RandomHistories : public ::testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(RandomHistories, KeepTheRules) {
+TEST_P(RandomHistories, KeepTheInvariants) {
   RandomHistory history(GetParam());
 
   history.Play();
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -1,4 +1,4 @@
-// Which upstream gets how many of the requests, by weight, latency and outcome; and the concurrency limit.
+// The distribution of requests over upstreams by weight, latency and outcome, and the concurrency limit.
 #include <algorithm>
 #include <cstddef>
 #include <deque>
@@ -21,18 +21,18 @@
   UpstreamInfo heavy = MakeUpstream("heavy");
   heavy.weight = 3;
   harness.ReplaceList({heavy, MakeUpstream("a")});
-  int in_a_row = 0, most = 0, requests = 0;
+  int in_a_row = 0, longest_run = 0, requests = 0;
   for (int i = 0; i < 400; ++i) {
-    const bool hit = harness.ServeRequest() == "heavy";
-    requests += hit;
-    in_a_row = hit ? in_a_row + 1 : 0;
-    most = std::max(most, in_a_row);
+    const bool at_heavy = harness.ServeRequest() == "heavy";
+    requests += at_heavy;
+    in_a_row = at_heavy ? in_a_row + 1 : 0;
+    longest_run = std::max(longest_run, in_a_row);
   }
   EXPECT_NEAR(requests, 300, 6);
-  EXPECT_LE(most, 4);
+  EXPECT_LE(longest_run, 4);
 }
 
-TEST(Rotation, GivesNoBurstToANewUpstream) {
+TEST(Rotation, SendsNoBurstToANewUpstream) {
   BalancerHarness harness;
   harness.ListUpstreams(4);
   harness.ServeAndCount(200);
@@ -47,20 +47,20 @@
 TEST(SlowUpstream, GetsFewerRequests) {
   BalancerHarness harness;
   harness.ListUpstreams(4);
-  std::map<std::string, int> spread;
+  std::map<std::string, int> requests_by_upstream;
   for (int i = 0; i < 600; ++i) {
     const std::size_t before = harness.sent.size();
     harness.SendRequest(kNotIdempotent);
-    const SentAttempt call = harness.sent[before];
-    harness.now += call.upstream == "d" ? 40ms : 10ms;
-    harness.FinishAttempt(call, Outcome::kServed);
-    if (i >= 200) ++spread[call.upstream];
+    const SentAttempt attempt = harness.sent[before];
+    harness.now += attempt.upstream == "d" ? 40ms : 10ms;
+    harness.FinishAttempt(attempt, Outcome::kServed);
+    if (i >= 200) ++requests_by_upstream[attempt.upstream];
   }
-  EXPECT_LT(spread["d"], spread["a"] * 2 / 3);
-  EXPECT_GT(spread["d"], 0);
+  EXPECT_LT(requests_by_upstream["d"], requests_by_upstream["a"] * 2 / 3);
+  EXPECT_GT(requests_by_upstream["d"], 0);
 }
 
-TEST(HalfSilentUpstream, KeepsAShareByWhatItServes) {
+TEST(HalfUnresponsiveUpstream, KeepsAShareForTheRequestsItServes) {
   BalancerHarness harness;
   harness.ListUpstreams(4);
   int at_b = 0;
@@ -77,44 +77,44 @@
   EXPECT_FALSE(harness.HasLogged("shedding_started"));
 }
 
-TEST(OverloadedUpstream, IsAvoidedForAMoment) {
+TEST(OverloadedUpstream, IsAvoidedBriefly) {
   BalancerHarness harness;
   harness.ListUpstreams(3);
   harness.ServeAndCount(30);
   const std::size_t before = harness.sent.size();
   harness.SendRequest(kNotIdempotent);
-  const std::string full = harness.sent[before].upstream;
+  const std::string overloaded = harness.sent[before].upstream;
   harness.FinishAttempt(harness.sent[before], Outcome::kRejected);
   harness.FinishAttemptsFrom(before + 1);
   for (int i = 0; i < 6; ++i) {
     harness.SendRequest(kNotIdempotent);
-    EXPECT_NE(harness.sent.back().upstream, full);
+    EXPECT_NE(harness.sent.back().upstream, overloaded);
   }
 }
 
-TEST(ConcurrencyLimit, FollowsLateResponsesAndIsLiftedAgain) {
+TEST(ConcurrencyLimit, IsLoweredByLateResponsesAndRaisedAgain) {
   BalancerHarness harness;
   harness.ListUpstreams(4);
-  std::deque<SentAttempt> out;
-  const auto run = [&](int requests, Duration time) {
-    std::size_t taken = 0;
+  std::deque<SentAttempt> in_flight;
+  const auto run = [&](int requests, Duration latency) {
+    std::size_t accepted = 0;
     for (int i = 0; i < requests; ++i) {
       const std::size_t before = harness.sent.size();
       harness.SendRequest(kNotIdempotent);
-      taken += harness.sent.size() - before;
-      for (std::size_t k = before; k < harness.sent.size(); ++k) out.push_back(harness.sent[k]);
+      accepted += harness.sent.size() - before;
+      for (std::size_t k = before; k < harness.sent.size(); ++k) in_flight.push_back(harness.sent[k]);
       harness.Advance(10ms);
-      while (!out.empty() && harness.now - out.front().at >= time) {
-        harness.FinishAttempt(out.front(), Outcome::kServed);
-        out.pop_front();
+      while (!in_flight.empty() && harness.now - in_flight.front().at >= latency) {
+        harness.FinishAttempt(in_flight.front(), Outcome::kServed);
+        in_flight.pop_front();
       }
     }
-    return taken;
+    return accepted;
   };
   EXPECT_EQ(run(300, 100ms), 300u);
-  run(300, 390ms);  // the aim is 400 ms
+  run(300, 390ms);  // the latency objective is 400 ms
   EXPECT_TRUE(harness.HasLogged("shedding_started reason=overload"));
-  EXPECT_LT(out.size(), 30u);
+  EXPECT_LT(in_flight.size(), 30u);
   run(600, 50ms);
   EXPECT_EQ(run(100, 50ms), 100u);
   EXPECT_TRUE(harness.HasLogged("shedding_stopped"));
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -1,5 +1,6 @@
-// The rules that hold whatever happens: no request is lost, no effect happens twice, drains and operators'
-// overrides are kept, slow start is not overrun. random_rules_test.cpp checks them over random histories.
+// Invariants of the decision module: each request gets a final answer, no request takes effect twice, drains
+// and operators' overrides are respected, and the slow-start budget is not exceeded. random_rules_test.cpp
+// checks them over random sequences of events.
 #include <map>
 #include <set>
 #include <string>
@@ -16,7 +17,7 @@
 
 // ---- No request is lost ----
 
-TEST(NoRequestIsLost, EmptyListRejectsAtTheLatestAtTheDeadline) {
+TEST(NoRequestIsLost, EmptyListRejectsByTheDeadline) {
   BalancerHarness harness;
   harness.ListUpstreams(0);
   harness.SendRequest(kNotIdempotent);
@@ -35,7 +36,7 @@
     EXPECT_TRUE(harness.failed.empty());
     harness.Advance(2ms);
     EXPECT_EQ(harness.failed.size() + harness.rejected.size(), 1U);
-    EXPECT_EQ(harness.sent.size(), 1U) << "nothing is sent after the end";
+    EXPECT_EQ(harness.sent.size(), 1U) << "nothing is sent after the final answer";
   }
 }
 
@@ -68,11 +69,12 @@
   EXPECT_EQ(harness.sent.size(), 1U);
 }
 
-TEST(NoRequestIsLost, EndOfAnotherAttemptDoesNotDisturbAStreamedResponse) {
+TEST(NoRequestIsLost, EndOfAnotherAttemptDoesNotEndAStreamedResponse) {
   BalancerHarness harness;
   harness.ListUpstreams(2);
   const RequestId id = harness.SendRequest(kIdempotent);
-  harness.Advance(700ms);  // late, and its upstream answers nothing else: a copy goes out
+  // Late, and the upstream has served nothing else meanwhile: a hedged request is sent.
+  harness.Advance(700ms);
   ASSERT_EQ(harness.sent.size(), 2U);
   harness.Handle(ResponseStarted{id, AttemptId{1}});
   EXPECT_EQ(harness.cancelled, (std::vector{std::pair{id, AttemptId{0}}}));
@@ -82,7 +84,7 @@
   EXPECT_TRUE(harness.rejected.empty() && harness.failed.empty());
 }
 
-TEST(NoRequestIsLost, StreamedRequestHasItsTimeFromItsLastByte) {
+TEST(NoRequestIsLost, DeadlineOfAStreamedRequestCountsFromItsLastByte) {
   BalancerHarness harness;
   harness.ListUpstreams(2);
   RequestArrived arrived;
@@ -102,21 +104,21 @@
   EXPECT_EQ(harness.failed.size(), 1U);
 }
 
-TEST(NoEffectTwice, ConsumedBodyIsNotSentAgain) {
+TEST(NoDuplicateEffect, ConsumedBodyIsNotSentAgain) {
   BalancerHarness harness;
   harness.ListUpstreams(3);
-  for (const bool spent : {false, true}) {
+  for (const bool body_consumed : {false, true}) {
     const std::size_t before = harness.sent.size();
     RequestArrived arrived;
-    arrived.request = RequestId{spent ? 88U : 77U};
+    arrived.request = RequestId{body_consumed ? 88U : 77U};
     arrived.request_class = kIdempotent;
     arrived.deadline = harness.now + 2s;
     arrived.body_pending = true;
     harness.Handle(arrived);
-    AttemptFinished finished{
-        arrived.request, AttemptId{0}, Outcome::kConnectFailed, 1ms, false, {}, {}, spent};
+    AttemptFinished finished{arrived.request, AttemptId{0}, Outcome::kConnectFailed, 1ms, false, {}, {},
+                             body_consumed};
     harness.Handle(finished);
-    EXPECT_EQ(harness.sent.size() - before, spent ? 1U : 2U);
+    EXPECT_EQ(harness.sent.size() - before, body_consumed ? 1U : 2U);
   }
   EXPECT_EQ(harness.rejected.size(), 1U);
 }
@@ -131,9 +133,9 @@
   EXPECT_EQ(harness.failed[0], id);
 }
 
-// ---- No effect happens twice ----
+// ---- No request takes effect twice ----
 
-TEST(NoEffectTwice, NonIdempotentRequestIsRetriedOnlyWhereItDidNotRun) {
+TEST(NoDuplicateEffect, NonIdempotentRequestIsRetriedOnlyIfItDidNotRun) {
   for (const Outcome outcome : kMayHaveRun) {
     BalancerHarness harness;
     harness.ListUpstreams(3);
@@ -151,11 +153,11 @@
     harness.FinishAttempt(harness.sent[0], outcome);
     ASSERT_EQ(harness.sent.size(), 2U);
     EXPECT_NE(harness.sent[0].upstream, harness.sent[1].upstream)
-        << "never the same again while another stands";
+        << "a retry goes to another upstream if there is one";
   }
 }
 
-TEST(NoEffectTwice, KeyedRequestStaysInsideItsKeyScope) {
+TEST(NoDuplicateEffect, KeyedRequestIsRetriedOnlyWithinItsKeyScope) {
   for (const bool by_zone : {true, false}) {
     BalancerHarness harness;
     UpstreamInfo a = MakeUpstream("a"), b = MakeUpstream("b"), c = MakeUpstream("c");
@@ -164,9 +166,10 @@
     a.cell = b.cell = 1;
     c.cell = 2;
     harness.ReplaceList({a, b, c});
-    std::set<std::string> seen;
+    std::set<std::string> first_upstreams;
     for (int i = 0; i < 30; ++i) {
-      for (int k = 0; k < 20 + i % 3; ++k) harness.ServeRequest();  // earns retries, at changing turns
+      // Fills the retry budget. The varying number of requests changes which upstream is next.
+      for (int k = 0; k < 20 + i % 3; ++k) harness.ServeRequest();
       const std::size_t before = harness.sent.size();
       harness.SendRequest(by_zone ? kKeyedZone : kKeyedCell);
       const SentAttempt first = harness.sent[before];
@@ -179,15 +182,16 @@
         EXPECT_NE(harness.sent[before + 1].upstream, "c");
       }
       harness.FinishAttemptsFrom(before + 1);
-      seen.insert(first.upstream);
+      first_upstreams.insert(first.upstream);
       harness.Advance(3s);
     }
-    EXPECT_EQ(seen.size(), 3U);
-    EXPECT_TRUE(harness.rejected.empty()) << "outside group all, a refusal could be untrue";
+    EXPECT_EQ(first_upstreams.size(), 3U);
+    EXPECT_TRUE(harness.rejected.empty())
+        << "a rejection promises that a retry is harmless, which is certain only for key scope kAll";
   }
 }
 
-TEST(NoEffectTwice, KeyedRequestIsNotRetriedAfterItsKeyWindow) {
+TEST(NoDuplicateEffect, KeyedRequestIsNotRetriedAfterItsKeyWindow) {
   Settings settings = DefaultSettings();
   settings.classes[2].key_window = 300ms;
   BalancerHarness harness(settings);
@@ -198,8 +202,9 @@
   EXPECT_EQ(harness.sent.size(), 1U);
 }
 
-// However short it is: a connection may take longer to come up than the upstreams remember a key.
-TEST(NoEffectTwice, KeyedRetryBeginsInsideTheKeyWindowOfTheFirstThatMayHaveRun) {
+// Establishing a connection may take longer than a short key window, after which the upstreams have forgotten
+// the key.
+TEST(NoDuplicateEffect, KeyedRetryBeginsWithinTheKeyWindowOfTheFirstAttemptThatMayHaveRun) {
   Settings settings = DefaultSettings();
   settings.classes[2].key_window = 400ms;
   settings.limits.connect_timeout = 5s;
@@ -209,19 +214,20 @@
   ASSERT_EQ(harness.sent.size(), 1U);
   EXPECT_EQ(harness.sent[0].begin_within, Duration::max());
   harness.Advance(50ms);
-  harness.FinishAttempt(harness.sent[0], Outcome::kConnectFailed);  // it did not run: nothing is remembered
+  // The attempt did not run, so that no upstream has stored the key.
+  harness.FinishAttempt(harness.sent[0], Outcome::kConnectFailed);
   ASSERT_EQ(harness.sent.size(), 2U);
   EXPECT_EQ(harness.sent[1].begin_within, Duration::max());
-  for (std::size_t copy = 2; copy < 4; ++copy) {
+  for (std::size_t retry = 2; retry < 4; ++retry) {
     harness.Advance(60ms);
-    harness.FinishAttempt(harness.sent[copy - 1], Outcome::kReset);
-    ASSERT_EQ(harness.sent.size(), copy + 1);
-    EXPECT_GT(harness.sent[copy].begin_within, Duration::zero());
-    EXPECT_LT(harness.sent[copy].begin_within, harness.sent[1].at + 400ms - harness.now);
+    harness.FinishAttempt(harness.sent[retry - 1], Outcome::kReset);
+    ASSERT_EQ(harness.sent.size(), retry + 1);
+    EXPECT_GT(harness.sent[retry].begin_within, Duration::zero());
+    EXPECT_LT(harness.sent[retry].begin_within, harness.sent[1].at + 400ms - harness.now);
   }
 }
 
-TEST(NoEffectTwice, NoHedgedRequestWhereHedgingIsNotAllowed) {
+TEST(NoDuplicateEffect, NoHedgedRequestIfHedgingIsNotAllowed) {
   Settings settings = DefaultSettings();
   settings.limits.hedging_allowed = false;
   BalancerHarness harness(settings);
@@ -233,7 +239,7 @@
   EXPECT_EQ(harness.sent.size(), before + 1);
 }
 
-// ---- Drains are kept ----
+// ---- Drains are respected ----
 
 TEST(DrainingUpstream, GetsNoAttemptOnceTheChangeIsReceived) {
   for (const UpstreamState state : {UpstreamState::kDraining, UpstreamState::kGone}) {
@@ -244,7 +250,7 @@
   }
 }
 
-TEST(DrainingUpstream, IsGoneOnceAWholeListLeavesItOut) {
+TEST(DrainingUpstream, IsRemovedOnceAFullListOmitsIt) {
   BalancerHarness harness;
   harness.ListUpstreams(3);
   harness.ReplaceList({MakeUpstream("a"), MakeUpstream("c")});
@@ -263,9 +269,9 @@
   for (const SentAttempt& sent : harness.sent) EXPECT_NE(sent.upstream, other);
 }
 
-// ---- Operators' overrides hold ----
+// ---- Operators' overrides are respected ----
 
-TEST(OperatorOverrides, DisabledUpstreamGetsNothingNewWhateverTheListSays) {
+TEST(OperatorOverrides, DisabledUpstreamGetsNoRequestsRegardlessOfTheList) {
   BalancerHarness harness;
   harness.ListUpstreams(3);
   harness.Handle(OperatorOverride{{"b"}, true});
@@ -274,9 +280,9 @@
   harness.ReplaceList({MakeUpstream("a"), MakeUpstream("b"), MakeUpstream("c")});
   EXPECT_EQ(harness.ServeAndCount(30)["b"], 0);
   harness.ReplaceList({MakeUpstream("a"), MakeUpstream("c")});
-  UpstreamInfo anew = MakeUpstream("b");
-  anew.started = harness.now;
-  harness.ChangeUpstream(anew);
+  UpstreamInfo restarted = MakeUpstream("b");
+  restarted.started = harness.now;
+  harness.ChangeUpstream(restarted);
   EXPECT_EQ(harness.ServeAndCount(30)["b"], 0);
   harness.Advance(60s);
   harness.Handle(OperatorOverride{{"b"}, false});
@@ -284,7 +290,7 @@
   EXPECT_EQ(harness.ServeAndCount(30)["b"], 10);
 }
 
-TEST(OperatorOverrides, DrainHoldsOnceTheUpstreamIsEnabled) {
+TEST(OperatorOverrides, DrainRemainsInForceAfterTheUpstreamIsEnabled) {
   BalancerHarness harness;
   harness.ListUpstreams(3);
   harness.Handle(OperatorOverride{{"b"}, true});
@@ -293,7 +299,7 @@
   EXPECT_EQ(harness.ServeAndCount(30)["b"], 0);
 }
 
-TEST(OperatorOverrides, AllDisabledRejectsAtOnce) {
+TEST(OperatorOverrides, RequestsAreRejectedIfAllUpstreamsAreDisabled) {
   BalancerHarness harness;
   harness.ListUpstreams(2);
   for (const char* id : {"a", "b"}) harness.Handle(OperatorOverride{{id}, true});
@@ -302,7 +308,7 @@
   EXPECT_GT(harness.last_retry_after, 0ms);
 }
 
-TEST(OperatorOverrides, EnabledUpstreamStartsSlowlyWithItsFailuresForgotten) {
+TEST(OperatorOverrides, EnabledUpstreamIsReadmittedWithSlowStart) {
   BalancerHarness harness;
   harness.ListUpstreams(4);
   harness.FailConsecutively("b", 5);
@@ -310,18 +316,18 @@
   harness.Handle(OperatorOverride{{"b"}, true});
   harness.Advance(1s);
   harness.Handle(OperatorOverride{{"b"}, false});
-  int taken = 0;
+  int at_b = 0;
   for (int i = 0; i < 100; ++i) {
-    taken += harness.ServeRequest() == "b";
+    at_b += harness.ServeRequest() == "b";
     harness.Advance(10ms);
   }
-  EXPECT_GT(taken, 0);
-  EXPECT_LE(taken, 10);
+  EXPECT_GT(at_b, 0);
+  EXPECT_LE(at_b, 10);
 }
 
-// ---- Slow start is not overrun ----
+// ---- The slow-start budget is not exceeded ----
 
-TEST(SlowStartRules, TakesLessThanItsShareAtFirstAndItsShareInTheEnd) {
+TEST(SlowStartBudget, UpstreamGetsASmallShareFirstAndItsFullShareInTheEnd) {
   BalancerHarness harness;
   harness.ListUpstreams(4);
   for (int i = 0; i < 2000; ++i) {
@@ -331,25 +337,25 @@
   UpstreamInfo cold = MakeUpstream("cold");
   cold.started = harness.now;
   harness.ChangeUpstream(cold);
-  std::map<std::string, int> spread;
+  std::map<std::string, int> requests_by_upstream;
   for (int i = 0; i < 100; ++i) {
-    ++spread[harness.ServeRequest()];
+    ++requests_by_upstream[harness.ServeRequest()];
     harness.Advance(10ms);
   }
-  EXPECT_LE(spread["cold"], 8);
+  EXPECT_LE(requests_by_upstream["cold"], 8);
   harness.Advance(25s);
-  spread.clear();
+  requests_by_upstream.clear();
   for (int i = 0; i < 100; ++i) {
-    ++spread[harness.ServeRequest()];
+    ++requests_by_upstream[harness.ServeRequest()];
     harness.Advance(10ms);
   }
-  EXPECT_GE(spread["cold"], 15);
+  EXPECT_GE(requests_by_upstream["cold"], 15);
 }
 
-TEST(SlowStartRules, BudgetHoldsWhenAllOthersAreGone) {
+TEST(SlowStartBudget, HoldsWhenAllOtherUpstreamsAreRemoved) {
   BalancerHarness harness;
   harness.ListUpstreams(4);
-  for (int i = 0; i < 2000; ++i) {  // about 50 a second: 12.5 for each upstream
+  for (int i = 0; i < 2000; ++i) {  // about 50 requests per second: 12.5 for each upstream
     harness.ServeRequest();
     harness.Advance(10ms);
   }
@@ -362,11 +368,12 @@
     harness.ServeRequest();
     harness.Advance(10ms);
   }
-  // It can take 10% of a warm one's load, twice that topples it: at most 2 x 0.1 x 12.5 in the second.
+  // The upstream can serve 10% of the load of a warm one, and twice that overloads it: at most 2 x 0.1 x 12.5
+  // attempts are allowed in the second.
   EXPECT_LE(harness.sent.size() - before, 3U);
 }
 
-TEST(SlowStartRules, RestartedSidecarDoesNotOverrunAWarmingUpstream) {
+TEST(SlowStartBudget, RestartedSidecarDoesNotOverloadAWarmingUpstream) {
   BalancerHarness harness;
   UpstreamInfo cold = MakeUpstream("cold");
   cold.started = harness.now - 1s;
--- a/tests/upstream_connections_test.cpp
+++ b/tests/upstream_connections_test.cpp
@@ -1,4 +1,5 @@
-// What failing and dropped connections tell of their upstream.
+// How failed connection attempts change routing, and how dropped connections change when idle connections are
+// closed.
 #include <cstddef>
 #include <set>
 #include <string>
@@ -9,19 +10,19 @@
 namespace lb::testing {
 namespace {
 
-TEST(UpstreamConnections, RequestsKeepToOpenConnectionsWhileConnectingFails) {
+TEST(UpstreamConnections, RequestsUseOpenConnectionsWhileConnectingFails) {
   BalancerHarness harness;
   harness.ListUpstreams(6);
   std::set<std::string> connected;
   for (int i = 0; i < 3; ++i) connected.insert(harness.ServeRequest(kNotIdempotent));
-  // Whoever else is called gets no connection.
+  // Connecting to any other upstream fails.
   for (int i = 0; i < 60; ++i) {
     const std::size_t before = harness.sent.size();
     harness.SendRequest(kNotIdempotent);
     for (std::size_t k = before; k < harness.sent.size(); ++k) {
       harness.now += 5ms;
-      const bool has = connected.count(harness.sent[k].upstream) > 0;
-      harness.FinishAttempt(harness.sent[k], has ? Outcome::kServed : Outcome::kConnectFailed);
+      const bool is_connected = connected.count(harness.sent[k].upstream) > 0;
+      harness.FinishAttempt(harness.sent[k], is_connected ? Outcome::kServed : Outcome::kConnectFailed);
     }
     harness.Advance(20ms);
   }
@@ -30,13 +31,13 @@
   EXPECT_EQ(elsewhere, 0);
 }
 
-TEST(UpstreamConnections, IdleOnesAreClosedBeforeTheAgeOfOneFoundDropped) {
+TEST(UpstreamConnections, IdleConnectionsAreClosedSoonerAfterOneWasFoundDropped) {
   BalancerHarness harness;
   harness.ListUpstreams(1);
   harness.ServeRequest(kNotIdempotent);
   harness.Advance(2s);
   EXPECT_EQ(harness.ServeRequest(kNotIdempotent), "a");
-  EXPECT_TRUE(harness.closed.empty()) << "trusted until one is found dropped";
+  EXPECT_TRUE(harness.closed.empty()) << "idle connections are kept until one is found dropped";
   harness.Advance(2s);
   harness.SendRequest(kNotIdempotent);
   harness.now += 1ms;
@@ -44,19 +45,20 @@
   harness.ServeRequest(kNotIdempotent);
   harness.Advance(1500ms);
   harness.ServeRequest(kNotIdempotent);
-  EXPECT_EQ(harness.closed, std::vector<std::string>{"a"}) << "idle for longer than half of that";
+  EXPECT_EQ(harness.closed, std::vector<std::string>{"a"})
+      << "idle for more than half as long as the dropped connection";
   harness.Advance(500ms);
   harness.ServeRequest(kNotIdempotent);
-  EXPECT_EQ(harness.closed.size(), 1U) << "used not long ago";
+  EXPECT_EQ(harness.closed.size(), 1U) << "idle for less than half as long as the dropped connection";
   harness.Advance(90s);
   harness.ServeRequest(kNotIdempotent);
   harness.closed.clear();
   harness.Advance(10s);
   harness.ServeRequest(kNotIdempotent);
-  EXPECT_TRUE(harness.closed.empty()) << "trusted again with time";
+  EXPECT_TRUE(harness.closed.empty()) << "idle connections are kept again after some time";
 }
 
-TEST(UpstreamConnections, ResetDuringARequestSaysNothingOfIdleOnes) {
+TEST(UpstreamConnections, ResetDuringARequestDoesNotCloseIdleConnections) {
   BalancerHarness harness;
   harness.ListUpstreams(1);
   harness.ServeRequest(kNotIdempotent);
--- a/tests/zone_locality_test.cpp
+++ b/tests/zone_locality_test.cpp
@@ -1,4 +1,4 @@
-// Zone locality: requests stay in their zone until its upstreams hold too much.
+// Zone locality: requests stay in the sidecar's zone until its upstreams have too many requests in flight.
 #include <cstddef>
 #include <string>
 #include <vector>
@@ -9,8 +9,9 @@
 namespace lb::testing {
 namespace {
 
-// The operators look for it, though near ones that hold nothing would always be the better choice.
-TEST(ZoneLocality, EnabledUpstreamOfAnotherZoneIsSoonUsedAgain) {
+// Operators expect requests at an upstream that they have enabled, although idle upstreams of the sidecar's
+// own zone are always the better choice.
+TEST(ZoneLocality, EnabledUpstreamOfAnotherZoneSoonGetsRequests) {
   Settings settings = SettingsWithLoadReports();
   settings.decision_costs.cross_zone = 0.1;
   settings.fleet_limits.slow_start_initial_share = 0.5;
@@ -18,8 +19,8 @@
   UpstreamInfo far = MakeUpstream("far");
   far.zone = "there";
   harness.ReplaceList({MakeUpstream("a"), MakeUpstream("b"), MakeUpstream("c"), far});
-  const auto calls = [&harness](int count) {
-    int taken = 0;
+  const auto attempts_at_far = [&harness](int count) {
+    int at_far = 0;
     for (int i = 0; i < count; ++i) {
       harness.probed.clear();
       const std::size_t before = harness.sent.size();
@@ -27,21 +28,21 @@
       for (const std::string& id : std::vector<std::string>(harness.probed)) ReportLoad(harness, id, 0);
       harness.Advance(20ms);
       for (std::size_t k = before; k < harness.sent.size(); ++k) {
-        taken += harness.sent[k].upstream == "far";
+        at_far += harness.sent[k].upstream == "far";
         harness.FinishAttempt(harness.sent[k], Outcome::kServed);
       }
     }
-    return taken;
+    return at_far;
   };
-  ASSERT_EQ(calls(100), 0) << "it is never the better choice";
+  ASSERT_EQ(attempts_at_far(100), 0) << "the upstream of the other zone is never the better choice";
   harness.Handle(OperatorOverride{{"far"}, true});
   harness.Handle(OperatorOverride{{"far"}, false});
-  const int taken = calls(250);  // 5 s
-  EXPECT_GE(taken, 1);
-  EXPECT_LE(taken, 2) << "and then as before";
+  const int at_far = attempts_at_far(250);  // 5 s
+  EXPECT_GE(at_far, 1);
+  EXPECT_LE(at_far, 2) << "afterwards the upstream gets no requests, as before";
 }
 
-// "a" to "c" are here, the rest is there.
+// "a" to "c" are in the sidecar's zone, the others in another zone.
 std::vector<UpstreamInfo> TwoZones() {
   std::vector<UpstreamInfo> list;
   for (const char id : {'a', 'b', 'c', 'd', 'e', 'f', 'g', 'h'}) {
@@ -51,48 +52,48 @@
   return list;
 }
 
-// A crossing has its price: it is worth paying only for a call that would else be late.
-TEST(ZoneLocality, RequestsStayInTheZoneUntilItsUpstreamsHoldTooMuch) {
+// Crossing zones has a cost, which is justified only for a request that would otherwise be late.
+TEST(ZoneLocality, RequestsStayInTheZoneUntilItsUpstreamsAreBusy) {
   Settings settings = SettingsWithLoadReports();
   settings.decision_costs.cross_zone = 0.1;
   BalancerHarness harness(settings);
   harness.ReplaceList(TwoZones());
-  const auto crossed = [&harness](double held_here) {
+  const auto crosses_zones = [&harness](double in_flight_here) {
     harness.probed.clear();
     const std::size_t before = harness.sent.size();
     harness.SendRequest(kNotIdempotent);
     for (const std::string& id : std::vector<std::string>(harness.probed))
-      ReportLoad(harness, id, id > "c" ? 0 : held_here);
+      ReportLoad(harness, id, id > "c" ? 0 : in_flight_here);
     EXPECT_EQ(harness.sent.size(), before + 1);
-    harness.now += 40ms;  // a tenth of the aim
+    harness.now += 40ms;  // a tenth of the latency objective
     harness.FinishAttempt(harness.sent.back(), Outcome::kServed);
     return harness.sent.back().upstream > "c";
   };
   int near_idle = 0, near_busy = 0;
-  for (int i = 0; i < 40; ++i) near_idle += crossed(1);
-  for (int i = 0; i < 40; ++i) near_busy += crossed(9);
+  for (int i = 0; i < 40; ++i) near_idle += crosses_zones(1);
+  for (int i = 0; i < 40; ++i) near_busy += crosses_zones(9);
   EXPECT_EQ(near_idle, 0);
   EXPECT_GT(near_busy, 10);
 }
 
-// Where nobody is asked for its load the rotation itself has to know what a crossing costs.
+// Without load probes, the rotation itself must account for the cost of crossing zones.
 TEST(ZoneLocality, WithoutReportsRequestsStayInTheZoneUntilResponsesAreLate) {
   Settings settings = DefaultSettings();
   settings.decision_costs.cross_zone = 0.1;
   BalancerHarness harness(settings);
   harness.ReplaceList(TwoZones());
-  const auto crossed = [&harness](Duration near_takes) {
+  const auto crosses_zones = [&harness](Duration near_latency) {
     const std::size_t before = harness.sent.size();
     harness.SendRequest(kNotIdempotent);
     const bool far = harness.sent[before].upstream > "c";
-    harness.now += far ? Duration(40ms) : near_takes;  // the aim is 400 ms
+    harness.now += far ? Duration(40ms) : near_latency;  // the latency objective is 400 ms
     harness.FinishAttemptsFrom(before);
     return far;
   };
-  int near_well = 0, near_late = 0;
-  for (int i = 0; i < 40; ++i) near_well += crossed(40ms);
-  for (int i = 0; i < 40; ++i) near_late += crossed(350ms);
-  EXPECT_EQ(near_well, 0);
+  int near_on_time = 0, near_late = 0;
+  for (int i = 0; i < 40; ++i) near_on_time += crosses_zones(40ms);
+  for (int i = 0; i < 40; ++i) near_late += crosses_zones(350ms);
+  EXPECT_EQ(near_on_time, 0);
   EXPECT_GT(near_late, 10);
 }
 
