--- a/sidecar/admin.cpp
+++ b/sidecar/admin.cpp
@@ -19,27 +19,29 @@
 using boost::system::error_code;
 using std::chrono::milliseconds;
 
-// Bounds of a request, in bytes: a request line and a few headers. A body is read and not looked at.
-constexpr std::uint32_t kMaxAdminHead = 4096;
-constexpr std::uint64_t kMaxAdminBody = 4096;
-// How long a whole request may take to come, and its response to be sent.
+// Limits of a request: enough for the request line and a few headers. A body is read and ignored.
+constexpr std::uint32_t kMaxAdminHeaderBytes = 4096;
+constexpr std::uint64_t kMaxAdminBodyBytes = 4096;
+// Time limit for receiving a whole request, and again for sending its response.
 constexpr Duration kTransferTimeout = std::chrono::seconds(2);
-// How long the caller's close is waited for after the response: a reset could overtake the response.
-constexpr Duration kLinger = milliseconds(250);
+// How long the connection is read after the response until the client closes it. Closing with unread data
+// would send a reset, which could discard the response before the client has read it.
+constexpr Duration kLingerTimeout = milliseconds(250);
 
 }  // namespace
 
 class AdminInterface::Connection : public std::enable_shared_from_this<Connection> {
  public:
   Connection(AdminInterface& owner, tcp::socket socket) : owner_(&owner), stream_(std::move(socket)) {
-    buffer_.max_size(std::size_t{2} * kMaxAdminHead);
-    parser_.header_limit(kMaxAdminHead);
-    parser_.body_limit(kMaxAdminBody);
+    buffer_.max_size(std::size_t{2} * kMaxAdminHeaderBytes);
+    parser_.header_limit(kMaxAdminHeaderBytes);
+    parser_.body_limit(kMaxAdminBodyBytes);
   }
 
   void Start() {
     stream_.expires_after(kTransferTimeout);
-    // The header on its own first, or the bound on the body does not hold (see upstreams.cpp).
+    // The header is read separately: Beast 1.74 does not enforce the limit on a body whose first bytes are
+    // parsed together with the header (see request_framing.cpp).
     http::async_read_header(stream_, buffer_, parser_,
                             [self = shared_from_this()](error_code error, std::size_t) {
                               if (self->owner_ == nullptr) return;
@@ -71,7 +73,8 @@
     });
   }
 
-  // A caller that closed, or whose request did not come whole in time, gets no response.
+  // Closes without a response if the client has closed the connection or has not sent a whole request in
+  // time; otherwise responds with the error.
   void HandleReadError(error_code error) {
     if (error == http::error::body_limit) {
       return Respond(PlainResponse(http::status::payload_too_large, "call too large"));
@@ -97,7 +100,7 @@
       if (error) return self->Close();
       error_code ignored;
       self->stream_.socket().shutdown(tcp::socket::shutdown_send, ignored);
-      self->stream_.expires_after(kLinger);
+      self->stream_.expires_after(kLingerTimeout);
       self->Linger();
     });
   }
--- a/sidecar/admin.h
+++ b/sidecar/admin.h
@@ -1,5 +1,5 @@
-// The admin interface's sockets: reads one request a connection, has it handled, sends the response and
-// closes. What a request asks for is in admin_commands.h.
+// The admin interface's HTTP server: reads one request per connection, calls its handler, sends the response
+// and closes the connection. admin_commands.h defines the commands.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,16 +17,16 @@
 
 namespace lb::sidecar {
 
-// A few connections at a time, each with its own timeout: an operator is served however many callers send
-// nothing.
+// Serves at most kMaxConnections connections at a time, each with its own timeout. A new connection evicts an
+// old one when the limit is reached, so that idle connections cannot lock operators out.
 class AdminInterface {
  public:
-  // The connections that are open at a time, and the descriptors that the interface needs for them and
-  // itself.
+  // The maximum number of open connections, and of descriptors: one for each connection and one for the
+  // listening socket.
   static constexpr std::size_t kMaxConnections = 11;
   static constexpr std::size_t kDescriptors = kMaxConnections + 1;
 
-  // Handles one request, at once.
+  // Handles one request synchronously.
   using OnRequest = std::function<HttpResponse(http::verb method, const std::string& target)>;
 
   // Binds and listens; throws boost::system::system_error. `log` has to outlive the interface.
@@ -38,15 +38,16 @@
  private:
   class Connection;
 
-  // Connections that send nothing must not block others: the one that has waited longest without a whole
-  // request makes room. A request comes with its connection, so a new one is soon handled.
+  // If the limit is reached, closes the oldest connection that has not sent a whole request, or else the
+  // oldest one. Operators' tools send the request as soon as they connect, so that a connection which is
+  // still without a request when others follow is most likely idle. Always returns true.
   bool EnsureCapacity();
   void Admit(boost::asio::ip::tcp::socket socket);
 
   const OnRequest on_request_;
   boost::asio::ip::tcp::acceptor acceptor_;
   AcceptLoop<boost::asio::ip::tcp> accept_loop_;
-  std::list<std::shared_ptr<Connection>> connections_;  // the oldest first
+  std::list<std::shared_ptr<Connection>> connections_;  // oldest first
 };
 
 }  // namespace lb::sidecar
--- a/sidecar/admin_commands.cpp
+++ b/sidecar/admin_commands.cpp
@@ -10,7 +10,7 @@
 constexpr std::string_view kDisablePrefix = "/upstreams/disable/";
 constexpr std::string_view kEnablePrefix = "/upstreams/enable/";
 
-// The command that the target names; nothing for an unknown one.
+// The command for a request target; nullopt for an unknown target.
 std::optional<AdminCommand> CommandOf(const std::string& target) {
   if (target.starts_with(kDisablePrefix)) return DisableUpstream{target.substr(kDisablePrefix.size())};
   if (target.starts_with(kEnablePrefix)) return EnableUpstream{target.substr(kEnablePrefix.size())};
--- a/sidecar/admin_commands.h
+++ b/sidecar/admin_commands.h
@@ -1,5 +1,5 @@
-// The commands of the admin interface, as types: parsed from a call's method and target, and the replies to
-// them. No sockets and no state.
+// The commands of the admin interface as types: parsing them from a request's method and target, and
+// converting replies to HTTP responses. Uses no sockets and has no state.
 #pragma once
 
 #include <string>
@@ -9,38 +9,39 @@
 
 namespace lb::sidecar {
 
-// POST /upstreams/disable/ID: the upstream is sent nothing new until it is enabled.
+// POST /upstreams/disable/ID: sends no new attempts to the upstream until it is enabled.
 struct DisableUpstream {
   std::string upstream;
 };
 
-// POST /upstreams/enable/ID
+// POST /upstreams/enable/ID: reverts DisableUpstream.
 struct EnableUpstream {
   std::string upstream;
 };
 
-// POST /drain: connection draining, until StopDraining.
+// POST /drain: starts connection draining, which lasts until StopDraining.
 struct StartDraining {};
 
 // POST /undrain
 struct StopDraining {};
 
-// GET /ready
+// GET /ready: queries whether the sidecar is ready for new clients.
 struct QueryReadiness {};
 
 using AdminCommand =
     std::variant<DisableUpstream, EnableUpstream, StartDraining, StopDraining, QueryReadiness>;
 
-// A call that is no command.
+// A request that is not a valid command.
 struct AdminCommandError {
   enum class Kind {
     kUnknownTarget,
     kWrongMethod,
   };
   Kind kind = Kind::kUnknownTarget;
-  http::verb expected = http::verb::get;  // of kWrongMethod
+  http::verb expected = http::verb::get;  // for kWrongMethod
 };
 
+// Upstream ids are the rest of `target` after the prefix, not decoded; they are not checked for existence.
 std::variant<AdminCommand, AdminCommandError> ParseAdminCommand(http::verb method, const std::string& target);
 
 enum class AdminStatus {
@@ -49,14 +50,14 @@
   kNotReady,         // 503
 };
 
-// What a command did.
+// The result of a command.
 struct AdminReply {
   AdminStatus status = AdminStatus::kDone;
-  std::string text;           // for people; one line
-  std::string storage_fault;  // why the operator state is not stored; empty where it is
+  std::string text;           // human-readable; one line
+  std::string storage_fault;  // why the operator state is not stored; empty if it is
 };
 
-// The HTTP forms. Their texts are of the first release: operators' scripts read them.
+// The HTTP responses. Their texts must not change from release to release: operators' scripts read them.
 HttpResponse ToHttpResponse(const AdminReply& reply);
 HttpResponse ToHttpResponse(const AdminCommandError& error);
 
--- a/sidecar/descriptor_passing.cpp
+++ b/sidecar/descriptor_passing.cpp
@@ -14,10 +14,10 @@
 
 using std::chrono::milliseconds;
 
-// One byte and a descriptor beside it, as sendmsg() and recvmsg() take them.
+// A message of one byte and one descriptor in the form that sendmsg() and recvmsg() use.
 struct DescriptorMessage {
   DescriptorMessage() {
-    message.msg_iov = &part;
+    message.msg_iov = &data;
     message.msg_iovlen = 1;
     message.msg_control = ancillary;
     message.msg_controllen = sizeof ancillary;
@@ -25,8 +25,8 @@
   DescriptorMessage(const DescriptorMessage&) = delete;
   DescriptorMessage& operator=(const DescriptorMessage&) = delete;
 
-  char byte = 'l';  // as the first release sends it; receivers don't look at it
-  iovec part{&byte, 1};
+  char byte = 'l';  // the value that the first release sends; receivers ignore it
+  iovec data{&byte, 1};
   msghdr message{};
   alignas(cmsghdr) char ancillary[CMSG_SPACE(sizeof(int))] = {};
 };
@@ -65,9 +65,9 @@
 
 std::optional<int> ReceiveDescriptor(int socket, TimePoint until) {
   while (Now() < until) {
-    pollfd waited{socket, POLLIN, 0};
-    const auto left = std::max(std::chrono::ceil<milliseconds>(until - Now()), milliseconds(0));
-    if (::poll(&waited, 1, static_cast<int>(left.count())) <= 0) continue;
+    pollfd poll_request{socket, POLLIN, 0};
+    const auto remaining = std::max(std::chrono::ceil<milliseconds>(until - Now()), milliseconds(0));
+    if (::poll(&poll_request, 1, static_cast<int>(remaining.count())) <= 0) continue;
     DescriptorMessage in;
     const auto received = ::recvmsg(socket, &in.message, MSG_CMSG_CLOEXEC | MSG_DONTWAIT);
     if (received < 0 && IsTransientError(errno)) {
--- a/sidecar/descriptor_passing.h
+++ b/sidecar/descriptor_passing.h
@@ -1,4 +1,4 @@
-// Passes a descriptor over a Unix socket (SCM_RIGHTS), with one byte beside it.
+// Sends and receives a file descriptor over a Unix socket (SCM_RIGHTS), together with one byte of data.
 #pragma once
 
 #include <optional>
@@ -7,14 +7,16 @@
 
 namespace lb::sidecar {
 
-// True for an error of a system call that may succeed soon: interrupted, or short of something.
+// True for values of `errno` after which a system call may succeed when it is repeated: it was interrupted,
+// would have blocked, or the system is short of memory or descriptors.
 bool IsTransientError(int error);
 
-// Does not block. False: `errno` has the error.
+// Sends a duplicate of `descriptor` without blocking. Returns false on failure, with the error in `errno`.
 bool SendDescriptor(int socket, int descriptor);
 
-// Blocks up to `until`; signals don't end the wait. Nothing where none came, or what came is not one byte and
-// one descriptor. The descriptor is the caller's to close.
+// Waits for a descriptor until `until`, also if signals interrupt the wait. Returns nullopt if none was
+// received by then or the message is not one byte with one descriptor. The caller has to close the
+// descriptor.
 std::optional<int> ReceiveDescriptor(int socket, TimePoint until);
 
 }  // namespace lb::sidecar
--- a/sidecar/durable_folder.h
+++ b/sidecar/durable_folder.h
@@ -1,6 +1,6 @@
-// A folder of small files, each of which is complete and synced to disk or not there at all: a file that a
-// kill left half written is never listed. Written under a temporary name, synced, renamed, and the folder
-// synced.
+// A folder of small files that are written atomically and durably: a file is written under a temporary name,
+// synced, renamed to its final name, and the folder is synced. If the process is killed meanwhile, the file
+// is either complete or not listed.
 #pragma once
 
 #include <chrono>
@@ -14,20 +14,21 @@
 
 class DurableFolder {
  public:
-  // `path`: made with the first file. Several processes may use the folder at once.
+  // The folder is created when the first file is written. Several processes may use it at the same time.
   explicit DurableFolder(std::string path) : path_(std::move(path)) {}
 
   const std::string& path() const { return path_; }
 
-  // Each call blocks for a few system calls and two syncs at most. After an error the file may be there or
-  // not, and the same call can be made again.
+  // Each call blocks for a few system calls and at most two syncs. After an error the file may or may not
+  // have been written or removed; the call can be retried.
   std::error_code Write(const std::string& name, const std::string& contents);
-  std::error_code Remove(const std::string& name);  // no error where there is none
+  std::error_code Remove(const std::string& name);  // succeeds if there is no such file
 
-  // The names of all files but temporary ones; none where there is an error.
+  // Sets `names` to the names of all files except temporary ones; to none on an error. Also deletes temporary
+  // files that killed processes have left.
   std::error_code List(std::vector<std::string>& names);
-  // Fails with std::errc::file_too_large for a file of more than `most` bytes.
-  std::error_code Read(const std::string& name, std::size_t most, std::string& contents) const;
+  // Fails with std::errc::file_too_large if the file has more than `max_size` bytes.
+  std::error_code Read(const std::string& name, std::size_t max_size, std::string& contents) const;
 
  private:
   using Steady = std::chrono::steady_clock;
@@ -40,7 +41,8 @@
 
   const std::string path_;
   std::uint64_t temporary_count_ = 0;
-  std::map<std::string, Steady::time_point> temporaries_;  // by name; with when each was first seen
+  std::map<std::string, Steady::time_point>
+      temporaries_first_seen_;  // by name; the time when each was first listed
 };
 
 }  // namespace lb::sidecar
--- a/sidecar/graceful_shutdown.cpp
+++ b/sidecar/graceful_shutdown.cpp
@@ -7,12 +7,12 @@
 
 using std::chrono::milliseconds;
 
-// SIGKILL comes no sooner after SIGTERM than the deployment's longest deadline, of which at most
-// kMaxDrainDeadline counts, and kKillGrace (PROTOCOL, "Figures").
+// The platform sends SIGKILL no earlier than this after SIGTERM: the longest deadline among the request
+// classes, but at most kMaxDrainDeadline, plus kKillGrace (PROTOCOL, "Figures").
 constexpr Duration kMaxDrainDeadline = std::chrono::seconds(3);
 constexpr Duration kKillGrace = milliseconds(700);
-// Responses are sent this much ahead of SIGKILL: the process may be held up, and the response has to reach
-// its client.
+// The last response is sent this long before SIGKILL, to allow for delays of the process and for the time
+// that the response takes to reach its client.
 constexpr Duration kKillMargin = milliseconds(150);
 
 Duration TimeToLastResponse(const Settings& settings) {
--- a/sidecar/graceful_shutdown.h
+++ b/sidecar/graceful_shutdown.h
@@ -1,4 +1,4 @@
-// The time limits of a graceful shutdown, which SIGTERM begins.
+// The time limits of a graceful shutdown, which starts on SIGTERM.
 #pragma once
 
 #include <chrono>
@@ -9,14 +9,16 @@
 
 namespace lb::sidecar {
 
-// How long the shutdown waits at most until the operator state is stored.
+// The maximum time for which the shutdown waits until the operator state is stored.
 constexpr Duration kStoreTimeout = std::chrono::seconds(2);
 
+// Records the start of the shutdown and computes when the last response has to be sent.
 class GracefulShutdown {
  public:
   explicit GracefulShutdown(const Settings& settings);
 
-  // The shutdown begins at `now`, or has begun. Returns by when the last response has to be sent.
+  // Starts the shutdown at `now` unless it has already begun. Returns the time by which the last response has
+  // to be sent; further calls return the same time.
   TimePoint Begin(TimePoint now);
   bool begun() const { return last_response_by_.has_value(); }
 
--- a/sidecar/hot_restart.cpp
+++ b/sidecar/hot_restart.cpp
@@ -24,18 +24,20 @@
 using boost::system::error_code;
 using std::chrono::milliseconds;
 
-// The previous process responds at once unless it is starved. Without its response this one listens on its
-// own.
+// The previous process responds at once unless it is short of CPU time. Without a response this process binds
+// a listening socket of its own.
 constexpr Duration kInheritTimeout = std::chrono::seconds(1);
 constexpr milliseconds kConnectRetryPause{10};
 constexpr Duration kRetryPause = milliseconds(20);
 constexpr Duration kMaxListenBackoff = milliseconds(1000);
-// With kRetryPause in between: about as long as the next process waits (kInheritTimeout).
-constexpr int kSendTries = 40;
-// There is one next process; a platform that gave one up may start another at once.
+// With kRetryPause between the tries this takes about 0.8 s, nearly as long as the next process waits
+// (kInheritTimeout).
+constexpr int kMaxSendTries = 40;
+// Normally one next process connects; the platform may abandon it and start another one at once.
 constexpr int kListenBacklog = 4;
 
-// A connected socket; nothing if no process listens at `path`, or none accepted it by `until`.
+// Returns a connected socket; nullopt if no process listens at `path`, or if connecting keeps failing with
+// transient errors until `until`. The socket has to be closed by the caller.
 std::optional<int> Connect(const boost::asio::local::stream_protocol::endpoint& path, TimePoint until) {
   while (Now() < until) {
     const int descriptor = ::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
@@ -81,7 +83,7 @@
   if (!path) return std::nullopt;
   const TimePoint until = Now() + kInheritTimeout;
   const auto connected = Connect(*path, until);
-  if (!connected && Now() < until) return std::nullopt;  // no process is there
+  if (!connected && Now() < until) return std::nullopt;  // no previous process is running
   std::optional<int> inherited;
   if (connected) inherited = ReceiveDescriptor(*connected, until);
   if (!inherited) {
@@ -126,13 +128,13 @@
   next_->Watch(std::move(handlers));
 }
 
-// What one neighbour says is passed on to the other as it came, also where a later release says what this one
-// does not know.
+// Forwards each override message from one neighbour to the other unchanged, including messages of later
+// releases that this one does not understand.
 void HotRestart::HandleOverrideLine(const std::string& line,
-                                    const std::function<void(const std::string&)>& pass_on) {
+                                    const std::function<void(const std::string&)>& forward) {
   const auto parsed = ParseLine(line);
   if (!parsed) return;
-  pass_on(line + "\n");
+  forward(line + "\n");
   if (const auto* unknown = std::get_if<UnknownOverride>(&*parsed)) {
     return log_.Write(LogEvent(log_events::kStateUnknownOverride).With("text", unknown->text));
   }
@@ -148,23 +150,25 @@
   if (next_) next_->Send(ToLine(message));
 }
 
-// The first release takes any byte for the one that says that this process serves.
+// Lines are held back until kServesByte has been sent: the first release takes any byte that it receives for
+// kServesByte.
 void HotRestart::NotifyPrevious(const std::string& line) {
   if (!previous_) return;
-  if (offered_) return previous_->Send(line);
-  if (held_back_.size() + line.size() <= NeighbourProcess::kMaxUnsent) held_back_ += line;
+  if (listener_offered_) return previous_->Send(line);
+  if (held_back_lines_.size() + line.size() <= NeighbourProcess::kMaxUnsentBytes) held_back_lines_ += line;
 }
 
 void HotRestart::OfferListener(int listener) {
   if (!SocketPath()) return;
   listener_ = listener;
   Listen();
-  offered_ = true;
-  if (previous_) previous_->Send(kServesByte + held_back_);
-  held_back_.clear();
+  listener_offered_ = true;
+  if (previous_) previous_->Send(kServesByte + held_back_lines_);
+  held_back_lines_.clear();
 }
 
-// Until this process listens, the next one would bind a socket of its own.
+// Starts to listen for the next process; retried with a backoff until it succeeds. A process that is started
+// meanwhile finds no previous process and binds a listening socket of its own.
 void HotRestart::Listen() {
   const auto path = SocketPath();
   const auto error = Open(*path);
@@ -203,15 +207,16 @@
   return error;
 }
 
-// The newest process counts: one before it that never served has been given up by the platform.
+// A newly connected process replaces an earlier next process: the platform has abandoned the earlier one.
 void HotRestart::HandleNextConnected(Socket socket) {
   if (next_) next_->Close();
   next_ = std::make_shared<NeighbourProcess>(std::move(socket));
   next_serves_ = false;
-  SendListener(kSendTries);
+  SendListener(kMaxSendTries);
 }
 
-// `tries`: those that are left. Another process may connect before the next try; the try is void then.
+// Passes the listener to the next process; `tries` are left, including this one. A retry is cancelled if
+// another next process connects before it.
 void HotRestart::SendListener(int tries) {
   send_retry_.cancel();
   if (SendDescriptor(next_->native_handle(), listener_)) {
--- a/sidecar/hot_restart.h
+++ b/sidecar/hot_restart.h
@@ -1,6 +1,7 @@
-// Hot restart (as Envoy's): a process hands the clients' listening socket to the one that follows it, and the
-// two tell each other what operators say. Each knows of the other by their connection, which ends with either
-// process. What they say to each other: hot_restart_messages.h.
+// Hot restart, similar to Envoy's: a process passes the listening socket for clients to the process that
+// replaces it, and while both run they exchange the operators' overrides. They are connected by a Unix
+// socket, so that each detects the end of the other by the end of the connection. hot_restart_messages.h
+// defines the messages.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -19,30 +20,34 @@
 
 namespace lb::sidecar {
 
+// This process's connections to the previous process, which it replaces, and to the next process, which
+// replaces it. Either may be missing.
 class HotRestart {
  public:
   struct Handlers {
-    std::function<void()> on_change;          // the other process has come, serves, or has gone
-    std::function<void()> on_next_connected;  // the next process has the socket: time to tell it what holds
-    std::function<void(const OverrideMessage&)> on_override;  // operators said so to the other process
+    std::function<void()> on_change;          // a neighbour has connected, started to serve, or ended
+    std::function<void()> on_next_connected;  // the next process has the listener and awaits all overrides
+    std::function<void(const OverrideMessage&)> on_override;  // received from a neighbour
   };
 
-  // `folder`: where the processes meet; empty where they can't. `log` has to outlive the hot restart.
+  // `folder`: contains the Unix socket; empty if hot restarts are not possible. `log` has to outlive this
+  // object.
   HotRestart(boost::asio::io_context& io, std::string folder, Logger& log, Handlers handlers);
   ~HotRestart();
 
-  // The listening socket of the process before this one, where one runs and hands it over; the caller's to
-  // close. Blocks for a second at most: there is nothing to serve yet.
+  // Connects to the previous process and returns its listening socket, which the caller has to close; nullopt
+  // if no process is running or it does not pass the socket in time. Blocks for up to one second, which is
+  // acceptable at start-up only.
   std::optional<int> InheritListener();
-  // This process serves: from now on the next one is handed `listener`, which stays the caller's, and the one
-  // before may leave.
+  // To be called once this process serves: tells the previous process so, and passes `listener` to each next
+  // process that connects from now on. The caller keeps ownership of `listener`.
   void OfferListener(int listener);
 
-  // Tells the other processes, where there are some, what operators said to this one.
+  // Sends an override to both neighbours, or to the next process only; does nothing for a missing one.
   void Notify(const OverrideMessage& message);
   void NotifyNext(const OverrideMessage& message);
 
-  bool after_another() const { return previous_ != nullptr; }  // the process before this one still runs
+  bool has_previous() const { return previous_ != nullptr; }  // the previous process is still running
   bool has_next() const { return next_ != nullptr; }
   bool next_serves() const { return next_ && next_serves_; }
 
@@ -51,7 +56,7 @@
   using Socket = Local::socket;
   using SocketAddress = Local::endpoint;
 
-  // Nothing where there is no folder, or where its path is too long for a socket's.
+  // Nullopt if there is no folder, or if its path is too long for a socket address.
   std::optional<SocketAddress> SocketPath();
   void Listen();
   boost::system::error_code Open(const SocketAddress& path);
@@ -59,7 +64,7 @@
   void SendListener(int tries);
   void WatchPrevious();
   void WatchNext();
-  void HandleOverrideLine(const std::string& line, const std::function<void(const std::string&)>& pass_on);
+  void HandleOverrideLine(const std::string& line, const std::function<void(const std::string&)>& forward);
   void NotifyPrevious(const std::string& line);
 
   boost::asio::io_context& io_;
@@ -67,16 +72,16 @@
   Logger& log_;
   const Handlers handlers_;
   Local::acceptor acceptor_;
-  std::optional<AcceptLoop<Local>> accept_loop_;  // once it listens
+  std::optional<AcceptLoop<Local>> accept_loop_;  // has a value once `acceptor_` listens
   boost::asio::steady_timer listen_retry_;
-  boost::asio::steady_timer send_retry_;  // of the descriptor
-  Duration listen_backoff_{};             // zero until a first failure
+  boost::asio::steady_timer send_retry_;  // for SendListener()
+  Duration listen_backoff_{};             // zero before the first failure
   int listener_ = -1;                     // not owned
   std::shared_ptr<NeighbourProcess> previous_;
   std::shared_ptr<NeighbourProcess> next_;
   bool next_serves_ = false;
-  bool offered_ = false;
-  std::string held_back_;  // lines for the previous process, until this one serves
+  bool listener_offered_ = false;
+  std::string held_back_lines_;  // lines to send to the previous process after kServesByte
 };
 
 }  // namespace lb::sidecar
--- a/sidecar/hot_restart_messages.h
+++ b/sidecar/hot_restart_messages.h
@@ -1,9 +1,10 @@
-// What the processes of a hot restart say to each other on their connection, byte for byte. The forms are of
-// the first release: a hot restart may be from any release to any later one.
+// The messages between the two processes of a hot restart. Their format must not change: a hot restart may be
+// from any release to any later one.
 //
-// The earlier process sends the listening socket's descriptor with one byte (descriptor_passing.h). The later
-// one sends kServesByte once it serves. From then on either may send override messages, a line each: `+FORM`
-// where the override in that stored form holds from now on, `-FORM` where it is withdrawn.
+// The previous process sends the descriptor of the listening socket with one byte (descriptor_passing.h), and
+// may then send override messages. The next process sends kServesByte once it serves, and may then send
+// override messages, too. An override message is one line: `+FORM` sets the override with that stored form
+// (stored_override.h), `-FORM` withdraws it.
 #pragma once
 
 #include <optional>
@@ -17,20 +18,23 @@
 
 inline constexpr char kServesByte = 'r';
 
+// An override that operators have set or withdrawn.
 struct OverrideMessage {
   StoredOverride stored;
   OverrideAction action = OverrideAction::kSet;
 };
 
-// A line that has the sign of an override message and no override behind it.
+// A line that starts with the sign of an override message but has no valid stored form after it, such as an
+// override of a later release.
 struct UnknownOverride {
   std::string text;  // without the sign
 };
 
-// With the end of line.
+// The message as a line, with the newline.
 std::string ToLine(const OverrideMessage& message);
 
-// `line`: without its end. Nothing for a line that has no sign: later releases may send others.
+// Parses a line without its newline. Returns nullopt if it does not start with a sign: later releases may
+// send other messages, which are ignored.
 std::optional<std::variant<OverrideMessage, UnknownOverride>> ParseLine(const std::string& line);
 
 }  // namespace lb::sidecar
--- a/sidecar/log.h
+++ b/sidecar/log.h
@@ -1,7 +1,7 @@
-// Lines for the people on call, on standard error where no other stream is given.
+// The log for operators, written to standard error unless another stream is given.
 //
-// A line is an event name and its fields: `upstream_ejected upstream=s-5be2 failures=5 duration_ms=1000`. The
-// names and what to do about each are listed in docs/operations.md.
+// A line consists of an event name and its fields: `upstream_ejected upstream=s-5be2 failures=5
+// duration_ms=1000`. docs/operations.md lists the event names and how to react to each.
 #pragma once
 
 #include <algorithm>
@@ -22,10 +22,11 @@
 // One event and its fields, in the order in which they were added.
 class LogEvent {
  public:
-  // `name`: lower case, words joined by underscores.
+  // `name`: in lower case, words joined by underscores.
   explicit LogEvent(std::string_view name) : text_(name) {}
 
-  // A value with spaces, quotes, equals signs or control characters, or without any character, is quoted.
+  // Adds a field. The value is quoted if it is empty or contains spaces, quotes, equals signs, backslashes or
+  // control characters.
   LogEvent& With(std::string_view key, std::string_view value) {
     text_ += ' ';
     text_ += key;
@@ -50,7 +51,7 @@
     return value.empty();
   }
 
-  // Control characters become spaces: a line stays one line.
+  // Replaces control characters by spaces, so that an event never spans several lines.
   static std::string Quoted(std::string_view value) {
     std::string quoted = "\"";
     for (const char c : value) {
@@ -63,43 +64,45 @@
   std::string text_;
 };
 
-// Bounded, whatever happens: a fault that repeats must not fill the disk. Past a burst of lines only a few a
-// second go out, and the next one says how many did not.
+// Writes log lines at a limited rate, so that a recurring fault cannot fill the disk. Up to kBurstLines lines
+// are written at once; beyond that, kLinesPerSecond lines a second. The next line that is written after lines
+// were dropped is preceded by a line with their number.
 class Logger {
  public:
-  // `out` has to outlive the logger.
+  // Each line starts with `name`. `out` has to outlive the logger.
   explicit Logger(std::string name, std::ostream* out = &std::cerr) : name_(std::move(name)), out_(*out) {}
 
   void Write(const LogEvent& event) { Line(event.text()); }
 
-  // A line that is not an event, cut after kLongest characters.
+  // Writes a line that is not a LogEvent, truncated to kMaxLineLength characters.
   void Line(const std::string& text) {
     const TimePoint now = Now();
-    const double passed = std::chrono::duration<double>(now - refilled_).count();
-    allowed_ = std::min(kBurst, allowed_ + passed * kPerSecond);
-    refilled_ = now;
-    if (allowed_ < 1) {
-      ++dropped_;
+    const double elapsed_s = std::chrono::duration<double>(now - last_refill_).count();
+    allowed_lines_ = std::min(kBurstLines, allowed_lines_ + elapsed_s * kLinesPerSecond);
+    last_refill_ = now;
+    if (allowed_lines_ < 1) {
+      ++dropped_lines_;
       return;
     }
-    allowed_ -= 1;
-    if (dropped_ > 0) {
-      out_ << name_ << ": " << LogEvent(log_events::kLogLinesDropped).With("count", dropped_).text() << '\n';
-      dropped_ = 0;
+    allowed_lines_ -= 1;
+    if (dropped_lines_ > 0) {
+      out_ << name_ << ": " << LogEvent(log_events::kLogLinesDropped).With("count", dropped_lines_).text()
+           << '\n';
+      dropped_lines_ = 0;
     }
-    out_ << name_ << ": " << text.substr(0, kLongest) << std::endl;
+    out_ << name_ << ": " << text.substr(0, kMaxLineLength) << std::endl;
   }
 
  private:
-  static constexpr double kBurst = 100;         // lines
-  static constexpr double kPerSecond = 5;       // lines
-  static constexpr std::size_t kLongest = 500;  // characters
+  static constexpr double kBurstLines = 100;
+  static constexpr double kLinesPerSecond = 5;
+  static constexpr std::size_t kMaxLineLength = 500;  // characters, without the name
 
   const std::string name_;
   std::ostream& out_;
-  double allowed_ = kBurst;
-  TimePoint refilled_ = Now();
-  std::uint64_t dropped_ = 0;
+  double allowed_lines_ = kBurstLines;  // that can be written now
+  TimePoint last_refill_ = Now();
+  std::uint64_t dropped_lines_ = 0;
 };
 
 }  // namespace lb::sidecar
--- a/sidecar/log_events.h
+++ b/sidecar/log_events.h
@@ -1,12 +1,12 @@
-// The names of the log events. docs/operations.md lists each with what to do about it; a test compares the
-// two lists, and that no other file spells a name.
+// The names of the log events. docs/operations.md lists each name and how to react to it. A test checks that
+// both lists are the same and that other files use these constants instead of literals.
 #pragma once
 
 #include <string_view>
 
 namespace lb::sidecar::log_events {
 
-// Start, configuration, end.
+// The process and its configuration.
 inline constexpr std::string_view kListening = "listening";
 inline constexpr std::string_view kAdminListening = "admin_listening";
 inline constexpr std::string_view kStartFailed = "start_failed";
@@ -48,7 +48,8 @@
 inline constexpr std::string_view kHotRestartListenFailed = "hot_restart_listen_failed";
 inline constexpr std::string_view kHotRestartListenRecovered = "hot_restart_listen_recovered";
 
-// Of the decision module, which writes them itself: balancer/ knows nothing of this folder.
+// Events of the decision module. balancer/ must not depend on sidecar/ and has literals of its own; the names
+// are repeated here for the comparison with docs/operations.md.
 inline constexpr std::string_view kBalancerEvents[] = {"upstream_ejected", "upstream_readmitted",
                                                        "shedding_started", "shedding_stopped"};
 
--- a/sidecar/main.cpp
+++ b/sidecar/main.cpp
@@ -1,4 +1,4 @@
-// lb-sidecar: the sidecar's process. Start, signals and exit code.
+// The main program of lb-sidecar: start-up, signal handling and exit code.
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
 #include <boost/system/system_error.hpp>
@@ -22,7 +22,8 @@
   return lb::LoadConfig([](const char* name) { return std::getenv(name); });
 }
 
-// SIGHUP: a configuration with an error is logged, and the old one stays.
+// Reloads the configuration on SIGHUP. If it is invalid, the error is logged and the previous one stays in
+// effect.
 void ReloadOnSignal(boost::asio::signal_set& signals, lb::sidecar::Sidecar& sidecar) {
   signals.async_wait([&](const boost::system::error_code& error, int /*signal*/) {
     if (error) return;
@@ -35,7 +36,7 @@
   });
 }
 
-// SIGTERM, SIGINT: graceful shutdown, at whose end the event loop stops.
+// Starts a graceful shutdown on SIGTERM or SIGINT; the event loop stops when the shutdown is complete.
 void ShutDownOnSignal(boost::asio::signal_set& signals, lb::sidecar::Sidecar& sidecar,
                       boost::asio::io_context& io) {
   signals.async_wait([&](const boost::system::error_code& error, int /*signal*/) {
@@ -56,7 +57,8 @@
   }
 }
 
-// An exception ends the step of one connection that threw it, and not the others.
+// Runs the event loop. An exception ends only the event handler that threw it; the loop then continues with
+// the other connections' handlers.
 void RunUntilStopped(boost::asio::io_context& io, lb::sidecar::Logger& log) {
   while (!io.stopped()) {
     try {
@@ -69,8 +71,8 @@
 
 void RunSidecar() {
   boost::asio::io_context io(1);
-  // Ahead of all that a signal could cut short: one that comes during the start waits until the start is
-  // over.
+  // Registered before anything else, so that a signal during start-up does not kill the process but is
+  // handled once start-up is complete.
   boost::asio::signal_set reload(io, SIGHUP);
   boost::asio::signal_set stop(io, SIGTERM, SIGINT);
   const lb::Config config = LoadConfig();
@@ -81,7 +83,8 @@
   RunUntilStopped(io, sidecar.log());
 }
 
-// Ahead of any sidecar's name: the configuration that has the name may be what is at fault.
+// Logs under the program's name: the sidecar's name is part of the configuration, which may be what failed to
+// load.
 void LogStartFailure(const std::string& error) {
   lb::sidecar::Logger("lb-sidecar").Write(LogEvent(log_events::kStartFailed).With("error", error));
 }
@@ -89,13 +92,13 @@
 }  // namespace
 
 int main() {
-  // A write to a connection that its peer has closed is an error of that write.
+  // A write to a connection that its peer has closed then fails with EPIPE instead of ending the process.
   std::signal(SIGPIPE, SIG_IGN);
   try {
     RunSidecar();
     return 0;
   } catch (const boost::system::system_error& e) {
-    // Binding LB_LISTEN is what fails so: the admin interface's address has an error of its own.
+    // Thrown if binding LB_LISTEN fails; a failure to bind LB_ADMIN is reported as a ConfigError.
     LogStartFailure(std::string("LB_LISTEN ") + std::getenv("LB_LISTEN") + ": " + e.what());
   } catch (const std::exception& e) {
     LogStartFailure(e.what());
--- a/sidecar/neighbour_process.cpp
+++ b/sidecar/neighbour_process.cpp
@@ -12,9 +12,9 @@
 
 using boost::system::error_code;
 
-// Bounds what is held of a line that does not end, in bytes. An override's stored form and its sign are
-// shorter.
-constexpr std::size_t kMaxLineLength = std::size_t{128} * 1024;
+// Limits the bytes that are kept of a line without a newline; the rest of the line is dropped. An override's
+// stored form with its sign is shorter.
+constexpr std::size_t kMaxLineBytes = std::size_t{128} * 1024;
 
 }  // namespace
 
@@ -24,7 +24,7 @@
 }
 
 void NeighbourProcess::Send(const std::string& text) {
-  if (closed_ || unsent_.size() + text.size() > kMaxUnsent) return;
+  if (closed_ || unsent_.size() + text.size() > kMaxUnsentBytes) return;
   unsent_ += text;
   if (sending_.empty()) Write();
 }
@@ -36,7 +36,7 @@
 }
 
 void NeighbourProcess::Read() {
-  socket_.async_read_some(boost::asio::buffer(part_),
+  socket_.async_read_some(boost::asio::buffer(read_buffer_),
                           [self = shared_from_this()](error_code error, std::size_t size) {
                             if (self->closed_) return;
                             if (error) return self->handlers_.on_closed();
@@ -47,15 +47,15 @@
 
 void NeighbourProcess::HandleBytes(std::size_t size) {
   for (std::size_t i = 0; i < size && !closed_; ++i) {
-    const char c = part_[i];
-    if (line_.empty() && c == kServesByte) {
+    const char c = read_buffer_[i];
+    if (partial_line_.empty() && c == kServesByte) {
       handlers_.on_serves();
     } else if (c == '\n') {
-      const std::string line = std::move(line_);
-      line_.clear();
+      const std::string line = std::move(partial_line_);
+      partial_line_.clear();
       handlers_.on_line(line);
-    } else if (line_.size() < kMaxLineLength) {
-      line_ += c;
+    } else if (partial_line_.size() < kMaxLineBytes) {
+      partial_line_ += c;
     }
   }
 }
--- a/sidecar/neighbour_process.h
+++ b/sidecar/neighbour_process.h
@@ -1,5 +1,5 @@
-// The connection to the process before this one in a hot restart, or to the next one: messages that come, and
-// lines that wait to be sent.
+// The connection to a neighbour in a hot restart, which is the previous or the next process: splits the
+// received bytes into messages, and queues lines to be sent.
 #pragma once
 
 #include <array>
@@ -17,18 +17,19 @@
   using Socket = boost::asio::local::stream_protocol::socket;
 
   struct Handlers {
-    std::function<void()> on_serves;                  // kServesByte has come
-    std::function<void(const std::string&)> on_line;  // without its end
-    std::function<void()> on_closed;                  // the process has ended; the last call
+    std::function<void()> on_serves;                  // kServesByte was received
+    std::function<void(const std::string&)> on_line;  // without the newline
+    std::function<void()> on_closed;                  // the process has ended; no calls after this one
   };
 
-  // Bounds what is held for a process that reads nothing, in bytes. What is beyond is dropped.
-  static constexpr std::size_t kMaxUnsent = std::size_t{1024} * 1024;
+  // Limits the text, in bytes, that is queued for a process that does not read. Send() drops text beyond it.
+  static constexpr std::size_t kMaxUnsentBytes = std::size_t{1024} * 1024;
 
   explicit NeighbourProcess(Socket socket) : socket_(std::move(socket)) {}
 
-  // Reads from now on. No handler is called once Close() was.
+  // Starts reading and calling `handlers`; no handler is called after Close().
   void Watch(Handlers handlers);
+  // Queues `text` without blocking. Errors are ignored: the end of the process is reported by `on_closed`.
   void Send(const std::string& text);
   void Close();
   int native_handle() { return socket_.native_handle(); }
@@ -40,10 +41,10 @@
 
   Socket socket_;
   Handlers handlers_;
-  std::array<char, 4096> part_{};
-  std::string line_;     // what has come of a line
-  std::string unsent_;   // waits for the write that is under way
-  std::string sending_;  // is being written; empty where no write is under way
+  std::array<char, 4096> read_buffer_{};
+  std::string partial_line_;  // the received part of a line
+  std::string unsent_;        // to be written after `sending_`
+  std::string sending_;       // being written; empty if no write is in progress
   bool closed_ = false;
 };
 
--- a/sidecar/operator_control.cpp
+++ b/sidecar/operator_control.cpp
@@ -91,7 +91,8 @@
   targets_.listener.SetConnectionDraining(state.draining);
 }
 
-// The balancer handles the override before the ends of attempts that follow from it.
+// The balancer has to handle the override before the ends of attempts that disabling the upstream causes.
+// EventHold keeps all of them queued, in this order, until both calls are made.
 void OperatorControl::ApplyOverride(const std::string& upstream, bool disabled) {
   const auto event = disabled ? log_events::kUpstreamDisabled : log_events::kUpstreamEnabled;
   targets_.log.Write(LogEvent(event).With("upstream", upstream));
--- a/sidecar/operator_control.h
+++ b/sidecar/operator_control.h
@@ -1,6 +1,5 @@
-// What operators ask of this sidecar: executes the commands of the admin interface and applies the operator
-// state, whichever process of the sidecar was told it, to the balancer, the upstream connections and the
-// listener.
+// Executes the commands of the admin interface, and applies the operator state to the balancer, the upstream
+// connections and the listener, including the changes that another process of the sidecar received.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -24,19 +23,19 @@
 
 class OperatorControl {
  public:
-  // What the operator state is applied to. All have to outlive the control.
+  // The components to which the operator state is applied. All have to outlive the OperatorControl.
   struct Targets {
     BalancerHost& host;
     Upstreams& upstreams;
     Listener& listener;
     Logger& log;
   };
-  // The sidecar's state but for `draining`, which is the operators'.
+  // Returns the sidecar's state without `draining`, which is part of the operator state.
   using GetServingState = std::function<ServingState()>;
 
-  // Applies what is stored in `folder` (empty: nothing is stored), then binds and listens at `endpoint`;
-  // throws ConfigError where that fails. `on_override` is called with each override that operators set at
-  // this process.
+  // Applies the operator state stored in `folder` (empty: the state is only kept in memory), then binds and
+  // listens at `endpoint`; throws ConfigError if binding fails. `on_override` is called with each override
+  // that operators set or withdraw through this process.
   OperatorControl(boost::asio::io_context& io, const Endpoint& endpoint, const std::string& folder,
                   const Targets& targets, GetServingState get_serving_state,
                   OperatorStateStore::OnOverride on_override);
@@ -52,19 +51,21 @@
   AdminReply Execute(const StopDraining& command);
   AdminReply Execute(const QueryReadiness& command) const;
   AdminReply DrainingReply() const;
-  // A command holds from now on; where it will not outlast this process its reply says so.
+  // The reply to a command, which is already in effect. Includes the reason if the operator state is not
+  // stored and would not outlast this process.
   AdminReply Reply(AdminStatus status, const std::string& text) const;
-  // An upstream that has left the endpoint list can still be enabled.
+  // True for upstreams in the endpoint list, and for disabled ones that have left it: these can still be
+  // enabled.
   bool IsKnown(const std::string& upstream) const;
   void ApplyOperatorState(const OperatorState& state);
   void ApplyOverride(const std::string& upstream, bool disabled);
 
   const Targets targets_;
   const GetServingState get_serving_state_;
-  std::set<std::string> disabled_;  // the upstreams that the balancer and the connections know to be disabled
+  std::set<std::string> disabled_;  // upstream ids; as last applied to the targets
   OperatorStateStore store_;
-  std::optional<AdminInterface>
-      admin_;  // always there once constructed; last, as its calls reach all the others
+  // Has a value once constructed. Declared last: its requests use all other members.
+  std::optional<AdminInterface> admin_;
 };
 
 }  // namespace lb::sidecar
--- a/sidecar/operator_state.cpp
+++ b/sidecar/operator_state.cpp
@@ -13,18 +13,19 @@
 
 using std::chrono::milliseconds;
 
-// How often the folder is read. The other process has to act on a command well within the second that
-// operators allow.
+// Time between reads of the folder. A command given to one process has to take effect in the other well
+// within one second, which is what operators allow.
 constexpr Duration kReadInterval = milliseconds(100);
-// An override that another process was told is likely to be stored by it within this time, so that the next
-// read finds it there.
-constexpr Duration kNeighbourWriteTime = milliseconds(250);
+// Delay before this process stores an override that it received from another process. Usually the other
+// process has stored it by then, and a read has found it in the folder.
+constexpr Duration kNeighbourWriteDelay = milliseconds(250);
 constexpr Duration kMaxBackoff = milliseconds(1000);
-// At the start a folder that fails for a moment is waited for: there is nothing to serve yet.
-constexpr std::array kStartupRetries = {milliseconds(20), milliseconds(40), milliseconds(80),
-                                        milliseconds(160)};
-// How many overrides are stored at a time: each may take two syncs, which block.
-constexpr int kMaxWritesAtOnce = 8;
+// Pauses between attempts to read the folder at start-up. Blocking for so long is acceptable: the process
+// does not serve requests yet.
+constexpr std::array kStartupRetryPauses = {milliseconds(20), milliseconds(40), milliseconds(80),
+                                            milliseconds(160)};
+// Limits the overrides that are written in one go, because each write may block for two syncs.
+constexpr int kMaxWritesPerRound = 8;
 
 Duration NextBackoff(Duration backoff) {
   return std::clamp<Duration>(2 * backoff, kReadInterval, kMaxBackoff);
@@ -32,7 +33,7 @@
 
 }  // namespace
 
-void OperatorStateStore::RepeatedTask::CountResult(bool failed) {
+void OperatorStateStore::RepeatedTask::UpdateBackoff(bool failed) {
   backoff = failed ? NextBackoff(backoff) : Duration::zero();
 }
 
@@ -44,10 +45,10 @@
       on_override_(std::move(on_override)),
       read_(io),
       write_(io),
-      finish_timer_(io) {
-  if (!folder_.exists()) return;
+      flush_timer_(io) {
+  if (!folder_.configured()) return;
   std::error_code error = ReadFolder();
-  for (const auto pause : kStartupRetries) {
+  for (const auto pause : kStartupRetryPauses) {
     if (!error || error == std::errc::not_a_directory || error == std::errc::permission_denied) break;
     std::this_thread::sleep_for(pause);
     error = ReadFolder();
@@ -69,20 +70,21 @@
   SetOverride(StoredOverride::Draining(), OverrideAction::kWithdraw);
 }
 
-bool OperatorStateStore::Holds(const StoredOverride& stored) const {
+bool OperatorStateStore::IsInEffect(const StoredOverride& stored) const {
   const auto pending = pending_.find(stored);
   if (pending != pending_.end()) return pending->second.action == OverrideAction::kSet;
   return stored_.contains(stored);
 }
 
-// The override holds at once, whatever becomes of the folder.
+// Applies the override at once, then tries to store it.
 void OperatorStateStore::SetOverride(const StoredOverride& stored, OverrideAction action) {
   const bool set = action == OverrideAction::kSet;
-  // What another process changed since the last read is not in `stored_` yet.
-  if (Holds(stored) == set && folder_.exists()) ReadFolder();
-  if (Holds(stored) == set && !read_.error) return;
+  // `stored_` may be out of date: another process may have changed the folder since the last read. So the
+  // folder is read again before the command is ignored as a repetition.
+  if (IsInEffect(stored) == set && folder_.configured()) ReadFolder();
+  if (IsInEffect(stored) == set && !read_.error) return;
   pending_[stored] = {action, false};
-  Publish();
+  UpdateState();
   on_override_(stored, action);
   if (TryWrite(stored, action)) return;
   write_.backoff = NextBackoff(write_.backoff);
@@ -93,9 +95,9 @@
   pending_.erase(stored);
   if (read_.error || stored_.contains(stored) != (action == OverrideAction::kSet)) {
     pending_[stored] = {action, true};
-    ScheduleWrite(kNeighbourWriteTime);
+    ScheduleWrite(kNeighbourWriteDelay);
   }
-  Publish();
+  UpdateState();
 }
 
 void OperatorStateStore::NotifyAll(const OnOverride& notify) const {
@@ -105,7 +107,7 @@
   for (const auto& [stored, write] : pending_) notify(stored, write.action);
 }
 
-void OperatorStateStore::Publish() {
+void OperatorStateStore::UpdateState() {
   OperatorState state;
   const auto add = [&state](const StoredOverride& stored) {
     if (stored.kind() == StoredOverride::Kind::kDraining) {
@@ -125,10 +127,10 @@
   on_change_(state_);
 }
 
-// ---- Writing ----
+// ---- Writing to the folder ----
 
 bool OperatorStateStore::TryWrite(const StoredOverride& stored, OverrideAction action) {
-  if (!folder_.exists()) return false;
+  if (!folder_.configured()) return false;
   const bool set = action == OverrideAction::kSet;
   const auto error = set ? folder_.Store(stored) : folder_.Remove(stored);
   if (error) {
@@ -154,11 +156,11 @@
   return true;
 }
 
-// Overrides are tried in turn, from where the last round ended: one that can't be stored must not hold up the
-// others.
+// Writes pending overrides in turn, starting after the one last tried, so that an override that cannot be
+// stored does not block the others.
 void OperatorStateStore::WritePending() {
   bool failed = false;
-  for (int i = 0; i < kMaxWritesAtOnce && !pending_.empty() && !failed; ++i) {
+  for (int i = 0; i < kMaxWritesPerRound && !pending_.empty() && !failed; ++i) {
     auto next = last_tried_ ? pending_.upper_bound(*last_tried_) : pending_.begin();
     if (next == pending_.end()) next = pending_.begin();
     // Copies: TryWrite() removes the entry.
@@ -167,26 +169,27 @@
     last_tried_ = stored;
     failed = !TryWrite(stored, action);
   }
-  write_.CountResult(failed);
+  write_.UpdateBackoff(failed);
   if (!pending_.empty()) return ScheduleWrite(std::max(write_.backoff, kReadInterval));
-  const auto on_finished = std::move(on_finished_);
-  on_finished_ = nullptr;
-  if (on_finished) on_finished();
+  const auto on_flushed = std::move(on_flushed_);
+  on_flushed_ = nullptr;
+  if (on_flushed) on_flushed();
 }
 
 void OperatorStateStore::ScheduleWrite(Duration wait) {
-  if (!folder_.exists()) return;
+  if (!folder_.configured()) return;
   write_.timer.expires_after(wait);
   write_.timer.async_wait([this](boost::system::error_code error) {
     if (!error) WritePending();
   });
 }
 
-// What another process stores as well is not reported before it was tried here.
+// Does not count overrides received from another process until this process has tried to store them: the
+// other process reports its own failures.
 std::string OperatorStateStore::StorageFault() const {
   const auto changes =
       std::ranges::count_if(pending_, [](const auto& pending) { return !pending.second.from_neighbour; });
-  if (!folder_.exists()) return changes == 0 ? "" : "not stored: there is no folder for it";
+  if (!folder_.configured()) return changes == 0 ? "" : "not stored: there is no folder for it";
   if (changes > 0) {
     return "not stored yet: " + std::to_string(changes) + (changes == 1 ? " change" : " changes") +
            (write_.error ? " (" + write_.error.message() + ")" : "");
@@ -194,23 +197,23 @@
   return read_.error ? "what is stored can't be read (" + read_.error.message() + ")" : "";
 }
 
-void OperatorStateStore::Finish(Duration timeout, std::function<void()> done) {
-  if (!folder_.exists() || pending_.empty()) return done();
-  on_finished_ = std::move(done);
-  finish_timer_.expires_after(timeout);
-  finish_timer_.async_wait([this](boost::system::error_code error) {
-    if (error || !on_finished_) return;
+void OperatorStateStore::Flush(Duration timeout, std::function<void()> done) {
+  if (!folder_.configured() || pending_.empty()) return done();
+  on_flushed_ = std::move(done);
+  flush_timer_.expires_after(timeout);
+  flush_timer_.async_wait([this](boost::system::error_code error) {
+    if (error || !on_flushed_) return;
     log_.Write(LogEvent(log_events::kStateLost).With("fault", StorageFault()));
-    const auto on_finished = std::move(on_finished_);
-    on_finished_ = nullptr;
-    on_finished();
+    const auto on_flushed = std::move(on_flushed_);
+    on_flushed_ = nullptr;
+    on_flushed();
   });
   WritePending();
 }
 
-// ---- Reading ----
+// ---- Reading the folder ----
 
-// What was last read stands until the folder is read whole again.
+// Keeps the last contents if the folder cannot be read completely.
 std::error_code OperatorStateStore::ReadFolder() {
   std::set<StoredOverride> overrides;
   auto error = folder_.ReadAll(overrides);
@@ -223,7 +226,7 @@
       const bool set = pending.second.action == OverrideAction::kSet;
       return pending.second.from_neighbour && set == stored_.contains(pending.first);
     });
-    Publish();
+    UpdateState();
   }
   if (read_.error != error) LogReadResult(error);
   read_.error = error;
@@ -237,7 +240,9 @@
   log_.Write(event);
 }
 
-// No operator removed what was in the folder: it is stored again. At the start there was nothing in it.
+// Stores the overrides again after the folder was deleted: withdrawing an override removes only its file, so
+// that the deletion was not an operator's command. If nothing was stored, a missing folder is the normal
+// state.
 void OperatorStateStore::RestoreVanishedFolder() {
   if (stored_.empty()) return;
   log_.Write(LogEvent(log_events::kStateFolderVanished).With("folder", folder_.path()));
@@ -250,7 +255,7 @@
   read_.timer.expires_after(wait);
   read_.timer.async_wait([this](boost::system::error_code error) {
     if (error) return;
-    read_.CountResult(static_cast<bool>(ReadFolder()));
+    read_.UpdateBackoff(static_cast<bool>(ReadFolder()));
     ScheduleRead(std::max(read_.backoff, kReadInterval));
   });
 }
--- a/sidecar/operator_state_folder.cpp
+++ b/sidecar/operator_state_folder.cpp
@@ -10,8 +10,8 @@
 namespace lb::sidecar {
 namespace {
 
-// Bounds the log lines about files that are not ours.
-constexpr std::size_t kMaxForeign = 16;
+// Limits the log lines about files that are not overrides.
+constexpr std::size_t kMaxLoggedForeignFiles = 16;
 
 }  // namespace
 
@@ -33,37 +33,38 @@
     } else if (IsLongFileName(name)) {
       if (const auto error = ReadLongFile(name, overrides)) return error;
     } else {
-      LogForeign(name);
+      LogForeignFile(name);
     }
   }
   return {};
 }
 
-// The name is a hash of the contents, so that each file is read once.
+// Adds the override in a file with a hashed name. The name depends on the contents, so that a file that was
+// read once need not be read again.
 std::error_code OperatorStateFolder::ReadLongFile(const std::string& name,
                                                   std::set<StoredOverride>& overrides) {
-  const auto known = long_files_.find(name);
-  if (known != long_files_.end()) {
+  const auto known = read_long_files_.find(name);
+  if (known != read_long_files_.end()) {
     overrides.insert(known->second);
     return {};
   }
-  if (foreign_.contains(name)) return {};
+  if (foreign_files_.contains(name)) return {};
   std::string contents;
   const auto error = folder_.Read(name, kMaxStoredFormSize, contents);
-  if (error == std::errc::no_such_file_or_directory) return {};  // removed just now
+  if (error == std::errc::no_such_file_or_directory) return {};  // removed since the folder was listed
   if (error && error != std::errc::file_too_large) return error;
   const auto stored = error ? std::nullopt : ParseStoredForm(contents);
   if (!stored || FileNameOf(*stored) != name) {
-    LogForeign(name);
+    LogForeignFile(name);
     return {};
   }
   overrides.insert(*stored);
-  long_files_.emplace(name, *stored);
+  read_long_files_.emplace(name, *stored);
   return {};
 }
 
-void OperatorStateFolder::LogForeign(const std::string& name) {
-  if (foreign_.size() < kMaxForeign && foreign_.insert(name).second) {
+void OperatorStateFolder::LogForeignFile(const std::string& name) {
+  if (foreign_files_.size() < kMaxLoggedForeignFiles && foreign_files_.insert(name).second) {
     log_.Write(LogEvent(log_events::kStateForeignFile).With("file", name));
   }
 }
--- a/sidecar/sidecar.cpp
+++ b/sidecar/sidecar.cpp
@@ -13,7 +13,7 @@
 namespace lb::sidecar {
 namespace {
 
-// The listening socket of the process before this one, if it listens where this one is to.
+// The listening socket of the previous process, if it is bound to `endpoint`; otherwise it is closed.
 std::optional<int> InheritListener(HotRestart& hot_restart, const Endpoint& endpoint) {
   const auto inherited = hot_restart.InheritListener();
   if (!inherited) return std::nullopt;
@@ -24,7 +24,8 @@
   return std::nullopt;
 }
 
-// The endpoint list of the configuration, as discovery last told it.
+// Parses `known`, the endpoint list that the configuration gives as last received from discovery. Null yields
+// an empty list.
 EndpointList ParseKnownList(const nlohmann::json& known, const UnixClock& clock) {
   EndpointList list;
   if (!known.is_null()) {
@@ -46,7 +47,7 @@
 std::string_view NeighbourEvent(const HotRestart& hot_restart) {
   if (hot_restart.next_serves()) return log_events::kHotRestartNextServes;
   if (hot_restart.has_next()) return log_events::kHotRestartNextConnected;
-  if (hot_restart.after_another()) return log_events::kHotRestartPreviousRuns;
+  if (hot_restart.has_previous()) return log_events::kHotRestartPreviousRuns;
   return log_events::kHotRestartOnlyProcess;
 }
 
@@ -96,12 +97,13 @@
           },
           [this] { return membership_.has_known_upstream(); }) {
   EndpointList known = ParseKnownList(config.known, unix_clock_);
-  // Without a list there is nothing that changes could be applied to: discovery is asked for the whole list.
+  // Without a restored list there is nothing to apply changes to, so that discovery is asked for the whole
+  // list: no revision is sent with the query.
   if (!known.locations.empty()) known_revision_ = known.revision;
   ApplyEndpointList(std::move(known));
-  // Polled membership is asked for by the balancer.
+  // Where membership is polled, the balancer starts the queries (see Subscribe()).
   if (!settings_.polled_membership) discovery_.Ask();
-  if (!hot_restart_.after_another()) listener_.Start();
+  if (!hot_restart_.has_previous()) listener_.Start();
   if (!config.admin) return;
   operators_.emplace(
       io, *config.admin, config.state_folder, OperatorControl::Targets{host_, upstreams_, listener_, log_},
@@ -109,7 +111,7 @@
       [this](const StoredOverride& stored, OverrideAction action) {
         hot_restart_.Notify({stored, action});
       });
-  descriptors_.SetShared(hot_restart_.after_another());
+  descriptors_.SetShared(hot_restart_.has_previous());
   first_list_timer_.expires_after(kFirstListTimeout);
   first_list_timer_.async_wait([this](boost::system::error_code error) {
     if (!error) ServeIfAble();
@@ -133,7 +135,7 @@
 
 void Sidecar::ServeIfAble() {
   if (!operators_ || serving_ || shutdown_.begun()) return;
-  if (hot_restart_.after_another() && WhyUnableToServe(GetServingState())) return;
+  if (hot_restart_.has_previous() && WhyUnableToServe(GetServingState())) return;
   serving_ = true;
   listener_.Start();
   hot_restart_.OfferListener(listener_.native_handle());
@@ -141,7 +143,7 @@
 
 void Sidecar::HandleNeighbourChange() {
   log_.Write(LogEvent(NeighbourEvent(hot_restart_)));
-  descriptors_.SetShared(hot_restart_.after_another() || hot_restart_.has_next());
+  descriptors_.SetShared(hot_restart_.has_previous() || hot_restart_.has_next());
   upstreams_.EnforceCapacity();
   ServeIfAble();
 }
@@ -151,12 +153,12 @@
   intake_.LimitDeadlines(last_response_by);
   listener_.ShutDown(hot_restart_.next_serves(), last_response_by, [this, done = std::move(done)] {
     if (!operators_) return done();
-    operators_->store().Finish(kStoreTimeout, done);
+    operators_->store().Flush(kStoreTimeout, done);
   });
 }
 
 void Sidecar::Reconfigure(const Config& config) {
-  // Checked like the rest of the file, though the list from discovery is newer.
+  // Validates the list as part of the configuration. It is not applied: the list from discovery is newer.
   ParseKnownList(config.known, unix_clock_);
   log_.Write(LogEvent(log_events::kConfigurationReloaded));
   membership_.ForgetService();
--- a/sidecar/sidecar.h
+++ b/sidecar/sidecar.h
@@ -1,5 +1,5 @@
-// The sidecar: puts its parts together and routes events between them. What a part decides or keeps is in the
-// part:
+// The sidecar: constructs its components and routes events between them. Decisions and state are in the
+// components:
 //   requests    RequestIntake, RequestTable, AttemptLauncher
 //   decisions   BalancerHost
 //   membership  DiscoveryClient, MembershipFollower
@@ -35,27 +35,29 @@
 
 namespace lb::sidecar {
 
-// One thread, that of its io_context, calls all members. The io_context must not run once the sidecar is
-// gone.
+// Not thread-safe: all members are called on the thread that runs the io_context. The io_context must not run
+// after the sidecar is destroyed.
 //
-// More than 15 data members: the parts are independent of each other, and this class is what holds them.
-// Their order is the order of their construction, each needing only earlier ones, and the reverse of their
-// destruction.
+// The class has more than 15 data members because it owns the components, which are independent of each
+// other. Each member depends only on members declared before it, so the declaration order is a valid order of
+// construction, and its reverse a valid order of destruction.
 class Sidecar : private ActionHandler {
  public:
-  // Starts at once: binds, hands the balancer the endpoint list of the configuration and asks discovery.
-  // Throws ConfigError or boost::system::system_error.
+  // Starts the sidecar: binds the listener, passes the endpoint list of the configuration to the balancer and
+  // queries discovery. Throws ConfigError if the configuration is invalid or the admin interface cannot bind,
+  // and boost::system::system_error if the listener cannot bind.
   Sidecar(boost::asio::io_context& io, const Config& config);
 
-  // Where clients and, if there is an admin interface, operators connect.
+  // The addresses to which clients connect and, if there is an admin interface, operators.
   Endpoint local() const { return listener_.local(); }
   std::optional<Endpoint> admin() const;
 
-  // Graceful shutdown. `done` is called once every accepted request has its response.
+  // Starts a graceful shutdown. Calls `done` once every accepted request has its response and the operator
+  // state is stored; it waits at most kStoreTimeout for the latter.
   void ShutDown(std::function<void()> done);
 
-  // The configuration was replaced: follows its `discovery`. The rest counts from the next start on. Throws
-  // ConfigError, and changes nothing then.
+  // Applies a replaced configuration: switches to its `discovery` address; the other settings take effect at
+  // the next start of the process. Throws ConfigError, in which case nothing is changed.
   void Reconfigure(const Config& config);
 
   Logger& log() { return log_; }
@@ -64,13 +66,14 @@
   ServingState GetServingState() const;
   void HandleEndpointList(EndpointList list);
   void ApplyEndpointList(EndpointList list);
-  // Accepts clients, once it can. A process that follows another leaves the clients to that one until it can
-  // serve them as well.
+  // Starts accepting clients and offers the listener to a next process, if this sidecar has an admin
+  // interface. While the previous process of a hot restart runs, this is put off until requests can be
+  // forwarded here, and the previous process alone accepts clients.
   void ServeIfAble();
-  // The other process of a hot restart has come, serves, or has gone.
+  // Called when the other process of a hot restart has connected, started to serve, or ended.
   void HandleNeighbourChange();
 
-  // What the balancer asks for.
+  // ActionHandler: actions requested by the balancer.
   void StartAttempt(const lb::SendAttempt& action) override { launcher_.StartAttempt(action); }
   void CancelAttempt(const lb::CancelAttempt& action) override { launcher_.CancelAttempt(action); }
   void RejectRequest(const lb::RejectRequest& action) override { intake_.RejectRequest(action); }
@@ -91,16 +94,16 @@
   MembershipFollower membership_;
   DiscoveryClient discovery_;
   std::optional<std::uint64_t>
-      known_revision_;  // of the list in the configuration, until discovery was asked
+      known_revision_;  // of the endpoint list in the configuration; sent with the first polled query only
   RequestTable requests_;
   AttemptLauncher launcher_;
   RequestIntake intake_;
   const TimePoint started_at_ = Now();
   boost::asio::steady_timer first_list_timer_;
-  bool serving_ = false;  // clients are accepted, also of a sidecar that can be hot restarted
+  bool serving_ = false;  // clients are accepted and a next process can take over; needs an admin interface
   GracefulShutdown shutdown_;
-  Listener listener_;                         // accepts requests once it is started
-  std::optional<OperatorControl> operators_;  // where there is an admin interface
+  Listener listener_;                         // accepts clients after Start()
+  std::optional<OperatorControl> operators_;  // empty if no admin interface is configured
 };
 
 }  // namespace lb::sidecar
--- a/sidecar/stored_override.cpp
+++ b/sidecar/stored_override.cpp
@@ -10,7 +10,8 @@
 constexpr std::string_view kDraining = "drained";
 constexpr std::string_view kDisabledPrefix = "out-";
 constexpr std::string_view kLongPrefix = "long-";
-// Names of files end at 255 bytes. Earlier releases stop at this length, too.
+// In bytes; the file system's limit is 255. Must not change: earlier releases look for longer stored forms in
+// `long-HASH` files.
 constexpr std::size_t kMaxFileNameLength = 244;
 
 std::string ToHex(const std::string& bytes) {
@@ -42,19 +43,20 @@
   return bytes;
 }
 
-// FNV-1a from the given start. Two hashes from different starts keep apart whatever ids a fleet has.
-std::uint64_t Hash(const std::string& text, std::uint64_t hash) {
+// 64-bit FNV-1a hash of `text` with the given initial value. Two hashes with different initial values
+// together make collisions among the ids of a fleet negligible.
+std::uint64_t Fnv1aHash(const std::string& text, std::uint64_t hash) {
   constexpr std::uint64_t kPrime = 1099511628211U;
   for (const char c : text) hash = (hash ^ static_cast<unsigned char>(c)) * kPrime;
   return hash;
 }
 
-// The same for each process, so that a file is found without a list.
+// Depends on the stored form only, so that every process finds the file of an override without an index.
 std::string LongFileName(const std::string& form) {
   std::array<char, 33> digits{};
   std::snprintf(digits.data(), digits.size(), "%016llx%016llx",
-                static_cast<unsigned long long>(Hash(form, 14695981039346656037U)),
-                static_cast<unsigned long long>(Hash(form, 1469598103934665603U)));
+                static_cast<unsigned long long>(Fnv1aHash(form, 14695981039346656037U)),
+                static_cast<unsigned long long>(Fnv1aHash(form, 1469598103934665603U)));
   return std::string(kLongPrefix) + digits.data();
 }
 
--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -1,5 +1,5 @@
-// The hand-over of the listening socket: what either process is told counts for both, whichever calls fail,
-// and wherever one of them ends or stands still.
+// Hot restart of lb-sidecar: passing the listening socket and exchanging overrides, also when system calls
+// fail and when one of the processes ends or hangs at any step.
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/local/stream_protocol.hpp>
 #include <cerrno>
@@ -19,34 +19,35 @@
 
 TEST_F(OperatorStateFaults, CommandsToEitherProcessApplyToBoth) {
   auto sidecar = Start();
-  ASSERT_TRUE(Ready(*sidecar));
-  ASSERT_EQ(Says(*sidecar, "POST", "/upstreams/disable/u1"), "200 u1 is out\n");
+  ASSERT_TRUE(BecomesReady(*sidecar));
+  ASSERT_EQ(SendCommand(*sidecar, "POST", "/upstreams/disable/u1"), "200 u1 is out\n");
   auto next = Start("127.0.0.1:" + std::to_string(sidecar->port()));
-  ASSERT_TRUE(Ready(*next));
-  ASSERT_TRUE(Logs(*next, "upstream_disabled upstream=u1\n"));
-  ASSERT_EQ(Says(*next, "POST", "/upstreams/enable/u1"), "200 u1 is back\n");
-  EXPECT_TRUE(Logs(*sidecar, "upstream_enabled upstream=u1\n"));
+  ASSERT_TRUE(BecomesReady(*next));
+  ASSERT_TRUE(EventuallyLogs(*next, "upstream_disabled upstream=u1\n"));
+  ASSERT_EQ(SendCommand(*next, "POST", "/upstreams/enable/u1"), "200 u1 is back\n");
+  EXPECT_TRUE(EventuallyLogs(*sidecar, "upstream_enabled upstream=u1\n"));
   EXPECT_FALSE(fs::exists(path_ + "/out-7531"));
-  ASSERT_EQ(Says(*sidecar, "POST", "/drain"), "200 clients are sent away\n");
+  ASSERT_EQ(SendCommand(*sidecar, "POST", "/drain"), "200 clients are sent away\n");
   EXPECT_TRUE(Eventually([&] { return next->Status("GET", "/ready") == 503; }));
 }
 
-// SIGTERM at each step: of the later process before it serves, of the earlier one before the later serves.
+// SIGTERM reaches the next process before it serves, and then the previous process before the next one
+// serves.
 TEST_F(OperatorStateFaults, EitherProcessMayEndAtAnyStepOfAHotRestart) {
   auto sidecar = Start();
-  ASSERT_TRUE(Ready(*sidecar));
+  ASSERT_TRUE(BecomesReady(*sidecar));
   const std::string listen = "127.0.0.1:" + std::to_string(sidecar->port());
-  discovery_.Set(Discovery::Mood::kSilent);  // the next one does not serve yet
+  discovery_.Set(Discovery::Mood::kSilent);  // without an endpoint list the next process does not serve yet
   {
-    auto never = Start(listen);
+    auto never_serving = Start(listen);
     ASSERT_TRUE(
         Eventually([&] { return sidecar->log().find("hot_restart_next_connected") != std::string::npos; }));
-    never->Signal(SIGTERM);
-    EXPECT_EQ(never->Wait(), 0);
+    never_serving->Signal(SIGTERM);
+    EXPECT_EQ(never_serving->Wait(), 0);
   }
-  EXPECT_TRUE(Logs(*sidecar, "hot_restart_only_process"));
-  Client still(sidecar->port());
-  EXPECT_TRUE(still.Get("/page/k", "a"));
+  EXPECT_TRUE(EventuallyLogs(*sidecar, "hot_restart_only_process"));
+  Client client_of_previous(sidecar->port());
+  EXPECT_TRUE(client_of_previous.Get("/page/k", "a"));
   auto next = Start(listen);
   ASSERT_TRUE(Eventually([&] {
     const auto text = sidecar->log();
@@ -55,91 +56,93 @@
   }));
   sidecar->Signal(SIGTERM);
   EXPECT_EQ(sidecar->Wait(), 0);
-  Client client(next->port());  // served once the process before has gone
-  const auto answer = client.Get("/page/k", "b");
-  ASSERT_TRUE(answer);
-  EXPECT_EQ(answer->result_int(), 200U);
+  Client client_of_next(next->port());  // served once the previous process has ended
+  const auto response = client_of_next.Get("/page/k", "b");
+  ASSERT_TRUE(response);
+  EXPECT_EQ(response->result_int(), 200U);
   next->Signal(SIGTERM);
   EXPECT_EQ(next->Wait(), 0);
 }
 
-struct HandOverRow {
+struct FaultCase {
   const char* name;
   SystemCall call;
   int error;
-  bool earlier;  // it meets the earlier process, else the later
+  bool in_previous;  // whether the call fails in the previous process; else in the next one
 };
 
-void PrintTo(const HandOverRow& row, std::ostream* out) { *out << row.name; }
+void PrintTo(const FaultCase& fault_case, std::ostream* out) { *out << fault_case.name; }
 
-class HotRestartFaults : public OperatorStateFaults, public ::testing::WithParamInterface<HandOverRow> {};
+class HotRestartFaults : public OperatorStateFaults, public ::testing::WithParamInterface<FaultCase> {};
 
-TEST_P(HotRestartFaults, ListenerIsInheritedAllTheSame) {
-  const auto& row = GetParam();
-  auto sidecar = Start("127.0.0.1:0", row.earlier);
-  ASSERT_TRUE(Ready(*sidecar));
+TEST_P(HotRestartFaults, ListenerIsInheritedNevertheless) {
+  const auto& fault_case = GetParam();
+  auto sidecar = Start("127.0.0.1:0", fault_case.in_previous);
+  ASSERT_TRUE(BecomesReady(*sidecar));
   const auto fault =
-      faults_.Force({.call = row.call,
-                     .error = row.error,
+      faults_.Force({.call = fault_case.call,
+                     .error = fault_case.error,
                      .times = 2,
-                     .on = row.call == SystemCall::kSocket ? Descriptor::kAny : Descriptor::kLocal});
-  auto next = Start("127.0.0.1:" + std::to_string(sidecar->port()), !row.earlier);
-  ASSERT_TRUE(Ready(*next));
+                     .on = fault_case.call == SystemCall::kSocket ? Descriptor::kAny : Descriptor::kLocal});
+  auto next = Start("127.0.0.1:" + std::to_string(sidecar->port()), !fault_case.in_previous);
+  ASSERT_TRUE(BecomesReady(*next));
   EXPECT_TRUE(faults_.WaitUntilForced(fault, 2));
   EXPECT_EQ(next->log().find("hot_restart_inherit_failed"), std::string::npos) << next->log();
-  EXPECT_TRUE(Logs(*sidecar, "hot_restart_next_serves"));
+  EXPECT_TRUE(EventuallyLogs(*sidecar, "hot_restart_next_serves"));
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Calls, HotRestartFaults,
-    ::testing::Values(HandOverRow{"AcceptInterrupted", SystemCall::kAccept, EINTR, true},
-                      HandOverRow{"AcceptAborted", SystemCall::kAccept, ECONNABORTED, true},
-                      HandOverRow{"AcceptNoMemory", SystemCall::kAccept, ENOMEM, true},
-                      HandOverRow{"AcceptNoDescriptor", SystemCall::kAccept, ENFILE, true},
-                      HandOverRow{"SendInterrupted", SystemCall::kWrite, EINTR, true},
-                      HandOverRow{"SendNoBuffer", SystemCall::kWrite, ENOBUFS, true},
-                      HandOverRow{"SocketNoDescriptor", SystemCall::kSocket, ENFILE, false},
-                      HandOverRow{"ConnectInterrupted", SystemCall::kConnect, EINTR, false},
-                      HandOverRow{"ConnectBacklogFull", SystemCall::kConnect, EAGAIN, false},
-                      HandOverRow{"ReceiveInterrupted", SystemCall::kRead, EINTR, false},
-                      HandOverRow{"ReceiveNoBuffer", SystemCall::kRead, ENOBUFS, false},
-                      HandOverRow{"PollInterrupted", SystemCall::kPoll, EINTR, false}),
-    [](const auto& row) { return std::string(row.param.name); });
+    ::testing::Values(FaultCase{"AcceptInterrupted", SystemCall::kAccept, EINTR, true},
+                      FaultCase{"AcceptAborted", SystemCall::kAccept, ECONNABORTED, true},
+                      FaultCase{"AcceptNoMemory", SystemCall::kAccept, ENOMEM, true},
+                      FaultCase{"AcceptNoDescriptor", SystemCall::kAccept, ENFILE, true},
+                      FaultCase{"SendInterrupted", SystemCall::kWrite, EINTR, true},
+                      FaultCase{"SendNoBuffer", SystemCall::kWrite, ENOBUFS, true},
+                      FaultCase{"SocketNoDescriptor", SystemCall::kSocket, ENFILE, false},
+                      FaultCase{"ConnectInterrupted", SystemCall::kConnect, EINTR, false},
+                      FaultCase{"ConnectBacklogFull", SystemCall::kConnect, EAGAIN, false},
+                      FaultCase{"ReceiveInterrupted", SystemCall::kRead, EINTR, false},
+                      FaultCase{"ReceiveNoBuffer", SystemCall::kRead, ENOBUFS, false},
+                      FaultCase{"PollInterrupted", SystemCall::kPoll, EINTR, false}),
+    [](const auto& param_info) { return std::string(param_info.param.name); });
 
-// One that connects and then stands still holds nobody up; nor does one that connects and goes, many times.
+// Next processes that connect and hang, or connect and end, several times in a row: the running
+// process still executes commands and passes its listener to a later next process.
 TEST_F(OperatorStateFaults, NextProcessThatHangsIsTolerated) {
   auto sidecar = Start();
-  ASSERT_TRUE(Ready(*sidecar));
+  ASSERT_TRUE(BecomesReady(*sidecar));
   boost::asio::io_context io;
   boost::asio::local::stream_protocol::socket hanging(io);
   for (int i = 0; i < 5; ++i) {
     hanging = boost::asio::local::stream_protocol::socket(io);
     hanging.connect(path_ + "/handover");
   }
-  EXPECT_EQ(Says(*sidecar, "POST", "/drain"), "200 clients are sent away\n");
+  EXPECT_EQ(SendCommand(*sidecar, "POST", "/drain"), "200 clients are sent away\n");
   auto next = Start("127.0.0.1:" + std::to_string(sidecar->port()));
-  EXPECT_TRUE(Logs(*sidecar, "hot_restart_next_serves"));
+  EXPECT_TRUE(EventuallyLogs(*sidecar, "hot_restart_next_serves"));
 }
 
-// The process before stands still with its backlog full: the next one goes on without it.
+// The previous process hangs and its backlog is full, so that connecting to it fails with EAGAIN: the next
+// process must start without it.
 TEST_F(OperatorStateFaults, PreviousProcessThatHangsIsNotWaitedForLong) {
   fs::create_directories(path_);
   boost::asio::io_context io;
   using Local = boost::asio::local::stream_protocol;
-  Local::acceptor before(io);
-  before.open();
-  before.bind(path_ + "/handover");
-  before.listen(0);
-  std::vector<Local::socket> waiting;
+  Local::acceptor previous_acceptor(io);
+  previous_acceptor.open();
+  previous_acceptor.bind(path_ + "/handover");
+  previous_acceptor.listen(0);
+  std::vector<Local::socket> queued;
   for (boost::system::error_code error; !error;) {
-    waiting.emplace_back(io);
-    waiting.back().open();
-    waiting.back().non_blocking(true);
-    waiting.back().connect(path_ + "/handover", error);
+    queued.emplace_back(io);
+    queued.back().open();
+    queued.back().non_blocking(true);
+    queued.back().connect(path_ + "/handover", error);
   }
   auto sidecar = Start();
-  EXPECT_TRUE(Ready(*sidecar));
-  EXPECT_TRUE(Logs(*sidecar, "hot_restart_inherit_failed"));
+  EXPECT_TRUE(BecomesReady(*sidecar));
+  EXPECT_TRUE(EventuallyLogs(*sidecar, "hot_restart_inherit_failed"));
 }
 
 std::string ProcessField(pid_t pid, const std::string& name) {
@@ -154,11 +157,12 @@
 }
 bool Sleeps(pid_t pid) { return ProcessField(pid, "State:\t").starts_with("S"); }
 
-// A signal that comes while the next process waits for the socket must not make it go on without.
+// Signals interrupt the system calls in which the next process waits for the listener. It must continue to
+// wait instead of starting with a listening socket of its own.
 TEST_F(OperatorStateFaults, SignalsDoNotEndTheWaitForTheListener) {
   fs::create_directories(path_);
   auto sidecar = Start();
-  ASSERT_TRUE(Ready(*sidecar));
+  ASSERT_TRUE(BecomesReady(*sidecar));
   sidecar->Pause();
   SidecarProcess::Options options = With(List({Target("u1", upstream_.address())}));
   options.admin = "127.0.0.1:0";
@@ -171,7 +175,7 @@
   sidecar->Signal(SIGCONT);
   ASSERT_TRUE(next.Listening());
   EXPECT_EQ(next.log().find("hot_restart_inherit_failed"), std::string::npos) << next.log();
-  EXPECT_TRUE(Logs(*sidecar, "hot_restart_next_serves"));
+  EXPECT_TRUE(EventuallyLogs(*sidecar, "hot_restart_next_serves"));
 }
 
 }  // namespace
--- a/tests/operator_state_fixture.h
+++ b/tests/operator_state_fixture.h
@@ -1,5 +1,5 @@
-// A process's store of what operators say, and the real program, with a folder of a test's own that can be
-// made to fail.
+// Fixtures for tests of the operator state: an OperatorStateStore alone, and lb-sidecar, each with a folder
+// of the test's own that can be made to fail.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -23,31 +23,33 @@
 
 using Ids = std::set<std::string>;
 
-// One process of a sidecar, as far as its store goes.
+// Stands for one process of a sidecar: an OperatorStateStore with its event loop and log.
 struct Process {
   explicit Process(const std::string& folder)
       : store(
             io, folder, log, [](const OperatorState&) {},
             [this](const StoredOverride& stored, OverrideAction action) {
-              said.emplace_back(ToStoredForm(stored), action == OverrideAction::kSet);
+              sent_overrides.emplace_back(ToStoredForm(stored), action == OverrideAction::kSet);
             }) {}
 
   const Ids& disabled() const { return store.state().disabled; }
-  // Lets it run until `condition` holds, far longer than that should take.
+  // Runs the event loop until `condition` holds, for at most 20 s, which is far longer than expected. Returns
+  // whether it holds.
   bool Eventually(const std::function<bool()>& condition) {
     const auto until = std::chrono::steady_clock::now() + std::chrono::seconds(20);
     while (!condition() && std::chrono::steady_clock::now() < until)
       io.run_one_for(std::chrono::milliseconds(50));
     return condition();
   }
-  bool Stores() {
+  bool WaitUntilStored() {
     return Eventually([this] { return store.StorageFault().empty(); });
   }
 
   boost::asio::io_context io;
   std::ostringstream text;
   Logger log{"t", &text};
-  std::vector<std::pair<std::string, bool>> said;
+  std::vector<std::pair<std::string, bool>>
+      sent_overrides;  // the calls of `on_override`: stored form, set or withdrawn
   OperatorStateStore store;
 };
 
@@ -59,16 +61,16 @@
       names.insert(entry.path().filename());
     return names;
   }
-  void Touch(const std::string& name, const std::string& contents = "") {
+  void WriteFile(const std::string& name, const std::string& contents = "") {
     std::filesystem::create_directories(path_);
     std::ofstream(path_ + "/" + name) << contents;
   }
-  // The folder fails in each call: a file has its name.
-  void Break() {
+  // Makes each access to the folder fail: a file takes its place.
+  void BreakFolder() {
     if (std::filesystem::exists(path_)) std::filesystem::rename(path_, path_ + ".away");
     std::ofstream(path_) << "x";
   }
-  void Mend() {
+  void RepairFolder() {
     std::filesystem::remove(path_);
     if (std::filesystem::exists(path_ + ".away")) std::filesystem::rename(path_ + ".away", path_);
   }
@@ -79,7 +81,8 @@
 
 class OperatorStateFaults : public OperatorStateTest {
  protected:
-  // `faulty`: meets the faults that are forced.
+  // Starts lb-sidecar with the folder and an admin interface, and waits until it listens. `faulty`: faults
+  // forced through `faults_` take effect in it.
   std::unique_ptr<SidecarProcess> Start(const std::string& listen = "127.0.0.1:0", bool faulty = false) {
     SidecarProcess::Options options =
         With(List({Target("u1", upstream_.address()), Target(kLongId, upstream_.address())}));
@@ -92,18 +95,21 @@
     EXPECT_TRUE(sidecar->Listening());
     return sidecar;
   }
-  static std::string Says(SidecarProcess& sidecar, const std::string& method, const std::string& target) {
-    const auto answer = sidecar.Operate(method, target);
-    return answer ? std::to_string(answer->result_int()) + " " + answer->body() : "nothing\n";
+  // Sends a command to the admin interface and returns the status and the body of the response.
+  static std::string SendCommand(SidecarProcess& sidecar, const std::string& method,
+                                 const std::string& target) {
+    const auto response = sidecar.Operate(method, target);
+    return response ? std::to_string(response->result_int()) + " " + response->body() : "no response\n";
   }
-  static bool Ready(SidecarProcess& sidecar) {
+  static bool BecomesReady(SidecarProcess& sidecar) {
     return Eventually([&] { return sidecar.Status("GET", "/ready") == 200; });
   }
 
-  bool IsOut(SidecarProcess& sidecar, const std::string& id) {
-    return Logs(sidecar, "upstream_disabled upstream=" + id + "\n");
+  bool LogsDisabled(SidecarProcess& sidecar, const std::string& id) {
+    return EventuallyLogs(sidecar, "upstream_disabled upstream=" + id + "\n");
   }
-  static bool Logs(SidecarProcess& sidecar, const std::string& text) {
+  // Waits until the log contains `text`; false if it does not in time.
+  static bool EventuallyLogs(SidecarProcess& sidecar, const std::string& text) {
     return Eventually([&] { return sidecar.log().find(text) != std::string::npos; });
   }
 
--- a/tests/operator_state_test.cpp
+++ b/tests/operator_state_test.cpp
@@ -1,4 +1,5 @@
-// What operators said, kept in a folder that fails, vanishes or holds half-made files.
+// The operator state store with a folder that fails, is deleted or contains incomplete files: first the store
+// alone, then lb-sidecar with forced failures of its system calls.
 #include "sidecar/operator_state.h"
 
 #include <cerrno>
@@ -29,9 +30,9 @@
     Process first(path_), other(path_);
     first.store.Disable(id);
     EXPECT_EQ(first.store.StorageFault(), "");
-    EXPECT_EQ(Files().size(), 1U) << "nothing half-made stays";
+    EXPECT_EQ(Files().size(), 1U) << "a temporary file is left";
     const auto size = fs::file_size(path_ + "/" + *Files().begin());
-    EXPECT_EQ(size == 0, id.size() <= 120) << "as earlier versions have it, where it fits";
+    EXPECT_EQ(size == 0, id.size() <= 120) << "short ids are stored in the file name, as in earlier releases";
     EXPECT_EQ(Process(path_).disabled(), Ids{id});
     EXPECT_TRUE(other.Eventually([&] { return other.disabled() == Ids{id}; }));
     other.store.Enable(id);
@@ -41,11 +42,11 @@
 }
 
 TEST_F(OperatorStateTest, IgnoresTemporaryAndForeignFiles) {
-  Touch("out-7531");  // of an earlier version
-  Touch("tmp-1-2-3", "out-7532");
-  Touch("long-0123", "out-7533");
-  Touch("out-7z");
-  Touch("handover");
+  WriteFile("out-7531");  // as written by an earlier release
+  WriteFile("tmp-1-2-3", "out-7532");
+  WriteFile("long-0123", "out-7533");
+  WriteFile("out-7z");
+  WriteFile("handover");
   const Process process(path_);
   EXPECT_EQ(process.disabled(), Ids{"u1"});
   EXPECT_NE(process.text.str().find("operator_state_foreign_file file=out-7z\n"), std::string::npos);
@@ -53,30 +54,30 @@
   EXPECT_EQ(process.text.str().find("tmp-"), std::string::npos);
 }
 
-TEST_F(OperatorStateTest, StoresLaterWhatTheFolderRefused) {
+TEST_F(OperatorStateTest, RetriesFailedWrites) {
   Process process(path_);
   process.store.Disable("before");
   process.store.StartDraining();
-  Break();
+  BreakFolder();
   process.store.Disable("during");
   process.store.Enable("before");
   process.store.StopDraining();
   process.store.StartDraining();
-  EXPECT_EQ(process.disabled(), Ids{"during"}) << "it holds here all the same";
+  EXPECT_EQ(process.disabled(), Ids{"during"}) << "not in effect in this process";
   EXPECT_NE(process.store.StorageFault().find("not stored yet: 3 changes"), std::string::npos)
       << process.store.StorageFault();
   EXPECT_TRUE(process.Eventually(
       [&] { return process.text.str().find("operator_state_read_failed") != std::string::npos; }));
-  EXPECT_EQ(process.disabled(), Ids{"during"}) << "a failed look changes nothing";
+  EXPECT_EQ(process.disabled(), Ids{"during"}) << "a failed read changed the state";
   EXPECT_TRUE(process.store.state().draining);
-  Mend();
-  ASSERT_TRUE(process.Stores()) << process.store.StorageFault();
+  RepairFolder();
+  ASSERT_TRUE(process.WaitUntilStored()) << process.store.StorageFault();
   const Process next(path_);
-  EXPECT_EQ(next.disabled(), Ids{"during"}) << "what was withdrawn does not come back";
+  EXPECT_EQ(next.disabled(), Ids{"during"}) << "a withdrawn override has come back";
   EXPECT_TRUE(next.store.state().draining);
 }
 
-TEST_F(OperatorStateTest, RestoresAFolderThatVanished) {
+TEST_F(OperatorStateTest, RestoresADeletedFolder) {
   Process process(path_);
   process.store.Disable("u1");
   process.store.Disable(std::string(300, 'x'));
@@ -86,7 +87,8 @@
   EXPECT_EQ(Process(path_).disabled(), process.disabled());
 }
 
-// Where the two can't tell each other: the later call goes before what was last seen of the earlier one.
+// Two processes without a connection to each other. A command has to read the folder first: an override that
+// the other process has just stored is not in the contents as last read, and the command would be ignored.
 TEST_F(OperatorStateTest, RemovesWhatAnotherProcessJustStored) {
   Process first(path_), other(path_);
   first.store.Disable("u1");
@@ -106,185 +108,189 @@
   EXPECT_NE(process.store.StorageFault().find("no folder"), std::string::npos);
 }
 
-// What another process says counts before it is in the folder, whichever was read there.
-TEST_F(OperatorStateTest, PrefersTheOtherProcessToTheFolder) {
-  Touch("out-7531");
-  Touch("drained");
+// Overrides received from another process take precedence over the contents of the folder until the folder
+// shows them, and this process stores them if the other one does not.
+TEST_F(OperatorStateTest, PrefersTheOtherProcessOverTheFolder) {
+  WriteFile("out-7531");
+  WriteFile("drained");
   Process process(path_);
   for (const char* line : {"-out-7531", "+out-7532", "+drained"}) {
     const auto message = ParseLine(line);
     ASSERT_TRUE(message);
-    const auto& told = std::get<OverrideMessage>(*message);
-    process.store.HandleOverrideFromNeighbour(told.stored, told.action);
+    const auto& sent_message = std::get<OverrideMessage>(*message);
+    process.store.HandleOverrideFromNeighbour(sent_message.stored, sent_message.action);
   }
   EXPECT_EQ(process.disabled(), Ids{"u2"});
   const std::set<std::string> stored = {"out-7532", "drained"};
-  EXPECT_TRUE(process.Eventually([&] { return Files() == stored; })) << "if the other could not";
-  EXPECT_TRUE(process.said.empty()) << "the other knows";
+  EXPECT_TRUE(process.Eventually([&] { return Files() == stored; }))
+      << "not stored in place of the other process";
+  EXPECT_TRUE(process.sent_overrides.empty()) << "sent back to the process that it came from";
   process.store.Disable("u2");
-  EXPECT_TRUE(process.said.empty()) << "nothing new";
+  EXPECT_TRUE(process.sent_overrides.empty()) << "a repeated command was sent";
   process.store.Enable("u2");
-  EXPECT_EQ(process.said, (std::vector<std::pair<std::string, bool>>{{"out-7532", false}}));
-  std::set<std::string> told;
-  Break();
+  EXPECT_EQ(process.sent_overrides, (std::vector<std::pair<std::string, bool>>{{"out-7532", false}}));
+  std::set<std::string> sent;
+  BreakFolder();
   process.store.StopDraining();
   process.store.NotifyAll([&](const StoredOverride& operator_override, OverrideAction action) {
-    told.insert(ToLine({operator_override, action}));
+    sent.insert(ToLine({operator_override, action}));
   });
-  EXPECT_EQ(told, std::set<std::string>{"-drained\n"}) << "what can't be removed from the folder is told";
+  EXPECT_EQ(sent, std::set<std::string>{"-drained\n"}) << "withdrawn but not removed from the folder";
 }
 
 TEST_F(OperatorStateTest, PlannedStopWaitsForTheFolderForALimitedTime) {
   Process process(path_);
-  int ends = 0;
-  process.store.Finish(seconds(60), [&] { ++ends; });
-  EXPECT_EQ(ends, 1) << "nothing is owed";
-  Break();
+  int callbacks = 0;
+  process.store.Flush(seconds(60), [&] { ++callbacks; });
+  EXPECT_EQ(callbacks, 1) << "not called though nothing is pending";
+  BreakFolder();
   process.store.Disable("u1");
-  process.store.Finish(seconds(60), [&] { ++ends; });
-  EXPECT_EQ(ends, 1);
-  Mend();
-  EXPECT_TRUE(process.Eventually([&] { return ends == 2; }));
+  process.store.Flush(seconds(60), [&] { ++callbacks; });
+  EXPECT_EQ(callbacks, 1);
+  RepairFolder();
+  EXPECT_TRUE(process.Eventually([&] { return callbacks == 2; }));
   EXPECT_EQ(Process(path_).disabled(), Ids{"u1"});
-  Break();
+  BreakFolder();
   process.store.Enable("u1");
-  process.store.Finish(milliseconds(300), [&] { ++ends; });
-  EXPECT_TRUE(process.Eventually([&] { return ends == 3; }));
+  process.store.Flush(milliseconds(300), [&] { ++callbacks; });
+  EXPECT_TRUE(process.Eventually([&] { return callbacks == 3; }));
   EXPECT_NE(process.text.str().find("operator_state_lost"), std::string::npos);
 }
 
-// ---- The real program ----
+// ---- lb-sidecar ----
 
-// ---- Each call that a word takes, failing for a while ----
+// Each system call that storing, reading or removing an override makes fails a few times in a row.
 
-struct FolderRow {
+struct FolderFaultCase {
   const char* name;
   SystemCall call;
   int error;
   std::size_t at_most = 0;
 };
 
-void PrintTo(const FolderRow& row, std::ostream* out) { *out << row.name; }
+void PrintTo(const FolderFaultCase& test_case, std::ostream* out) { *out << test_case.name; }
 
 class OperatorStateFolderFaults : public OperatorStateFaults,
-                                  public ::testing::WithParamInterface<FolderRow> {};
+                                  public ::testing::WithParamInterface<FolderFaultCase> {};
 
-TEST_P(OperatorStateFolderFaults, OverrideIsStoredAndRemovedAllTheSame) {
-  const auto& row = GetParam();
+TEST_P(OperatorStateFolderFaults, OverrideIsStoredAndRemovedNevertheless) {
+  const auto& test_case = GetParam();
   auto sidecar = Start("127.0.0.1:0", true);
-  ASSERT_TRUE(Ready(*sidecar));
-  int met = 0;
+  ASSERT_TRUE(BecomesReady(*sidecar));
+  int forced_faults = 0;
   for (const std::string& id : {std::string("u1"), kLongId}) {
     for (const std::string& call : {std::string("disable"), std::string("enable")}) {
-      const auto fault = faults_.Force({.call = row.call,
-                                        .error = row.error,
-                                        .at_most = row.at_most,
+      const auto fault = faults_.Force({.call = test_case.call,
+                                        .error = test_case.error,
+                                        .at_most = test_case.at_most,
                                         .times = 3,
                                         .on = Descriptor::kAny,
                                         .path = path_});
       std::string target = "/upstreams/";
       target.append(call).append("/").append(id);
       EXPECT_EQ(sidecar->Status("POST", target), 200U);
-      const bool out = call == "disable";
-      EXPECT_TRUE(Logs(
-          *sidecar, std::string(out ? "upstream_disabled" : "upstream_enabled") + " upstream=" + id + "\n"));
-      EXPECT_TRUE(Eventually([&] { return Says(*sidecar, "GET", "/ready") == "200 ready\n"; }))
+      const bool disables = call == "disable";
+      EXPECT_TRUE(EventuallyLogs(*sidecar, std::string(disables ? "upstream_disabled" : "upstream_enabled") +
+                                               " upstream=" + id + "\n"));
+      EXPECT_TRUE(Eventually([&] { return SendCommand(*sidecar, "GET", "/ready") == "200 ready\n"; }))
           << sidecar->log();
-      EXPECT_EQ(Process(path_).disabled(), out ? Ids{id} : Ids{}) << call;
-      // The look that reads the new file meets it; else it is met by what stores and withdraws.
-      const bool reads = row.call == SystemCall::kRead || row.call >= SystemCall::kOpenFolder;
-      EXPECT_TRUE(!(out && reads && id == kLongId) || faults_.WaitUntilForced(fault));
-      met += faults_.forced(fault);
+      EXPECT_EQ(Process(path_).disabled(), disables ? Ids{id} : Ids{}) << call;
+      // Calls that only read are certain to be made after a `long-HASH` file was stored: its contents are
+      // read. The other cases need not hit the fault in each round, but in at least one (below).
+      const bool reads = test_case.call == SystemCall::kRead || test_case.call >= SystemCall::kOpenFolder;
+      EXPECT_TRUE(!(disables && reads && id == kLongId) || faults_.WaitUntilForced(fault));
+      forced_faults += faults_.forced(fault);
       faults_.Stop(fault);
     }
   }
-  EXPECT_GT(met, 0);
+  EXPECT_GT(forced_faults, 0);
   EXPECT_TRUE(Eventually([&] { return Files() == std::set<std::string>{"handover"}; }))
-      << "nothing half-made stays";
+      << "a temporary file is left";
 }
 
 INSTANTIATE_TEST_SUITE_P(Calls, OperatorStateFolderFaults,
-                         ::testing::Values(FolderRow{"OpenNoSpace", SystemCall::kOpen, ENOSPC},
-                                           FolderRow{"OpenIo", SystemCall::kOpen, EIO},
-                                           FolderRow{"OpenNoDescriptor", SystemCall::kOpen, EMFILE},
-                                           FolderRow{"OpenInterrupted", SystemCall::kOpen, EINTR},
-                                           FolderRow{"WriteNoSpace", SystemCall::kWrite, ENOSPC},
-                                           FolderRow{"WriteInterrupted", SystemCall::kWrite, EINTR},
-                                           FolderRow{"WriteShort", SystemCall::kWrite, 0, 3},
-                                           FolderRow{"ReadShort", SystemCall::kRead, 0, 3},
-                                           FolderRow{"ReadIo", SystemCall::kRead, EIO},
-                                           FolderRow{"SyncIo", SystemCall::kSync, EIO},
-                                           FolderRow{"SyncNoSpace", SystemCall::kSync, ENOSPC},
-                                           FolderRow{"SyncInterrupted", SystemCall::kSync, EINTR},
-                                           FolderRow{"RenameIo", SystemCall::kRename, EIO},
-                                           FolderRow{"RemoveIo", SystemCall::kRemove, EIO},
-                                           FolderRow{"RemoveReadOnly", SystemCall::kRemove, EROFS},
-                                           FolderRow{"OpenFolderIo", SystemCall::kOpenFolder, EIO},
-                                           FolderRow{"ReadFolderIo", SystemCall::kReadFolder, EIO}),
-                         [](const auto& row) { return std::string(row.param.name); });
+                         ::testing::Values(FolderFaultCase{"OpenNoSpace", SystemCall::kOpen, ENOSPC},
+                                           FolderFaultCase{"OpenIo", SystemCall::kOpen, EIO},
+                                           FolderFaultCase{"OpenNoDescriptor", SystemCall::kOpen, EMFILE},
+                                           FolderFaultCase{"OpenInterrupted", SystemCall::kOpen, EINTR},
+                                           FolderFaultCase{"WriteNoSpace", SystemCall::kWrite, ENOSPC},
+                                           FolderFaultCase{"WriteInterrupted", SystemCall::kWrite, EINTR},
+                                           FolderFaultCase{"WriteShort", SystemCall::kWrite, 0, 3},
+                                           FolderFaultCase{"ReadShort", SystemCall::kRead, 0, 3},
+                                           FolderFaultCase{"ReadIo", SystemCall::kRead, EIO},
+                                           FolderFaultCase{"SyncIo", SystemCall::kSync, EIO},
+                                           FolderFaultCase{"SyncNoSpace", SystemCall::kSync, ENOSPC},
+                                           FolderFaultCase{"SyncInterrupted", SystemCall::kSync, EINTR},
+                                           FolderFaultCase{"RenameIo", SystemCall::kRename, EIO},
+                                           FolderFaultCase{"RemoveIo", SystemCall::kRemove, EIO},
+                                           FolderFaultCase{"RemoveReadOnly", SystemCall::kRemove, EROFS},
+                                           FolderFaultCase{"OpenFolderIo", SystemCall::kOpenFolder, EIO},
+                                           FolderFaultCase{"ReadFolderIo", SystemCall::kReadFolder, EIO}),
+                         [](const auto& param_info) { return std::string(param_info.param.name); });
 
-// A kill right after each call of a word, which then was not answered: it holds whole or not at all.
-struct KillRow {
+// The process is killed right after each system call of a command, before it has responded. The next process
+// must find the override stored completely or not at all, and must be able to repeat the command.
+struct KillCase {
   const char* name;
   SystemCall call;
   int skip;
   std::size_t at_most;
 };
 
-void PrintTo(const KillRow& row, std::ostream* out) { *out << row.name; }
+void PrintTo(const KillCase& test_case, std::ostream* out) { *out << test_case.name; }
 
-class KillDuringAWrite : public OperatorStateFaults, public ::testing::WithParamInterface<KillRow> {};
+class KillDuringAWrite : public OperatorStateFaults, public ::testing::WithParamInterface<KillCase> {};
 
 TEST_P(KillDuringAWrite, LeavesAFolderThatTheNextProcessReads) {
-  const auto& row = GetParam();
+  const auto& test_case = GetParam();
   {
     auto sidecar = Start("127.0.0.1:0", true);
-    ASSERT_TRUE(Ready(*sidecar));
+    ASSERT_TRUE(BecomesReady(*sidecar));
     ASSERT_EQ(sidecar->Status("POST", "/upstreams/disable/u1"), 200U);
-    faults_.Force({.call = row.call,
-                   .at_most = row.at_most,
+    faults_.Force({.call = test_case.call,
+                   .at_most = test_case.at_most,
                    .kills = true,
-                   .skip = row.skip,
+                   .skip = test_case.skip,
                    .times = 1,
                    .path = path_ + "/"});
     sidecar->Operate("POST", "/upstreams/disable/" + kLongId);
     EXPECT_EQ(sidecar->Wait(), 128 + SIGKILL);
   }
   auto next = Start();
-  ASSERT_TRUE(Ready(*next));
-  EXPECT_TRUE(IsOut(*next, "u1"));
+  ASSERT_TRUE(BecomesReady(*next));
+  EXPECT_TRUE(LogsDisabled(*next, "u1"));
   EXPECT_EQ(next->log().find("operator_state_foreign_file"), std::string::npos) << next->log();
-  EXPECT_EQ(Says(*next, "POST", "/upstreams/enable/u1"), "200 u1 is back\n");
+  EXPECT_EQ(SendCommand(*next, "POST", "/upstreams/enable/u1"), "200 u1 is back\n");
   EXPECT_EQ(next->Status("POST", "/upstreams/disable/" + kLongId), 200U);
   EXPECT_EQ(Process(path_).disabled(), Ids{kLongId});
 }
 
 INSTANTIATE_TEST_SUITE_P(Calls, KillDuringAWrite,
-                         ::testing::Values(KillRow{"Made", SystemCall::kOpen, 0, 0},
-                                           KillRow{"HalfWritten", SystemCall::kWrite, 0, 7},
-                                           KillRow{"Written", SystemCall::kWrite, 0, 0},
-                                           KillRow{"Synced", SystemCall::kSync, 0, 0},
-                                           KillRow{"Renamed", SystemCall::kRename, 0, 0}),
-                         [](const auto& row) { return std::string(row.param.name); });
+                         ::testing::Values(KillCase{"Made", SystemCall::kOpen, 0, 0},
+                                           KillCase{"HalfWritten", SystemCall::kWrite, 0, 7},
+                                           KillCase{"Written", SystemCall::kWrite, 0, 0},
+                                           KillCase{"Synced", SystemCall::kSync, 0, 0},
+                                           KillCase{"Renamed", SystemCall::kRename, 0, 0}),
+                         [](const auto& param_info) { return std::string(param_info.param.name); });
 
-// What the folder has can't be removed there, nor what is new be stored: the next process hears it from this
-// one, and does both.
+// A process that can neither remove an override from the folder nor store a new one sends both changes to the
+// next process, which makes them in the folder. Otherwise a restart would bring the withdrawn override back.
 TEST_F(OperatorStateFaults, RestartDoesNotBringBackARemovedOverride) {
   auto sidecar = Start("127.0.0.1:0", true);
-  ASSERT_TRUE(Ready(*sidecar));
-  ASSERT_EQ(Says(*sidecar, "POST", "/upstreams/disable/u1"), "200 u1 is out\n");
+  ASSERT_TRUE(BecomesReady(*sidecar));
+  ASSERT_EQ(SendCommand(*sidecar, "POST", "/upstreams/disable/u1"), "200 u1 is out\n");
   for (const auto call : {SystemCall::kRemove, SystemCall::kRename, SystemCall::kSync, SystemCall::kOpen})
     faults_.Force({.call = call, .error = EIO, .path = path_});
-  EXPECT_NE(
-      Says(*sidecar, "POST", "/upstreams/enable/u1").find("not stored yet: 1 change (Input/output error)"),
-      std::string::npos);
+  EXPECT_NE(SendCommand(*sidecar, "POST", "/upstreams/enable/u1")
+                .find("not stored yet: 1 change (Input/output error)"),
+            std::string::npos);
   EXPECT_EQ(sidecar->Status("POST", "/upstreams/disable/" + kLongId), 200U);
   ASSERT_TRUE(fs::exists(path_ + "/out-7531"));
   {
     auto next = Start("127.0.0.1:" + std::to_string(sidecar->port()));
-    ASSERT_TRUE(Ready(*next));
-    EXPECT_TRUE(IsOut(*next, kLongId));
-    EXPECT_TRUE(Logs(*next, "upstream_enabled upstream=u1\n"));
+    ASSERT_TRUE(BecomesReady(*next));
+    EXPECT_TRUE(LogsDisabled(*next, kLongId));
+    EXPECT_TRUE(EventuallyLogs(*next, "upstream_enabled upstream=u1\n"));
     sidecar->Signal(SIGKILL);
     sidecar->Wait();
     EXPECT_TRUE(Eventually([&] { return !fs::exists(path_ + "/out-7531"); }));
@@ -293,37 +299,38 @@
     next->Wait();
   }
   auto last = Start();
-  EXPECT_TRUE(IsOut(*last, kLongId));
+  EXPECT_TRUE(LogsDisabled(*last, kLongId));
   EXPECT_EQ(last->log().find("upstream_disabled upstream=u1"), std::string::npos);
 }
 
-// At the start as well: what is read in the end is what counts, and it counts before much is sent.
+// If the folder cannot be read at start-up, later reads are retried until one succeeds, and the state is
+// applied then.
 TEST_F(OperatorStateFaults, FolderUnreadableAtTheStartIsReadLater) {
-  Touch("out-7531");
+  WriteFile("out-7531");
   const auto fault =
       faults_.Force({.call = SystemCall::kReadFolder, .error = EIO, .times = 8, .path = path_});
   auto sidecar = Start("127.0.0.1:0", true);
-  EXPECT_TRUE(IsOut(*sidecar, "u1"));
+  EXPECT_TRUE(LogsDisabled(*sidecar, "u1"));
   EXPECT_EQ(faults_.forced(fault), 8);
-  EXPECT_TRUE(Logs(*sidecar, "operator_state_read_failed"));
-  EXPECT_TRUE(Logs(*sidecar, "operator_state_read_recovered"));
+  EXPECT_TRUE(EventuallyLogs(*sidecar, "operator_state_read_failed"));
+  EXPECT_TRUE(EventuallyLogs(*sidecar, "operator_state_read_recovered"));
 }
 
-TEST_F(OperatorStateFaults, ReplySaysWhatIsNotStored) {
+TEST_F(OperatorStateFaults, ReplyReportsUnstoredChanges) {
   auto sidecar = Start();
-  ASSERT_TRUE(Ready(*sidecar));
-  EXPECT_EQ(Says(*sidecar, "GET", "/ready"), "200 ready\n");
-  Break();
-  EXPECT_EQ(Says(*sidecar, "POST", "/upstreams/disable/u1").find("200 u1 is out; not stored yet"), 0U);
-  EXPECT_EQ(Says(*sidecar, "GET", "/ready").find("200 ready; not stored yet: 1 change ("), 0U);
-  EXPECT_TRUE(Logs(*sidecar, "operator_state_write_failed"));
-  Mend();
-  EXPECT_TRUE(Eventually([&] { return Says(*sidecar, "GET", "/ready") == "200 ready\n"; }));
+  ASSERT_TRUE(BecomesReady(*sidecar));
+  EXPECT_EQ(SendCommand(*sidecar, "GET", "/ready"), "200 ready\n");
+  BreakFolder();
+  EXPECT_EQ(SendCommand(*sidecar, "POST", "/upstreams/disable/u1").find("200 u1 is out; not stored yet"), 0U);
+  EXPECT_EQ(SendCommand(*sidecar, "GET", "/ready").find("200 ready; not stored yet: 1 change ("), 0U);
+  EXPECT_TRUE(EventuallyLogs(*sidecar, "operator_state_write_failed"));
+  RepairFolder();
+  EXPECT_TRUE(Eventually([&] { return SendCommand(*sidecar, "GET", "/ready") == "200 ready\n"; }));
   sidecar->Signal(SIGKILL);
   sidecar->Wait();
   auto next = Start();
-  EXPECT_EQ(Says(*next, "POST", "/upstreams/disable/u1"), "200 u1 is out\n");
-  EXPECT_TRUE(Logs(*next, "upstream_disabled upstream=u1\n"));
+  EXPECT_EQ(SendCommand(*next, "POST", "/upstreams/disable/u1"), "200 u1 is out\n");
+  EXPECT_TRUE(EventuallyLogs(*next, "upstream_disabled upstream=u1\n"));
 }
 
 }  // namespace
