--- a/tests/admin_interface_test.cpp
+++ b/tests/admin_interface_test.cpp
@@ -1,4 +1,5 @@
-// The admin interface of the real program: its commands as requests, and its bounds.
+// The admin interface of lb-sidecar: malformed requests, limits on connections and request sizes, readiness,
+// and start-up with an unusable address.
 #include <memory>
 #include <string>
 #include <vector>
@@ -32,10 +33,10 @@
     EXPECT_TRUE(connection.wire.ReadsEnd());
   }
   ASSERT_TRUE(sidecar.Listening());
-  EXPECT_TRUE(HealthCheckBecomes(sidecar, 200)) << "nothing was drained";
+  EXPECT_TRUE(HealthCheckBecomes(sidecar, 200)) << "a rejected command started connection draining";
 }
 
-TEST(AdminInterface, AcceptsACommandInPiecesAndWithABody) {
+TEST(AdminInterface, AcceptsAFragmentedCommandWithABody) {
   SidecarProcess sidecar(WithAdmin(json::array()));
   Client connection(sidecar.admin_port());
   for (const char c : std::string("POST /drain HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n{}")) {
@@ -58,8 +59,8 @@
     silent.push_back(std::make_unique<Client>(sidecar.admin_port()));
     if (i % 2 == 0) silent.back()->Send("GET /ready HTTP/1.1\r\nHo");
   }
-  const int before = sidecar.descriptors();
-  EXPECT_LE(before, 40) << "they are bounded";
+  const int descriptors = sidecar.descriptors();
+  EXPECT_LE(descriptors, 40) << "silent connections are not limited";
   EXPECT_EQ(sidecar.Status("GET", "/ready"), 200U);
   for (const auto& connection : silent) EXPECT_TRUE(connection->wire.ReadsEnd());
 }
@@ -75,7 +76,7 @@
   EXPECT_TRUE(Eventually([&] { return sidecar.Status("GET", "/ready") == 200; }));
 }
 
-TEST(AdminInterface, NamesABadAddressInTheLog) {
+TEST(AdminInterface, LogsAnUnusableAddress) {
   Peer taken([](Wire&, int) {});
   for (const std::string& address :
        {std::string("nowhere"), std::string("127.0.0.1:99999"), taken.address()}) {
--- a/tests/graceful_shutdown_test.cpp
+++ b/tests/graceful_shutdown_test.cpp
@@ -1,4 +1,5 @@
-// A planned stop: SIGTERM, then the accepted requests are served and the process ends.
+// Graceful shutdown of lb-sidecar: after SIGTERM the accepted requests are served, and then the process
+// exits.
 #include <csignal>
 #include <memory>
 #include <string>
@@ -43,7 +44,7 @@
   ASSERT_TRUE(half.Send("GET /page/k HTTP/1.1\r\nX-"));
   Client silent(sidecar.port());
   sidecar.Signal(SIGTERM);
-  EXPECT_EQ(sidecar.Wait(), 0);  // long before the test runner's limit
+  EXPECT_EQ(sidecar.Wait(), 0);  // a hang would exceed the test runner's time limit
 }
 
 TEST(GracefulShutdown, IgnoresFurtherSignals) {
@@ -62,30 +63,31 @@
   EXPECT_EQ(sidecar.Wait(), 0);
 }
 
-// What crosses the end of one is not sent on, and meets no reset: its client sees the end.
-TEST(GracefulShutdown, DoesNotForwardWhatCrossesTheEndOfAnIdleConnection) {
+// A client may send a request on an idle connection while the sidecar closes it. The request must not be
+// forwarded, and the connection must end with a regular close instead of a reset.
+TEST(GracefulShutdown, DoesNotForwardARequestThatCrossesTheCloseOfAnIdleConnection) {
   Upstream upstream(Upstream::Echo("u"));
   SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
   ASSERT_TRUE(sidecar.Listening());
-  std::vector<std::unique_ptr<Client>> resting;
+  std::vector<std::unique_ptr<Client>> idle_clients;
   for (int i = 0; i < 20; ++i) {
-    resting.push_back(std::make_unique<Client>(sidecar.port()));
-    ASSERT_TRUE(resting.back()->Get("/page/k", "r" + std::to_string(i)));
+    idle_clients.push_back(std::make_unique<Client>(sidecar.port()));
+    ASSERT_TRUE(idle_clients.back()->Get("/page/k", "r" + std::to_string(i)));
   }
   sidecar.Signal(SIGTERM);
   int crossed = 0;
-  for (const auto& client : resting) {
+  for (const auto& client : idle_clients) {
     char byte = 0;
     boost::system::error_code error;
-    client->wire.socket.read_some(boost::asio::buffer(&byte, 1), error);  // the end has been sent
+    client->wire.socket.read_some(boost::asio::buffer(&byte, 1), error);  // the sidecar has closed its side
     EXPECT_EQ(error, boost::asio::error::eof);
-    // This is on its way as the sidecar waits for the client's end.
+    // Reaches the sidecar while it waits for the client to close its side.
     ASSERT_TRUE(client->Send(PostText("/submit/crossing", "c" + std::to_string(crossed++), "x")));
     client->wire.socket.read_some(boost::asio::buffer(&byte, 1), error);
     EXPECT_EQ(error, boost::asio::error::eof) << error.message();
   }
   EXPECT_EQ(sidecar.Wait(), 0);
-  EXPECT_EQ(upstream.requests().size(), resting.size());
+  EXPECT_EQ(upstream.requests().size(), idle_clients.size());
 }
 
 }  // namespace
--- a/tests/operator_commands_test.cpp
+++ b/tests/operator_commands_test.cpp
@@ -1,4 +1,4 @@
-// What operators' commands do in the real program: disabled upstreams and connection draining.
+// The effects of operators' commands on lb-sidecar: disabled upstreams and connection draining.
 #include <csignal>
 #include <cstdlib>
 #include <string>
@@ -11,7 +11,7 @@
 namespace lb::sidecar::testing {
 namespace {
 
-TEST(DisabledUpstream, GetsNothingUntilItIsEnabled) {
+TEST(DisabledUpstream, ReceivesNoRequestsUntilItIsEnabled) {
   Upstream u1(Upstream::Echo("u1"));
   Upstream u2(Upstream::Echo("u2"));
   Discovery discovery(List({Target("u1", u1.address()), Target("u2", u2.address())}));
@@ -23,14 +23,14 @@
   EXPECT_EQ(sidecar.Status("POST", "/upstreams/disable/u1"), 200U);
   EXPECT_EQ(sidecar.Status("POST", "/upstreams/disable/u1"), 200U) << "a repeated command succeeds";
   EXPECT_EQ(RequestsServedBy(sidecar, "b", 20), std::pair(0, 20));
-  // It leaves the list and returns as another process: still disabled.
+  // The upstream leaves the endpoint list and returns as a new process: it is still disabled.
   const int polls = discovery.calls();
   discovery.Tell(List({Target("u2", u2.address())}));
   discovery.Tell(List({Target("u1", u1.address(), "active", 1000), Target("u2", u2.address())}));
   ASSERT_TRUE(Eventually([&] { return discovery.calls() > polls + 1; }));
   EXPECT_EQ(RequestsServedBy(sidecar, "c", 20), std::pair(0, 20));
   EXPECT_EQ(sidecar.Status("POST", "/upstreams/enable/u1"), 200U);
-  EXPECT_TRUE(FirstIsUsedAgain(sidecar));
+  EXPECT_TRUE(FirstUpstreamServesAgain(sidecar));
 }
 
 TEST(DisabledUpstream, StaysDisabledOverARestart) {
@@ -46,11 +46,11 @@
   SidecarProcess next(WithAdmin(known, folder.path()));
   ASSERT_TRUE(next.Listening());
   EXPECT_EQ(RequestsServedBy(next, "a", 20), std::pair(0, 20));
-  // The command to a second process of the same sidecar reaches the first.
+  // A command to a second process of the same sidecar takes effect in the first one, too.
   SidecarProcess other(WithAdmin(known, folder.path()));
   ASSERT_TRUE(other.Listening());
   EXPECT_EQ(other.Status("POST", "/upstreams/enable/u1"), 200U);
-  EXPECT_TRUE(FirstIsUsedAgain(next));
+  EXPECT_TRUE(FirstUpstreamServesAgain(next));
 }
 
 TEST(DisabledUpstream, LogsAndIgnoresForeignFiles) {
@@ -90,10 +90,10 @@
   EXPECT_TRUE(HealthCheckBecomes(sidecar, 503));
   EXPECT_EQ(sidecar.Status("GET", "/ready"), 503U);
   Client late(sidecar.port());
-  const auto answer = late.Get("/page/k", "b");
-  ASSERT_TRUE(answer);
-  EXPECT_EQ(answer->result_int(), 200U);
-  EXPECT_FALSE(answer->keep_alive());
+  const auto response = late.Get("/page/k", "b");
+  ASSERT_TRUE(response);
+  EXPECT_EQ(response->result_int(), 200U);
+  EXPECT_FALSE(response->keep_alive());
   EXPECT_EQ(sidecar.Status("POST", "/undrain"), 200U);
   EXPECT_TRUE(HealthCheckBecomes(sidecar, 200));
   Client again(sidecar.port());
--- a/tests/operator_steps.cpp
+++ b/tests/operator_steps.cpp
@@ -20,7 +20,7 @@
   return served;
 }
 
-bool FirstIsUsedAgain(SidecarProcess& sidecar) {
+bool FirstUpstreamServesAgain(SidecarProcess& sidecar) {
   int round = 0;
   return Eventually([&] {
     const std::string id_prefix = "again" + std::to_string(round++) + "-";
--- a/tests/operator_steps.h
+++ b/tests/operator_steps.h
@@ -1,4 +1,4 @@
-// Steps that the tests of operators' commands and of upgrades have in common.
+// Steps shared by the tests of operators' commands and of upgrades.
 #pragma once
 
 #include <string>
@@ -11,14 +11,14 @@
 // Options for a sidecar with an admin interface whose configuration file names these upstreams.
 SidecarProcess::Options WithAdmin(const json& known, const std::string& tmpdir = "");
 
-// Sends so many requests, with ids that begin with `id_prefix`, and returns how many of them upstream u1 and
-// another one served.
+// Sends `requests` requests, with ids that begin with `id_prefix`. Returns how many of them were served by
+// upstream u1 and how many by other upstreams; failed requests are in neither number.
 std::pair<int, int> RequestsServedBy(SidecarProcess& sidecar, const std::string& id_prefix, int requests);
 
-// Sends requests until upstream u1 serves one; false where none is in time.
-bool FirstIsUsedAgain(SidecarProcess& sidecar);
+// Sends requests until upstream u1 serves one; false if it does not in time.
+bool FirstUpstreamServesAgain(SidecarProcess& sidecar);
 
-// Polls /up until it has this status; false where it does not in time.
+// Polls /up until the response has this status; false if it does not in time.
 bool HealthCheckBecomes(SidecarProcess& sidecar, unsigned status);
 
 }  // namespace lb::sidecar::testing
--- a/tests/planned_stop_test.cpp
+++ b/tests/planned_stop_test.cpp
@@ -1,5 +1,6 @@
-// A planned stop of the real program: SIGKILL may follow SIGTERM after the deployment's longest deadline,
-// counted as 3 s at most, and 0.7 s. Whatever is taken meanwhile has its answer by then.
+// The time limits of a planned stop of lb-sidecar. SIGKILL may follow SIGTERM after the longest deadline
+// among the request classes (at most 3 s) plus 0.7 s. Requests accepted in the meantime must have their
+// responses by then.
 #include <chrono>
 #include <csignal>
 #include <string>
@@ -23,7 +24,7 @@
   return settings;
 }
 
-// A request of which the last byte is kept back.
+// A request that is sent without its last byte until Complete() is called.
 class LateRequest {
  public:
   LateRequest(SidecarProcess& sidecar, milliseconds timeout)
@@ -41,38 +42,38 @@
   const std::string text_;
 };
 
-TEST(PlannedStop, AnswersBeforeItMayBeKilledThoughTheClientWaitsLonger) {
-  Gate end;
-  Upstream hangs([&](Wire&, const Request&, int) { end.Pass(); });
+TEST(PlannedStop, RespondsBeforeItMayBeKilledThoughTheClientWaitsLonger) {
+  Gate release;
+  Upstream hangs([&](Wire&, const Request&, int) { release.Pass(); });
   SidecarProcess sidecar(
       With(List({Target("u1", hangs.address())}), SettingsWithDeadline(milliseconds(6000))));
   ASSERT_TRUE(sidecar.Listening());
   LateRequest request(sidecar, milliseconds(12000));
   sidecar.Signal(SIGTERM);
   std::this_thread::sleep_for(milliseconds(800));
-  const auto completed = steady_clock::now();
-  const auto answer = request.Complete();
-  ASSERT_TRUE(answer);
-  EXPECT_GE(answer->result_int(), 500U);
-  EXPECT_LT(steady_clock::now() - completed, milliseconds(8000))
-      << "2.8 s are left to it, 12 s to its client";
-  end.Open();
+  const auto completed_at = steady_clock::now();
+  const auto response = request.Complete();
+  ASSERT_TRUE(response);
+  EXPECT_GE(response->result_int(), 500U);
+  EXPECT_LT(steady_clock::now() - completed_at, milliseconds(8000))
+      << "the sidecar has 2.8 s left for its response, the client would wait 12 s";
+  release.Open();
   EXPECT_EQ(sidecar.Wait(), 0);
 }
 
-TEST(PlannedStop, ShedsWhatIsCompleteOnlyOnceItMayBeKilled) {
+TEST(PlannedStop, ShedsARequestThatIsCompleteOnlyWhenItMayBeKilled) {
   Upstream upstream(Upstream::Echo("u"));
   SidecarProcess sidecar(
       With(List({Target("u1", upstream.address())}), SettingsWithDeadline(milliseconds(100))));
   ASSERT_TRUE(sidecar.Listening());
   LateRequest request(sidecar, milliseconds(200));
   sidecar.Signal(SIGTERM);
-  std::this_thread::sleep_for(milliseconds(1000));  // past 0.1 s and 0.7 s
-  const auto answer = request.Complete();
-  ASSERT_TRUE(answer);
-  EXPECT_EQ(answer->result_int(), 503U);
-  EXPECT_EQ(answer->count("Retry-After"), 1U);
-  EXPECT_TRUE(upstream.requests().empty()) << "no time is left to wait for it";
+  std::this_thread::sleep_for(milliseconds(1000));  // past the deadline of 0.1 s plus 0.7 s
+  const auto response = request.Complete();
+  ASSERT_TRUE(response);
+  EXPECT_EQ(response->result_int(), 503U);
+  EXPECT_EQ(response->count("Retry-After"), 1U);
+  EXPECT_TRUE(upstream.requests().empty()) << "forwarded though no time is left for a response";
   EXPECT_EQ(sidecar.Wait(), 0);
 }
 
--- a/tests/sidecar/admin_commands_test.cpp
+++ b/tests/sidecar/admin_commands_test.cpp
@@ -1,4 +1,4 @@
-// The admin interface's commands and replies, by values alone.
+// Unit tests of parsing the admin interface's commands and of its replies.
 #include "sidecar/admin_commands.h"
 
 #include <string>
@@ -15,7 +15,7 @@
   return std::get<AdminCommand>(parsed);
 }
 
-TEST(AdminCommands, NameTheUpstreamAsItStandsInTheTarget) {
+TEST(AdminCommands, TakeTheUpstreamIdFromTheTargetUndecoded) {
   const auto disable = Parsed(http::verb::post, "/upstreams/disable/s/1?x");
   const auto enable = Parsed(http::verb::post, "/upstreams/enable/s-2");
 
@@ -29,7 +29,7 @@
   EXPECT_TRUE(std::holds_alternative<QueryReadiness>(Parsed(http::verb::get, "/ready")));
 }
 
-TEST(AdminCommands, RefuseUnknownTargetsWhateverTheMethod) {
+TEST(AdminCommands, RejectUnknownTargetsForAnyMethod) {
   for (const char* target : {"/", "/readiness", "/drain/", "/upstreams/disable"}) {
     const auto parsed = ParseAdminCommand(http::verb::get, target);
 
@@ -39,7 +39,7 @@
   }
 }
 
-TEST(AdminCommands, RefuseTheWrongMethodAndNameTheRightOne) {
+TEST(AdminCommands, RejectTheWrongMethodAndNameTheRightOne) {
   const auto post = ToHttpResponse(
       std::get<AdminCommandError>(ParseAdminCommand(http::verb::get, "/upstreams/disable/u1")));
   const auto get = ToHttpResponse(std::get<AdminCommandError>(ParseAdminCommand(http::verb::post, "/ready")));
@@ -51,7 +51,7 @@
   EXPECT_EQ(get[http::field::allow], "GET");
 }
 
-TEST(AdminReplies, SayWhatIsNotStoredBehindTheirText) {
+TEST(AdminReplies, AppendTheStorageFault) {
   const auto stored = ToHttpResponse(AdminReply{AdminStatus::kDone, "u1 is out", ""});
   const auto not_stored =
       ToHttpResponse(AdminReply{AdminStatus::kNotReady, "not ready: drained", "not stored yet: 1 change"});
--- a/tests/sidecar/graceful_shutdown_test.cpp
+++ b/tests/sidecar/graceful_shutdown_test.cpp
@@ -1,4 +1,4 @@
-// The time limits of a graceful shutdown.
+// Unit tests of the time limits of a graceful shutdown.
 #include "sidecar/graceful_shutdown.h"
 
 #include <chrono>
@@ -20,19 +20,19 @@
 
 constexpr TimePoint kNow{std::chrono::seconds(100)};
 
-TEST(GracefulShutdown, EndsAheadOfTheKillThatFollowsTheLongestDeadline) {
+TEST(GracefulShutdown, EndsBeforeTheSigkillThatFollowsTheLongestDeadline) {
   GracefulShutdown shutdown(WithDeadlines(milliseconds(400), milliseconds(900)));
 
   EXPECT_EQ(shutdown.Begin(kNow), kNow + milliseconds(900 + 700 - 150));
 }
 
-TEST(GracefulShutdown, CountsThreeSecondsOfADeadlineAtMost) {
+TEST(GracefulShutdown, CapsTheDeadlineAtThreeSeconds) {
   GracefulShutdown shutdown(WithDeadlines(milliseconds(9000), milliseconds(900)));
 
   EXPECT_EQ(shutdown.Begin(kNow), kNow + milliseconds(3000 + 700 - 150));
 }
 
-TEST(GracefulShutdown, IsNotProlongedByASecondSignal) {
+TEST(GracefulShutdown, IsNotExtendedByASecondSignal) {
   GracefulShutdown shutdown(WithDeadlines(milliseconds(400), milliseconds(900)));
   EXPECT_FALSE(shutdown.begun());
 
--- a/tests/sidecar/log_events_test.cpp
+++ b/tests/sidecar/log_events_test.cpp
@@ -1,4 +1,5 @@
-// The names of log events stand in one header, and the on-call page lists exactly those.
+// Checks that all log events are defined in sidecar/log_events.h and used through its constants, and that
+// docs/operations.md lists exactly these events.
 #include "sidecar/log_events.h"
 
 #include <filesystem>
@@ -30,13 +31,13 @@
   return found;
 }
 
-// All names in the header: each string literal there, but for the includes.
+// All event names in the header, which are its string literals; the pattern does not match the includes.
 std::set<std::string> NamesInHeader() {
   return Matches(Read(fs::path(SOURCE_ROOT) / "sidecar/log_events.h"), "\"([a-z_]+)\"");
 }
 
-// The names in the first column of the table of events.
-std::set<std::string> NamesOnPage() {
+// The event names in the first column of the table in docs/operations.md.
+std::set<std::string> NamesInOperationsPage() {
   std::string page = Read(fs::path(SOURCE_ROOT) / "docs/operations.md");
   page = page.substr(page.find("| event |"));
   page = page.substr(0, page.find("\n\n"));
@@ -57,20 +58,20 @@
   return sources;
 }
 
-TEST(LogEvents, AreListedOnTheOnCallPage) {
+TEST(LogEvents, AreListedInTheOperationsPage) {
   ASSERT_GT(NamesInHeader().size(), 10U);
 
-  EXPECT_EQ(NamesOnPage(), NamesInHeader());
+  EXPECT_EQ(NamesInOperationsPage(), NamesInHeader());
 }
 
-TEST(LogEvents, AreNamedByTheirConstantsWhereTheyAreWritten) {
+TEST(LogEvents, AreWrittenThroughTheirConstants) {
   for (const auto& source : Sources()) {
     const std::string name = source.filename();
-    if (name == "log.h") continue;  // the logger itself
+    if (name == "log.h") continue;  // defines LogEvent and Line()
     const std::string text = Read(source);
 
     EXPECT_TRUE(Matches(text, "LogEvent\\(\\s*(\")").empty()) << name;
-    if (name == "sidecar.cpp") continue;  // passes on what the balancer writes, which is a text
+    if (name == "sidecar.cpp") continue;  // writes the balancer's log lines, which are plain text
     EXPECT_TRUE(Matches(text, "(log_?|log\\(\\))\\.Line\\(").empty()) << name;
   }
 }
--- a/tests/sidecar/log_test.cpp
+++ b/tests/sidecar/log_test.cpp
@@ -1,4 +1,4 @@
-// The form of log lines.
+// Unit tests of the format of log lines and of the logger's rate limit.
 #include "sidecar/log.h"
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 namespace lb::sidecar {
 namespace {
 
-TEST(LogEvent, NamesTheEventFirstAndThenItsFieldsInOrder) {
+TEST(LogEvent, StartsWithItsNameFollowedByItsFieldsInOrder) {
   const std::string text = LogEvent("upstream_ejected")
                                .With("upstream", "s-5be2")
                                .With("failures", 5)
@@ -27,7 +27,7 @@
   EXPECT_EQ(LogEvent("e").With("k", "").text(), "e k=\"\"");
 }
 
-TEST(Logger, CutsLongLinesAndPutsItsNameFirst) {
+TEST(Logger, TruncatesLongLinesAndStartsThemWithItsName) {
   std::ostringstream out;
   Logger log("s1", &out);
 
@@ -37,7 +37,7 @@
   EXPECT_LT(out.str().size(), 600U);
 }
 
-TEST(Logger, BoundsHowManyLinesGoOut) {
+TEST(Logger, LimitsTheRateOfLines) {
   std::ostringstream out;
   Logger log("s1", &out);
 
--- a/tests/sidecar/readiness_test.cpp
+++ b/tests/sidecar/readiness_test.cpp
@@ -1,4 +1,4 @@
-// What `/ready` says, by values alone.
+// Unit tests of the reasons that `GET /ready` reports.
 #include "sidecar/readiness.h"
 
 #include <chrono>
@@ -16,7 +16,7 @@
   return state;
 }
 
-TEST(Readiness, IsGivenToASidecarThatServes) { EXPECT_EQ(WhyNotReady(Serving()), std::nullopt); }
+TEST(Readiness, IsReportedBySidecarsThatServe) { EXPECT_EQ(WhyNotReady(Serving()), std::nullopt); }
 
 TEST(Readiness, WaitsForDiscoveryNoLongerThanTheTimeout) {
   ServingState state = Serving();
@@ -28,7 +28,7 @@
   EXPECT_EQ(WhyNotReady(state), std::nullopt);
 }
 
-TEST(Readiness, DemandsAnUpstreamBeforeItSpeaksOfStarting) {
+TEST(Readiness, ReportsAMissingUpstreamBeforeStarting) {
   ServingState state = Serving();
   state.serving = false;
   EXPECT_EQ(WhyNotReady(state), NotReadyReason::kStarting);
@@ -37,7 +37,7 @@
   EXPECT_EQ(WhyNotReady(state), NotReadyReason::kNoUpstream);
 }
 
-TEST(Readiness, NamesStoppingAheadOfDrainingAheadOfAllElse) {
+TEST(Readiness, ReportsStoppingBeforeDrainingBeforeAllElse) {
   ServingState state;
   state.draining = true;
   EXPECT_EQ(WhyNotReady(state), NotReadyReason::kDraining);
--- a/tests/sidecar/stored_override_test.cpp
+++ b/tests/sidecar/stored_override_test.cpp
@@ -1,5 +1,5 @@
-// The stored form of operator overrides and the lines of a hot restart, by values alone: both are fixed by
-// the first release.
+// Unit tests of the stored form of operator overrides and of hot restart messages. Both must stay as they
+// were in the first release, because processes and files of different releases have to work together.
 #include "sidecar/stored_override.h"
 
 #include <set>
@@ -18,7 +18,7 @@
   EXPECT_EQ(ToStoredForm(StoredOverride::UpstreamDisabled(std::string("\0\xff", 2))), "out-00ff");
 }
 
-TEST(StoredOverride, IsReadBackWhateverBytesAreInTheId) {
+TEST(StoredOverride, IsParsedForAnyBytesInTheId) {
   std::string all_bytes;
   for (int c = 0; c < 256; ++c) all_bytes.push_back(static_cast<char>(c));
   for (const auto& stored : {StoredOverride::Draining(), StoredOverride::UpstreamDisabled(all_bytes)}) {
@@ -26,14 +26,14 @@
   }
 }
 
-TEST(StoredOverride, IsNotReadFromOtherTexts) {
+TEST(StoredOverride, IsNotParsedFromOtherTexts) {
   for (const char* text :
        {"", "drain", "drained ", "out-", "out-7", "out-7z", "out-7A", "long-7531", "handover"}) {
     EXPECT_EQ(ParseStoredForm(text), std::nullopt) << text;
   }
 }
 
-TEST(StoredOverride, GoesIntoTheContentsWhereItIsTooLongForAFileName) {
+TEST(StoredOverride, IsTheFileContentsIfTooLongForAFileName) {
   const auto fits = StoredOverride::UpstreamDisabled(std::string(120, 'x'));
   const auto too_long = StoredOverride::UpstreamDisabled(std::string(121, 'x'));
 
@@ -44,7 +44,7 @@
   EXPECT_EQ(FileContentsOf(too_long), ToStoredForm(too_long));
 }
 
-// The order in which overrides are stored and told.
+// Overrides are written to the folder and sent to other processes in this order.
 TEST(StoredOverride, IsOrderedAsItsStoredForm) {
   const std::set<StoredOverride> overrides = {
       StoredOverride::UpstreamDisabled("\xff"), StoredOverride::UpstreamDisabled("a"),
@@ -68,7 +68,7 @@
   EXPECT_EQ(message.action, OverrideAction::kWithdraw);
 }
 
-TEST(HotRestartMessages, TellUnknownOverridesFromLinesOfAnotherKind) {
+TEST(HotRestartMessages, DistinguishUnknownOverridesFromOtherLines) {
   const auto unknown = ParseLine("+nonsense");
   ASSERT_TRUE(unknown);
   EXPECT_EQ(std::get<UnknownOverride>(*unknown).text, "nonsense");
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -1,4 +1,4 @@
-// An upgrade of the real program under load: a second process inherits the listener of the first.
+// An upgrade of lb-sidecar under load: a second process inherits the listener of the first.
 #include <sys/stat.h>
 
 #include <atomic>
@@ -17,8 +17,9 @@
 namespace lb::sidecar::testing {
 namespace {
 
-// Clients that each send one request after another, each on a new connection, until they are stopped. A
-// request whose connection closes before any of a response is sent once more, as RFC 9110 allows (9.2.2).
+// Several clients, each of which sends one request after another until it is stopped, each request on a new
+// connection. A request whose connection closes before any part of a response is sent once more, which RFC
+// 9110 allows for idempotent methods (9.2.2).
 class ClientLoad {
  public:
   explicit ClientLoad(std::uint16_t port) {
@@ -44,7 +45,7 @@
           const auto response = client.Get("/page/k", id);
           served = response && response->result_int() == 200;
         } catch (const boost::system::system_error&) {
-          ++lost_;  // refused: nobody listens
+          ++lost_;  // connection refused: no process listens
         }
       }
       ++(served ? served_ : lost_);
@@ -80,7 +81,7 @@
   Discovery discovery_{List({Target("u1", upstream_.address())})};
 };
 
-TEST_F(Upgrade, LosesNoRequestThreeTimesInARow) {
+TEST_F(Upgrade, LosesNoRequestInThreeUpgradesInARow) {
   auto sidecar = StartSidecar();
   ASSERT_TRUE(BecomesReady(*sidecar));
   ClientLoad load(sidecar->port());
@@ -102,13 +103,14 @@
   ASSERT_TRUE(BecomesReady(*sidecar));
   ClientLoad load(sidecar->port());
   {
-    SidecarProcess::Options options = WithAdmin(json::array(), folder_.path());  // it never has an upstream
+    SidecarProcess::Options options =
+        WithAdmin(json::array(), folder_.path());  // without an upstream it never serves
     options.listen = Address(*sidecar);
-    SidecarProcess never(options);
-    ASSERT_TRUE(never.Listening());
+    SidecarProcess never_serving(options);
+    ASSERT_TRUE(never_serving.Listening());
     EXPECT_TRUE(
         Eventually([&] { return sidecar->log().find("hot_restart_next_connected") != std::string::npos; }));
-    EXPECT_EQ(never.Status("GET", "/ready"), 503U);
+    EXPECT_EQ(never_serving.Status("GET", "/ready"), 503U);
     const int before = load.served();
     EXPECT_TRUE(Eventually([&] { return load.served() > before + 20; }));
   }
@@ -150,30 +152,30 @@
 TEST_F(Upgrade, AnswersHealthChecksInTheOldProcessWhileTheNewOneServes) {
   auto sidecar = StartSidecar();
   ASSERT_TRUE(BecomesReady(*sidecar));
-  Client front(sidecar->port());
-  ASSERT_TRUE(front.Get("/page/k", "f1"));
-  ASSERT_TRUE(front.Send("GET /up HT"));  // partly sent when the old process is stopped
+  Client health_checker(sidecar->port());
+  ASSERT_TRUE(health_checker.Get("/page/k", "f1"));
+  ASSERT_TRUE(health_checker.Send("GET /up HT"));  // partly sent when the old process is stopped
   auto next = StartSidecar(Address(*sidecar));
   ASSERT_TRUE(BecomesReady(*next));
   ASSERT_TRUE(
       Eventually([&] { return sidecar->log().find("hot_restart_next_serves") != std::string::npos; }));
   sidecar->Signal(SIGTERM);
   ASSERT_TRUE(Eventually([&] { return sidecar->Status("GET", "/ready") == 503; }));
-  ASSERT_TRUE(front.Send("TP/1.1\r\nHost: x\r\n\r\n"));
-  const auto response = front.Read();
+  ASSERT_TRUE(health_checker.Send("TP/1.1\r\nHost: x\r\n\r\n"));
+  const auto response = health_checker.Read();
   ASSERT_TRUE(response);
   EXPECT_EQ(response->result_int(), 200U);
   EXPECT_FALSE(response->keep_alive());
 }
 
-// The previous process does not hand over its listener, and SIGTERM comes meanwhile.
-TEST(UpgradeStart, EndsInOrderOnASignalWhileItWaitsForTheListener) {
+// SIGTERM arrives while the next process waits for the listener of a previous process that does not pass it.
+TEST(UpgradeStart, ExitsRegularlyOnASignalWhileItWaitsForTheListener) {
   const Folder folder;
   ASSERT_EQ(::mkdir((StateFolder(folder)).c_str(), 0700), 0);
   boost::asio::io_context io;
-  boost::asio::local::stream_protocol::acceptor before(io, StateFolder(folder) + "/handover");
+  boost::asio::local::stream_protocol::acceptor previous_acceptor(io, StateFolder(folder) + "/handover");
   SidecarProcess sidecar(WithAdmin(json::array(), folder.path()));
-  const auto waiting = before.accept();
+  const auto waiting = previous_acceptor.accept();
   sidecar.Signal(SIGTERM);
   EXPECT_EQ(sidecar.Wait(), 0);
 }
