--- a/sidecar/attempt_launcher.cpp
+++ b/sidecar/attempt_launcher.cpp
@@ -17,13 +17,14 @@
 
 using std::chrono::milliseconds;
 
-// How long an attempt waits before it checks again a client whose presence is unknown. A half-close probe
-// takes about as long on one machine.
+// While it is unknown whether a client is connected, the attempt checks again after this time. A half-close
+// probe on one machine takes about as long.
 constexpr Duration kPresenceRecheck = milliseconds(2);
-// An attempt is never sent with less time than this: X-Timeout-Ms counts whole milliseconds.
+// Lower bound of an attempt's timeout: X-Timeout-Ms is in whole milliseconds.
 constexpr Duration kMinTimeout = milliseconds(1);
 
-// What the log calls an outcome that is an upstream's or this machine's fault; nothing for the others.
+// The log's name of an outcome that counts as a failure of the upstream or of this machine; none for other
+// outcomes.
 std::optional<std::string_view> FaultName(Outcome outcome) {
   switch (outcome) {
     case Outcome::kError:
@@ -41,6 +42,7 @@
   }
 }
 
+// Moves `received` into a response to the client, without hop-by-hop header fields.
 HttpResponse CompleteResponse(HttpResponse& received) {
   HttpResponse response(http::status::ok, 11);
   response.base() = std::move(received.base());
@@ -93,7 +95,7 @@
   for (const auto exchange : request.attempts) upstreams_.AbandonUnsent(exchange);
 }
 
-// Once its request has its response no client waits for the attempt.
+// Also kGone if the request has its response already: the client no longer waits.
 Listener::ClientPresence AttemptLauncher::CheckClient(RequestId id) const {
   const InFlightRequest* request = requests_.Find(id);
   return request && request->AwaitsResponse() ? request->check_client() : Listener::ClientPresence::kGone;
@@ -103,7 +105,7 @@
   const InFlightRequest* request = requests_.Find(id);
   if (!request) return Duration::zero();
   if (request->deadline != TimePoint::max()) return request->deadline - now;
-  return request->body->LastByteNotBefore() + request->timeout - now;
+  return request->body->EarliestLastByte() + request->timeout - now;
 }
 
 void AttemptLauncher::Launch(const DecidedAttempt& decided) {
@@ -128,17 +130,17 @@
 ExchangeRequest AttemptLauncher::MakeExchange(const DecidedAttempt& decided, const InFlightRequest& request) {
   const lb::SendAttempt& action = decided.action;
   const RequestId id = action.request;
-  const Duration spent = Now() - decided.decided_at;
+  const Duration elapsed = Now() - decided.decided_at;
   ExchangeRequest exchange;
   exchange.request = request.message;
   exchange.body = request.body;
   exchange.timeout = action.timeout;
-  // The time for a streamed body starts with its last byte: nothing of it is spent yet.
+  // Without a deadline the body is still being streamed, and the timeout starts only with its last byte.
   if (request.deadline != TimePoint::max()) {
-    exchange.timeout = std::max<Duration>(exchange.timeout - spent, kMinTimeout);
+    exchange.timeout = std::max<Duration>(exchange.timeout - elapsed, kMinTimeout);
   }
   exchange.max_connection_idle = action.max_connection_idle;
-  if (action.begin_within != Duration::max()) exchange.begin_within = action.begin_within - spent;
+  if (action.begin_within != Duration::max()) exchange.begin_within = action.begin_within - elapsed;
   exchange.client_is_waiting = [this, id] { return CheckClient(id) == Listener::ClientPresence::kConnected; };
   exchange.time_left = [this, id](TimePoint now) { return TimeLeft(id, now); };
   exchange.body_stall_timeout = request.timeout;
@@ -161,7 +163,8 @@
   host_.Deliver(lb::ResponseStarted{id, attempt});
 }
 
-// The client may half-close its connection, or leave, while a connection to the upstream comes up.
+// The client may close or half-close its connection while the upstream's is being established. If the attempt
+// was not sent because the client's state was unknown, it is retried.
 void AttemptLauncher::HandleExchangeFinished(const DecidedAttempt& decided, ExchangeResult result) {
   if (result.outcome == Outcome::kNotSent &&
       CheckClient(decided.action.request) == Listener::ClientPresence::kUnknown) {
@@ -189,13 +192,13 @@
   event.response_delivered =
       !request->AwaitsResponse() && request->responding_attempt.value_or(decided.attempt) == decided.attempt;
   event.load = result.load;
-  if (result.use > 1) event.connection_idle_for = result.idle;
+  if (result.connection_use > 1) event.connection_idle_for = result.connection_idle_for;
   event.body_consumed = request->body && request->body->consumed();
   host_.Deliver(event);
   requests_.RemoveIfEnded(id, Now());
 }
 
-// One line for each attempt that failed, so that a request can be followed by its id.
+// Logs each failed attempt on a line of its own, so that a request can be traced by its id.
 void AttemptLauncher::LogFailedAttempt(const InFlightRequest& request, const DecidedAttempt& decided,
                                        const ExchangeResult& result) {
   const bool is_streaming = request.responding_attempt == decided.attempt;
@@ -209,11 +212,11 @@
       .With("attempt", static_cast<std::size_t>(decided.attempt))
       .With("streaming", is_streaming ? "yes" : "no")
       .With("elapsed_us", result.elapsed.count())
-      .With("connection_use", result.use)
-      .With("connection_open_us", result.open.count())
-      .With("connection_idle_us", result.idle.count());
-  if (result.why) event.With("error", result.why.message());
-  // Last: it may be long, and a line is cut.
+      .With("connection_use", result.connection_use)
+      .With("connection_open_us", result.connection_open_for.count())
+      .With("connection_idle_us", result.connection_idle_for.count());
+  if (result.connection_error) event.With("error", result.connection_error.message());
+  // The target comes last: it may be long, and overlong lines are truncated.
   const auto target = request.message->target();
   log_.Write(event.With("target", std::string_view(target.data(), target.size())));
 }
--- a/sidecar/attempt_launcher.h
+++ b/sidecar/attempt_launcher.h
@@ -1,6 +1,6 @@
-// Sends the balancer's attempts and load probes over the upstreams' connections, and tells the balancer how
-// each ended. An attempt is sent only while its client is known to wait: a client that has half-closed its
-// connection may have closed it, which is not known before a half-close probe is over.
+// Sends the balancer's attempts and load probes to the upstreams, and reports their results to the balancer.
+// An attempt is sent only while its client is known to be connected. The end of a client's input may be a
+// half-close or a complete close; a half-close probe tells which, and until its result the attempt waits.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -21,39 +21,41 @@
 
 class AttemptLauncher {
  public:
-  // All have to outlive the launcher, and the io_context must not run once it is gone.
+  // All arguments must outlive the launcher, and `io` must not run after the launcher is destroyed.
   AttemptLauncher(boost::asio::io_context& io, BalancerHost& host, RequestTable& requests,
                   Upstreams& upstreams, Logger& log);
 
-  // Each is followed by exactly one AttemptFinished, unless the request is unknown.
+  // Starts the attempt, and delivers exactly one AttemptFinished to the balancer when it ends. Does nothing
+  // if the request is not in the table.
   void StartAttempt(const lb::SendAttempt& action);
+  // Cancels the exchange of the attempt if it is in progress; its AttemptFinished is delivered as usual.
   void CancelAttempt(const lb::CancelAttempt& action);
-  // Followed by exactly one LoadProbeFinished.
+  // Delivers exactly one LoadProbeFinished to the balancer.
   void StartLoadProbe(const lb::SendLoadProbe& action);
 
-  // Gives the request its response, unless it has one, and abandons what is unsent. `body`: of a streamed
-  // response.
+  // Sends the response to the client, unless the request has one already, and abandons the unsent attempts of
+  // the request. `body`: the body of a streamed response, or null.
   void Respond(InFlightRequest& request, HttpResponse response, Body body = nullptr);
-  // Keeps attempts of the request that are not written yet from being written. The balancer lets a half-open
-  // probe go on behind the response, to learn of its upstream; where its connection has not come up by now
-  // the request must not be forwarded any more.
+  // Prevents attempts of the request that have not been written yet from being written. The balancer lets a
+  // half-open probe continue after the response, to test its upstream; but if its connection is not
+  // established by now, the request must not be forwarded any more.
   void AbandonUnsent(const InFlightRequest& request);
 
  private:
-  // An attempt, and when the balancer decided on it.
+  // An attempt and the time of the balancer's decision to send it.
   struct DecidedAttempt {
     lb::SendAttempt action;
     AttemptId attempt{};
     TimePoint decided_at;
   };
 
-  // Sends the attempt, or does so later where the client's presence is unknown. Nothing is sent for a client
-  // that is gone.
+  // Sends the attempt if its client is connected, and retries later if that is unknown. If the client is
+  // gone, finishes the attempt as kNotSent.
   void Launch(const DecidedAttempt& decided);
   void LaunchLater(const DecidedAttempt& decided);
   ExchangeRequest MakeExchange(const DecidedAttempt& decided, const InFlightRequest& request);
   Listener::ClientPresence CheckClient(RequestId id) const;
-  // How long the client will still wait, at least.
+  // A lower bound of the time that the client will still wait from `now`; zero if the request has ended.
   Duration TimeLeft(RequestId id, TimePoint now) const;
   void HandleResponseStarted(RequestId id, AttemptId attempt, HttpResponse head, Body body);
   void HandleExchangeFinished(const DecidedAttempt& decided, ExchangeResult result);
--- a/sidecar/body_stream.h
+++ b/sidecar/body_stream.h
@@ -1,5 +1,5 @@
-// A body that is streamed from one connection to another. Holds at most about its capacity: a slow reader
-// must not make the sidecar buffer the whole body.
+// A message body that is streamed from one connection to another. Its capacity limits how much is buffered,
+// so that a slow reader does not make the sidecar buffer the whole body.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,14 +17,15 @@
 
 namespace lb::sidecar {
 
-// The writer puts pieces in while there is capacity, the reader takes them out. Each is notified of the other
-// by its hook, from the event loop and never from within a call, and clears its hook before it is destroyed.
+// The writer adds pieces while there is capacity, and the reader removes them. Hooks notify each side of the
+// other's actions; they run from the event loop, never from within a call. Each side must clear its hook
+// before it is destroyed.
 class BodyStream : public std::enable_shared_from_this<BodyStream> {
  public:
   using Hook = std::function<void()>;
 
-  // `capacity`: bytes held before the writer has to wait. `length`: of the whole body, where it is known
-  // ahead.
+  // `capacity`: number of buffered bytes from which the writer must wait. `length`: bytes of the whole body,
+  // if known in advance.
   BodyStream(boost::asio::io_context& io, std::size_t capacity, boost::optional<std::uint64_t> length)
       : io_(io), capacity_(capacity), length_(length) {}
 
@@ -32,16 +33,16 @@
 
   // ---- The writer's side ----
 
-  Hook on_capacity;  // there is capacity again, or the reader has left
-  bool HasCapacity() const { return held_.size() < capacity_; }
+  Hook on_capacity;  // called when the reader has read or abandoned the stream
+  bool HasCapacity() const { return buffered_.size() < capacity_; }
   void Write(const char* bytes, std::size_t size) {
-    held_.append(bytes, size);
+    buffered_.append(bytes, size);
     PostHook(&BodyStream::on_data);
   }
-  // When more of the body was last known to be still incoming; asked while it is not known to be sent whole.
+  // Returns the last time at which more of the body was known to be still incoming. Called until MarkSent().
   std::function<TimePoint()> last_seen_incoming;
-  // The peer sent the last byte at `at`, or soon after; the rest may still have to be read from the socket.
-  // The first call counts.
+  // Records that the peer sent the last byte of the body at `at` or soon after; some of it may not have been
+  // read from the socket yet. Calls after the first are ignored.
   void MarkSent(TimePoint at) {
     if (sent_at_) return;
     sent_at_ = at;
@@ -51,39 +52,39 @@
     finished_ = true;
     PostHook(&BodyStream::on_data);
   }
-  // The body will never be complete.
+  // Ends the body as incomplete, unless it is finished.
   void AbortByWriter() {
     broken_ = !finished_;
     PostHook(&BodyStream::on_data);
   }
-  bool left() const { return left_; }
+  bool left() const { return abandoned_; }
 
   // ---- The reader's side ----
 
-  Hook on_data;  // there is more, or the end of it
-  // `hook` is called when all of the body has been sent, also where that was before: a response time runs
-  // from there.
+  Hook on_data;  // called when data has arrived or the body has ended
+  // Calls `hook` when the peer has sent all of the body, also if it has done so already: the time limit of
+  // the response starts then.
   void NotifyWhenSent(Hook hook) {
     on_sent_ = std::move(hook);
     if (sent_at_) PostHook(&BodyStream::on_sent_);
   }
   std::optional<TimePoint> sent_at() const { return sent_at_; }
-  // The peer did not send the last byte before this time.
-  TimePoint LastByteNotBefore() const {
+  // A lower bound of the time at which the peer sends, or sent, the last byte.
+  TimePoint EarliestLastByte() const {
     return sent_at_ ? *sent_at_ : last_seen_incoming ? last_seen_incoming() : Now();
   }
   std::string Read() {
-    consumed_ = consumed_ || !held_.empty();
+    consumed_ = consumed_ || !buffered_.empty();
     PostHook(&BodyStream::on_capacity);
-    return std::exchange(held_, {});
+    return std::exchange(buffered_, {});
   }
-  bool ended() const { return finished_ && held_.empty(); }
+  bool ended() const { return finished_ && buffered_.empty(); }
   bool broken() const { return broken_; }
   bool finished() const { return finished_; }
-  // Something was read: the body can't be sent to another upstream.
+  // Some of the body has been read, so it can't be sent to another upstream.
   bool consumed() const { return consumed_; }
   void AbandonByReader() {
-    left_ = true;
+    abandoned_ = true;
     PostHook(&BodyStream::on_capacity);
   }
 
@@ -91,7 +92,7 @@
   void PostHook(Hook BodyStream::*hook) {
     if (!((*this).*hook)) return;
     boost::asio::post(io_, [self = shared_from_this(), hook] {
-      // The hook may be cleared while it runs, so a copy is called.
+      // A hook may clear itself while it runs, so a copy is called.
       const Hook called = (*self).*hook;
       if (called) called();
     });
@@ -102,10 +103,10 @@
   std::optional<TimePoint> sent_at_;
   const std::size_t capacity_;
   const boost::optional<std::uint64_t> length_;
-  std::string held_;
+  std::string buffered_;
   bool finished_ = false;
   bool broken_ = false;
-  bool left_ = false;
+  bool abandoned_ = false;
   bool consumed_ = false;
 };
 
--- a/sidecar/connect.cpp
+++ b/sidecar/connect.cpp
@@ -14,9 +14,9 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-// Of what connect() returns at once. A network or host that is unreachable then has no route on this machine;
-// where the network reported it, it comes with SO_ERROR later and counts as the upstream's. So do refusals
-// and time-outs.
+// Whether an error that connect() returns immediately is a failure of this machine. An immediate ENETUNREACH
+// or EHOSTUNREACH means that this machine has no route. If the network reports the upstream unreachable, the
+// error comes later through SO_ERROR and counts as the upstream's failure, as do refusals and time-outs.
 bool IsLocal(int error) {
   switch (error) {
     case EADDRNOTAVAIL:
@@ -44,18 +44,18 @@
 std::optional<ConnectResult> BeginConnect(tcp::socket& socket, const tcp::endpoint& endpoint) {
   const auto size = static_cast<socklen_t>(endpoint.size());
   if (::connect(socket.native_handle(), endpoint.data(), size) == 0) return ConnectResult{};
-  // An interrupted connect() goes on by itself (POSIX).
+  // An interrupted connect() continues asynchronously (POSIX).
   if (errno == EINPROGRESS || errno == EINTR) return std::nullopt;
   return ConnectResult{SystemError(errno), IsLocal(errno)};
 }
 
 void AwaitConnected(tcp::socket& socket, std::function<void(ConnectResult)> on_connected) {
-  // Before it completes: the owner may close the socket, which ends the wait with an error.
+  // The owner may close the socket before the wait completes, which ends the wait with an error.
   socket.async_wait(tcp::socket::wait_write,
                     [&socket, on_connected = std::move(on_connected)](error_code error) mutable {
                       if (error) return on_connected({error});
                       const int descriptor = socket.native_handle();
-                      // A spurious wake-up.
+                      // Spurious wake-up: the connection is still in progress.
                       if (PollNow(descriptor, POLLOUT) == 0)
                         return AwaitConnected(socket, std::move(on_connected));
                       int socket_error = 0;
--- a/sidecar/connection_pool.cpp
+++ b/sidecar/connection_pool.cpp
@@ -13,15 +13,15 @@
 using boost::system::error_code;
 using std::chrono::milliseconds;
 
-// The upstream counts from when it wrote its response, the sidecar from when it read it, and a request needs
-// time to get there: an idle connection is retired this part of the upstream's limit early, and at least by
-// the margin, but not before half of the limit.
+// An idle connection is retired before the upstream's idle timeout: the upstream measures the idle time from
+// writing its response, the sidecar from reading it, and the next request needs time to arrive. The margin is
+// this fraction of the timeout, at least kMinIdleMargin, and at most half of the timeout.
 constexpr int kIdleMarginDivisor = 10;
 constexpr Duration kMinIdleMargin = milliseconds(500);
-// Bounds how long an idle connection outlives its limit; short beside the margin.
+// An idle connection may exceed its time limit by this much. Short compared to kMinIdleMargin.
 constexpr auto kSweepInterval = milliseconds(250);
-// If closing an idle connection did not free a socket, other processes hold what is short: none is
-// closed for that reason for this long.
+// If a socket can't be opened even after an idle connection was closed, other processes hold the scarce
+// descriptors. No further idle connection is closed for that reason during this time.
 constexpr Duration kFutileEvictionPause = milliseconds(100);
 
 Duration MaxIdle(Duration upstream_idle_timeout) {
@@ -56,8 +56,8 @@
   return nullptr;
 }
 
-// Where the system refuses a socket, closing an idle connection helps only a shortage of this very process,
-// and one is enough: the others are what requests can still be sent on.
+// When the system refuses a socket, closing an idle connection helps only if this process itself is at its
+// limit. One is enough; the others stay open, because requests can still be sent on them.
 ConnectionPool::Opened ConnectionPool::Open(const std::shared_ptr<UpstreamPool>& pool) {
   while (!context_.descriptors.HasCapacity(Descriptors::Side::kUpstream)) {
     if (!EvictLongestIdle()) return {};
@@ -79,22 +79,23 @@
 }
 
 void ConnectionPool::Insert(UpstreamPool& pool, const std::shared_ptr<UpstreamConnection>& connection) {
-  // One that was returned unused keeps its age, so its place is near the end, but not always at it.
+  // A connection that was returned unused keeps its earlier idle time, so the search starts at the end but
+  // may go back.
   const TimePoint since = connection->idle_since();
-  auto place = longest_idle_first_.end();
-  while (place != longest_idle_first_.begin() && (*std::prev(place))->idle_since() > since) --place;
-  place = longest_idle_first_.insert(place, connection.get());
-  const auto is_longer = [](TimePoint time, const UpstreamPool::Entry& other) {
+  auto position = longest_idle_first_.end();
+  while (position != longest_idle_first_.begin() && (*std::prev(position))->idle_since() > since) --position;
+  position = longest_idle_first_.insert(position, connection.get());
+  const auto is_earlier = [](TimePoint time, const UpstreamPool::Entry& other) {
     return time < other.connection->idle_since();
   };
-  pool.idle.insert(std::upper_bound(pool.idle.begin(), pool.idle.end(), since, is_longer),
-                   {connection, place});
+  pool.idle.insert(std::upper_bound(pool.idle.begin(), pool.idle.end(), since, is_earlier),
+                   {connection, position});
 }
 
 std::shared_ptr<UpstreamConnection> ConnectionPool::Take(UpstreamPool& pool, std::size_t index) {
   const auto at = pool.idle.begin() + static_cast<std::ptrdiff_t>(index);
   auto connection = std::move(at->connection);
-  longest_idle_first_.erase(at->place);
+  longest_idle_first_.erase(at->position);
   pool.idle.erase(at);
   return connection;
 }
@@ -102,23 +103,25 @@
 void ConnectionPool::Remove(const UpstreamConnection& connection) {
   const auto pool = connection.pool();
   if (!pool) return;
-  const auto is_it = [&](const UpstreamPool::Entry& entry) { return entry.connection.get() == &connection; };
-  const auto at = std::ranges::find_if(pool->idle, is_it);
+  const auto is_same = [&](const UpstreamPool::Entry& entry) {
+    return entry.connection.get() == &connection;
+  };
+  const auto at = std::ranges::find_if(pool->idle, is_same);
   if (at != pool->idle.end()) Take(*pool, static_cast<std::size_t>(at - pool->idle.begin()));
 }
 
 void ConnectionPool::CloseIdle(UpstreamPool& pool) {
   for (const auto& entry : pool.idle) {
-    longest_idle_first_.erase(entry.place);
+    longest_idle_first_.erase(entry.position);
     entry.connection->Close();
   }
   pool.idle.clear();
 }
 
 void ConnectionPool::EnforceCapacity() {
-  bool is_evicted = true;
-  while (is_evicted && !context_.descriptors.HasCapacity(Descriptors::Side::kUpstream)) {
-    is_evicted = EvictLongestIdle();
+  bool has_evicted = true;
+  while (has_evicted && !context_.descriptors.HasCapacity(Descriptors::Side::kUpstream)) {
+    has_evicted = EvictLongestIdle();
   }
 }
 
--- a/sidecar/connection_pool.h
+++ b/sidecar/connection_pool.h
@@ -1,4 +1,4 @@
-// Idle connections to the upstreams, and the opening of new ones within the limit on descriptors.
+// Pools of idle upstream connections. Opens new connections within the limit on file descriptors.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
@@ -14,60 +14,62 @@
 
 namespace lb::sidecar {
 
-// All pools' idle connections, the one that has been idle for longest first.
+// The idle connections of all pools, longest idle first.
 using IdleOrder = std::list<UpstreamConnection*>;
 
-// The pool of one upstream, at one place and of one process: where it moves or restarts it gets a new pool,
-// and connections that are in use then find theirs gone.
+// The pool of one process of an upstream at one address. When the upstream changes its address or restarts,
+// it gets a new pool, so that connections to the old process are not reused.
 struct UpstreamPool {
   struct Entry {
     std::shared_ptr<UpstreamConnection> connection;
-    IdleOrder::iterator place;
+    IdleOrder::iterator position;  // in the list of the idle connections of all pools
   };
 
   std::string upstream;
   Location location;
-  std::vector<Entry> idle;  // the most recently used one last; changed by ConnectionPool only
+  std::vector<Entry> idle;  // most recently used last; changed by ConnectionPool only
 };
 
-// A connection is in here from Insert() until it is taken, removed or closed. As idle connections are closed
-// by the upstream after a time that it knows, and a request written to one that is being closed ends as a
-// reset, they are used and kept for a little less than that time.
+// Holds a connection from Insert() until it is taken, removed or closed. An upstream closes a connection
+// after a fixed idle timeout, and a request that is written while the upstream closes is reset. So the pool
+// retires a connection somewhat before that timeout.
 class ConnectionPool {
  public:
-  // `upstream_idle_timeout`: after which an upstream closes a connection that is idle. `context` and the
-  // event loop have to outlive the pool.
+  // `upstream_idle_timeout`: the time after which an upstream closes an idle connection. `context` and the
+  // event loop must outlive the pool.
   ConnectionPool(const UpstreamConnection::Context& context, Duration upstream_idle_timeout);
 
-  // The most recently used connection that can be used now and has been idle for less than `max_idle`; null
-  // where there is none. Closes those that it comes across and that can't be used any more.
+  // Removes and returns the most recently used connection that is usable now and has been idle for less than
+  // `max_idle`, or null. Closes the stale connections that it finds on the way.
   std::shared_ptr<UpstreamConnection> TakeUsable(UpstreamPool& pool, Duration max_idle);
-  // One that will be usable within kReuseDelay, for where no other can be opened; null where there is none.
+  // Removes and returns a connection that becomes usable within kReuseDelay, or null. A fallback for when no
+  // new connection can be opened.
   std::shared_ptr<UpstreamConnection> TakeSoonUsable(UpstreamPool& pool);
 
   struct Opened {
-    std::shared_ptr<UpstreamConnection> connection;  // null where none could be opened
-    // What the system said to that; none where the limit on descriptors is reached.
+    std::shared_ptr<UpstreamConnection> connection;  // null if none could be opened
+    // The error of the system call; no error if the limit on file descriptors is reached.
     boost::system::error_code error{};
   };
-  // Opens a connection; closes idle ones of any pool if that frees a descriptor for it. Failure is this
-  // machine's, not the upstream's, and proves that nothing ran.
+  // Opens a connection. If file descriptors are short, closes idle connections of any pool to free one. Fails
+  // only for reasons local to this machine, so a failure proves that nothing was sent.
   Opened Open(const std::shared_ptr<UpstreamPool>& pool);
 
-  // Takes a connection in, in its place by age.
+  // Adds a connection, ordered by the start of its idle time.
   void Insert(UpstreamPool& pool, const std::shared_ptr<UpstreamConnection>& connection);
-  // Without closing it. Does nothing where it is not in here.
+  // Removes a connection without closing it. Does nothing if the connection is not in the pool.
   void Remove(const UpstreamConnection& connection);
   // Closes all idle connections of the pool.
   void CloseIdle(UpstreamPool& pool);
-  // Closes idle connections until they keep to the limit on descriptors, or none is left.
+  // Closes idle connections, longest idle first, until the sidecar is within its limit on file descriptors or
+  // none is left.
   void EnforceCapacity();
 
  private:
-  // Takes the entry out of its pool and of the order.
+  // Removes the entry from its pool and from `longest_idle_first_`, and returns its connection.
   std::shared_ptr<UpstreamConnection> Take(UpstreamPool& pool, std::size_t index);
   Opened TryOpen(const std::shared_ptr<UpstreamPool>& pool);
-  // Closes the connection that has been idle for longest; false where there is none.
+  // Closes the connection that has been idle longest. Returns false if there is none.
   bool EvictLongestIdle();
   void ScheduleSweep();
   void Sweep();
@@ -75,7 +77,7 @@
   const UpstreamConnection::Context& context_;
   const Duration max_idle_;
   IdleOrder longest_idle_first_;
-  TimePoint no_eviction_before_;  // for a shortage that an eviction did not help
+  TimePoint no_eviction_before_;  // set after an eviction that did not end a shortage of descriptors
   boost::asio::steady_timer sweep_;
 };
 
--- a/sidecar/exchange.h
+++ b/sidecar/exchange.h
@@ -1,5 +1,5 @@
-// One exchange with an upstream: a request, which may be sent, and what became of it. An attempt of a
-// client's request is one exchange, and so is a load probe.
+// One exchange with an upstream: a request to send, and its result. Each attempt of a client's request is one
+// exchange, and so is each load probe.
 #pragma once
 
 #include <boost/system/error_code.hpp>
@@ -14,55 +14,56 @@
 
 namespace lb::sidecar {
 
-// Chosen by the caller; unique among the exchanges that have not finished.
+// Chosen by the caller, and unique among the unfinished exchanges.
 enum class ExchangeId : std::uint64_t {};
 
-// How an exchange ended. The move assignment of Beast's fields may throw.
+// The result of an exchange. The lint exception: the move assignment of Beast's fields may throw.
 // NOLINTNEXTLINE(bugprone-exception-escape)
 struct ExchangeResult {
   lb::Outcome outcome = lb::Outcome::kServed;
-  // From the start of the exchange; where the request's body is streamed, from its last byte.
+  // Time from the start of the exchange, or from the last byte of a streamed request.
   Duration elapsed{};
-  // As reported in the response's X-Server-Load, or in the body of a load probe's response.
+  // The upstream's load, as reported in the response's X-Server-Load, or in the body of a load probe's
+  // response.
   lb::LoadReport load;
-  // Empty unless a response was read whole. Its body is empty where it was streamed.
+  // Empty unless a response was read completely. The body is empty if it was streamed.
   HttpResponse response;
-  // Why the connection or the attempt to open one failed; success where neither did.
-  boost::system::error_code why{};
-  // Of the connection when this exchange started: how many exchanges it has had, this one among them, for how
-  // long it had been open, and for how long idle.
-  std::uint64_t use = 0;
-  Duration open{};
-  Duration idle{};
+  // The error of the connection, or of opening one; no error if neither failed.
+  boost::system::error_code connection_error{};
+  // Number of exchanges on the connection, including this one; 0 if there was no connection.
+  std::uint64_t connection_use = 0;
+  // How long the connection had been open, and how long idle, when this exchange started.
+  Duration connection_open_for{};
+  Duration connection_idle_for{};
 };
 
-// What to send and how long to wait. All callbacks run on the event loop's thread.
+// The request to send, its time limits and its callbacks. All callbacks run on the event loop's thread.
 struct ExchangeRequest {
-  // Called at most once, before `on_finished`, where the response's body is streamed. The response's body is
-  // empty; the receiver shares `body` with the connection, which ends it.
+  // Called at most once, before `on_finished`, if the response's body is streamed. `head` has no body of its
+  // own: the connection writes the body to `body`, and finishes or aborts that stream.
   using OnResponseStarted = std::function<void(HttpResponse head, Body body)>;
-  // Called exactly once, also where nothing could be sent; then possibly from within StartExchange.
+  // Called exactly once. If nothing could be sent, the call may come from within Upstreams::StartExchange().
   using OnFinished = std::function<void(ExchangeResult)>;
 
-  // Shared with the other attempts of the same request; never null, never changed.
+  // Shared with the other attempts of the same request. Never null, never modified.
   std::shared_ptr<const HttpRequest> request;
-  // Null, or the body of a request that is streamed; `request` has none then.
+  // The body of a streamed request, in which case `request` has no body; otherwise null.
   Body body;
-  // For the whole exchange from its start; where the body is streamed, from its last byte.
+  // Time limit of the exchange, from its start or, if the body is streamed, from its last byte.
   Duration timeout{};
-  // A pooled connection that has been idle for longer is not used.
+  // A pooled connection that has been idle for this long or longer is not used.
   Duration max_connection_idle{};
-  // From the start of the exchange. Where no byte is written by then it ends as kNotSent.
+  // Time from the start of the exchange. If no byte has been written by then, the exchange ends as kNotSent.
   Duration begin_within = Duration::max();
-  // Null, or called right before the first byte is written, with nothing but the write after it. Where it
-  // returns false nothing is written and the exchange ends as kNotSent.
+  // Called immediately before the first byte is written. If it returns false, nothing is written and the
+  // exchange ends as kNotSent. May be null.
   std::function<bool()> client_is_waiting;
-  // Null where no client waits, or returns how long the client will still wait from the time given. The
-  // upstream gets no more than that in X-Timeout-Ms, and is not waited for any longer.
+  // Returns how long the client will still wait, from the given time on; null if no client waits. This limits
+  // both X-Timeout-Ms and the time that the exchange waits for the upstream.
   std::function<Duration(TimePoint)> time_left;
-  // An upstream that takes no byte of a streamed body for this long has failed.
+  // If the upstream accepts no byte of a streamed body for this long, the exchange fails.
   Duration body_stall_timeout = Duration::max();
-  // Null where a streamed response is of no use: a body over kMaxBufferedBody is a failure then.
+  // Null if the caller can't use a streamed response; a body over kMaxBufferedBody is a failure then.
   OnResponseStarted on_response_started;
   OnFinished on_finished;
 };
--- a/sidecar/exchange_deadlines.cpp
+++ b/sidecar/exchange_deadlines.cpp
@@ -6,15 +6,16 @@
 namespace lb::sidecar {
 namespace {
 
-// A served response of unknown length is held back for this part of the time that is left, rather than
-// streamed at once: while nothing of it has gone to the client, another upstream can still answer where it
-// breaks off.
+// A served response of unknown length is held back for this fraction of the remaining time instead of being
+// streamed at once: if it breaks off before any of it was sent to the client, another upstream can still
+// answer.
 constexpr int kHoldBackDivisor = 10;
 constexpr Duration kMinHoldBack = std::chrono::milliseconds(1);
-// Streamed bodies may come and go slowly; an upstream that moves no byte for this long has failed.
+// Streamed bodies may be slow, but an upstream that neither sends nor accepts a byte for this long has
+// failed.
 constexpr Duration kStreamStallTimeout = std::chrono::seconds(10);
 
-// No more than what the client will still wait.
+// Limits `wait` to the time that the client will still wait.
 Duration BoundedByClient(const ExchangeRequest& request, Duration wait, TimePoint now) {
   return request.time_left ? std::min(wait, request.time_left(now)) : wait;
 }
@@ -31,7 +32,7 @@
   response_ = now + BoundedByClient(request, request.timeout, now);
 }
 
-Duration ExchangeDeadlines::ToldTimeout(const ExchangeRequest& request, TimePoint now) const {
+Duration ExchangeDeadlines::UpstreamTimeout(const ExchangeRequest& request, TimePoint now) const {
   const Duration wait = request.body ? request.timeout : Duration(response_ - now);
   return BoundedByClient(request, wait, now);
 }
--- a/sidecar/exchange_deadlines.h
+++ b/sidecar/exchange_deadlines.h
@@ -1,4 +1,4 @@
-// By when each step of an exchange has to be done. Keeps no clock: every call is handed the time.
+// The deadlines of the steps of an exchange. Reads no clock: the caller passes the current time.
 #pragma once
 
 #include "sidecar/clock.h"
@@ -9,24 +9,27 @@
 class ExchangeDeadlines {
  public:
   ExchangeDeadlines() = default;
-  // Of an exchange that starts now.
+  // Deadlines of an exchange that starts at `now`.
   ExchangeDeadlines(const ExchangeRequest& request, TimePoint now);
-  // The last byte of a streamed request has been written: the time for the response runs from now.
+  // Call when the last byte of a streamed request has been written: the time limit of the response starts at
+  // `now`.
   void RestartAfterLastByte(const ExchangeRequest& request, TimePoint now);
 
   TimePoint started() const { return started_; }
-  // Of the response.
+  // Deadline of the complete response, or of its start if it is streamed.
   TimePoint response() const { return response_; }
-  // Of the first byte of the request; TimePoint::max() where there is no such bound.
+  // Deadline of writing the first byte of the request; TimePoint::max() if there is none.
   TimePoint first_byte() const { return first_byte_; }
-  // How long the upstream will be waited for from the first byte on, which is its X-Timeout-Ms: no more than
-  // the client will still wait, and less by the time that connecting took unless the request is streamed.
-  Duration ToldTimeout(const ExchangeRequest& request, TimePoint now) const;
-  // By when a served response of unknown length, of which nothing has gone to the client, may be held back.
+  // The value of X-Timeout-Ms: how long the sidecar waits for the upstream after the first byte of the
+  // request. Limited to the time that the client will still wait. Connecting time is deducted unless the
+  // request is streamed.
+  Duration UpstreamTimeout(const ExchangeRequest& request, TimePoint now) const;
+  // The time until which a served response of unknown length is held back instead of being streamed to the
+  // client.
   TimePoint HoldBackEnd(TimePoint now) const;
-  // Of the upstream taking the next piece of a streamed request.
+  // Deadline for the upstream to accept the next piece of a streamed request.
   static TimePoint NextPiece(const ExchangeRequest& request, TimePoint now);
-  // Of the next bytes of a streamed response.
+  // Deadline of the next bytes of a streamed response.
   static TimePoint NextBytes(TimePoint now);
 
  private:
--- a/sidecar/load_report.cpp
+++ b/sidecar/load_report.cpp
@@ -9,14 +9,14 @@
 
 using boost::beast::string_view;
 
-// Upper bound of each value, whatever its unit; more is a fault of the upstream.
+// Upper bound of each value, whatever its unit. A larger value indicates a faulty upstream.
 constexpr double kMaxLoad = 1e6;
 
 std::optional<double> ParseValue(string_view text) {
   double value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc() || end != text.data() + text.size()) return std::nullopt;
-  // Written so that "nan", which from_chars accepts, fails the comparison.
+  // The negated comparison also rejects "nan", which from_chars accepts.
   if (!(value >= 0 && value <= kMaxLoad)) return std::nullopt;
   return value;
 }
--- a/sidecar/request_writer.cpp
+++ b/sidecar/request_writer.cpp
@@ -43,11 +43,11 @@
 
 void RequestWriter::WriteHead(OnWritten on_written) {
   is_writing_ = true;
-  auto written = Completion(std::move(on_written), body_ ? LastByte::kFollows : LastByte::kIncluded);
+  auto on_completed = Completion(std::move(on_written), body_ ? LastByte::kFollows : LastByte::kIncluded);
   if (body_) {
-    http::async_write_header(stream_, *serializer_, std::move(written));
+    http::async_write_header(stream_, *serializer_, std::move(on_completed));
   } else {
-    http::async_write(stream_, *serializer_, std::move(written));
+    http::async_write(stream_, *serializer_, std::move(on_completed));
   }
 }
 
@@ -66,15 +66,15 @@
 
 void RequestWriter::WritePiece(OnWritten on_written) {
   is_writing_ = true;
-  auto written = Completion(std::move(on_written), piece_end_);
+  auto on_completed = Completion(std::move(on_written), piece_end_);
   const bool is_chunked = !body_->length();
   const auto bytes = boost::asio::buffer(piece_);
   if (!is_chunked) {
-    boost::asio::async_write(stream_, bytes, std::move(written));
+    boost::asio::async_write(stream_, bytes, std::move(on_completed));
   } else if (piece_.empty()) {
-    boost::asio::async_write(stream_, http::make_chunk_last(), std::move(written));
+    boost::asio::async_write(stream_, http::make_chunk_last(), std::move(on_completed));
   } else {
-    boost::asio::async_write(stream_, http::make_chunk(bytes), std::move(written));
+    boost::asio::async_write(stream_, http::make_chunk(bytes), std::move(on_completed));
   }
 }
 
--- a/sidecar/request_writer.h
+++ b/sidecar/request_writer.h
@@ -1,5 +1,5 @@
-// Writes one request at a time to an upstream's connection: a small one at once, a streamed one as a head and
-// then piece by piece as its body arrives from the client.
+// Writes requests to an upstream's connection, one at a time: a buffered request in one write, a streamed one
+// as its head and then the pieces of its body as they arrive from the client.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -19,47 +19,48 @@
 
 namespace lb::sidecar {
 
-// One write at a time; the owner takes each next step, as it keeps the time that the step may take. `socket`
-// is open and not blocking, and has to live until the write under way has completed.
+// One write at a time. The owner starts each step, because it sets the step's deadline. `socket` must be open
+// and non-blocking when a write starts, and must live until a pending write has completed.
 class RequestWriter {
  public:
-  // Runs once for each write, from the event loop and never from within a call. It has to keep the writer
-  // alive. The socket may have been closed meanwhile: then it runs all the same, and with no error where the
-  // system had taken the bytes before.
+  // Called once for each write, from the event loop and never from within a call. The callback must own the
+  // object that contains the writer. It is called even if the socket has been closed meanwhile, and without
+  // an error if the system had taken the bytes before.
   using OnWritten = std::function<void(boost::system::error_code)>;
 
   explicit RequestWriter(boost::asio::ip::tcp::socket& socket) : stream_(socket) {}
 
-  // Builds the message, with X-Timeout-Ms set to `timeout` (at least 1 ms). `request` lives until Clear().
-  // `body`: null, or the stream that the request's body comes from.
+  // Builds the message, with X-Timeout-Ms set to `timeout` in whole milliseconds, at least 1. `request` must
+  // live until Clear(). `body`: the stream of a streamed request's body, or null.
   void Compose(const HttpRequest& request, Body body, Duration timeout);
-  // Writes the head, and with it a body that is not streamed.
+  // Writes the head, together with the body unless it is streamed.
   void WriteHead(OnWritten on_written);
 
   enum class NextPiece {
-    kTaken,      // WritePiece() has something to write
-    kAwaited,    // the client has not sent it yet
-    kNone,       // the request is complete without another write
-    kAbandoned,  // the client is gone; the streaming side ends the exchange
+    kTaken,      // the piece is ready for WritePiece()
+    kAwaited,    // nothing has arrived from the client yet
+    kNone,       // the request is complete; nothing is left to write
+    kAbandoned,  // the client's side aborted the body, and ends the exchange
   };
-  // Takes what there is of the streamed body. No write is under way.
+  // Takes all buffered bytes of the streamed body. Must not be called during a write.
   NextPiece TakeNextPiece();
-  // Writes what was taken.
+  // Writes the piece that TakeNextPiece() took.
   void WritePiece(OnWritten on_written);
 
   bool is_writing() const { return is_writing_; }
-  // True once the system has taken the last byte and the write that moved it has completed.
+  // True when the system has taken the last byte of the request and that write has completed.
   bool is_complete() const { return !is_writing_ && is_complete_; }
 
-  // Ready for the next request; frees what this one needed. No write is under way.
+  // Prepares for the next request and frees memory. Must not be called during a write.
   void Clear();
 
  private:
   using Message = http::request<http::span_body<const char>>;
 
+  // Whether a write includes the last byte of the request.
   enum class LastByte { kFollows, kIncluded };
 
-  // `on_written` after what the completion of a write changes here.
+  // Returns the completion handler of a write: updates the state of this object, then calls `on_written`.
   std::function<void(boost::system::error_code, std::size_t)> Completion(OnWritten on_written, LastByte last);
 
   WriteStream stream_;
--- a/sidecar/response_framing.cpp
+++ b/sidecar/response_framing.cpp
@@ -5,11 +5,12 @@
 namespace lb::sidecar {
 namespace {
 
-// Interim responses ahead of the final one; no honest upstream sends more.
+// Limit on interim responses before the final one. More than these indicate a faulty upstream.
 constexpr int kMaxInterimResponses = 8;
 
-// Whether the head says in one way only where the body ends. To end with the connection is one way, too.
-bool IsFramedOnce(const http::response_header<>& head) {
+// Whether the end of the body is unambiguous: at most one of Content-Length and chunked coding, and only
+// once. With neither, the body ends with the connection.
+bool HasUnambiguousFraming(const http::response_header<>& head) {
   const auto codings = head.count(http::field::transfer_encoding);
   const auto lengths = head.count(http::field::content_length);
   if (codings == 0) return lengths <= 1;
@@ -36,13 +37,13 @@
 ResponseFraming::HeadAction ResponseFraming::ExamineHead(RequestProgress progress) {
   const unsigned status = parser_->get().result_int();
   if (status / 100 == 1) {
-    // No request asks to switch protocols.
+    // The sidecar never requests a protocol upgrade.
     if (status == static_cast<unsigned>(http::status::switching_protocols)) return HeadAction::kFail;
     ++interim_responses_;
     return interim_responses_ > kMaxInterimResponses ? HeadAction::kFail : HeadAction::kReadNextHead;
   }
   if (status != 200) return HeadAction::kCollectBody;
-  if (progress == RequestProgress::kIncomplete || !IsFramedOnce(head())) return HeadAction::kFail;
+  if (progress == RequestProgress::kIncomplete || !HasUnambiguousFraming(head())) return HeadAction::kFail;
   if (!content_length()) return HeadAction::kHoldBackBody;
   return *content_length() > kMaxBufferedBody ? HeadAction::kStreamBody : HeadAction::kCollectBody;
 }
--- a/sidecar/response_framing.h
+++ b/sidecar/response_framing.h
@@ -1,5 +1,5 @@
-// Framing of an upstream's responses (RFC 9112): where a head and a body end, what is done with the body, and
-// which outcome a status means. Works on bytes; has no socket and no clock.
+// Framing of an upstream's responses (RFC 9112): finds the end of heads and bodies, decides whether a body is
+// collected or streamed, and maps a status to an outcome. Uses no socket and no clock.
 #pragma once
 
 #include <boost/beast/http/buffer_body.hpp>
@@ -15,61 +15,64 @@
 
 namespace lb::sidecar {
 
-// kServed for 200. kRejected for 503 and 504 with X-Not-Processed: 1; only that header proves that nothing
-// ran, as a bare 503 may come from behind the work. kError for all others.
+// Returns kServed for 200, kRejected for 503 and 504 with X-Not-Processed: 1, and kError for all others. Only
+// that header proves that the request was not processed: a 503 without it may have been sent after processing
+// had begun.
 lb::Outcome ClassifyResponse(const http::response_header<>& head);
 
-// The responses to one request after another on one connection. Bytes come in through Beast's parser, into
-// which the connection reads.
+// Frames the responses on one connection, one exchange after another. The connection reads into Beast's
+// parser, which this class owns.
 class ResponseFraming {
  public:
   using Parser = http::response_parser<http::buffer_body>;
 
-  // Whether all of the request has been written. No honest upstream serves a request before that.
+  // Whether all of the request has been written. A response with status 200 before that is invalid.
   enum class RequestProgress { kIncomplete, kComplete };
 
-  // What a head that was read asks for.
+  // The next step after a head has been read.
   enum class HeadAction {
-    kReadNextHead,  // an interim response (1xx): the final one follows
-    kFail,          // no response that can be passed on
-    kCollectBody,   // of known length up to kMaxBufferedBody, or of an unsuccessful response
-    kHoldBackBody,  // of unknown length: perhaps short enough to be collected
-    kStreamBody,    // known to be over kMaxBufferedBody
+    kReadNextHead,  // interim response (1xx): the final one follows
+    kFail,          // invalid response, which can't be forwarded
+    kCollectBody,   // length up to kMaxBufferedBody, or a status other than 200
+    kHoldBackBody,  // unknown length: the body may turn out short enough to be collected
+    kStreamBody,    // length above kMaxBufferedBody
   };
 
-  // Begins with the responses to a new request.
+  // Prepares for the responses to a new request.
   void StartExchange() { interim_responses_ = 0; }
-  // A new parser, for the next head and, unless that is an interim one, its body. The head is to be read on
-  // its own: Beast 1.74 forgets that the body is over the limit where its first bytes come with the head.
+  // Returns a new parser for the next head and, unless the response is an interim one, its body. The caller
+  // must read the head in an operation of its own: Beast 1.74 does not report a body over the limit if its
+  // first bytes are parsed together with the head.
   Parser& ExpectHead();
-  // Once the head is whole.
+  // Validates a head that has been read completely, and returns the next step.
   HeadAction ExamineHead(RequestProgress progress);
 
   Parser& parser() { return *parser_; }
-  // Valid while a body is read.
+  // Valid from ExamineHead() to TakeHead().
   const http::response_header<>& head() const { return parser_->get().base(); }
-  // Of the body; none where it is chunked or ends with its connection.
+  // Length of the body in bytes; none if it is chunked or ends with the close of the connection.
   boost::optional<std::uint64_t> content_length() const { return parser_->content_length(); }
   // Only a served response may be larger than kMaxBufferedBody.
   bool IsServed() const { return parser_->get().result() == http::status::ok; }
 
-  // The parser puts the next part of the body into these bytes, which have to live until it has.
+  // Sets the buffer that the parser fills with the next part of the body. It must live until the read has
+  // completed.
   void SetBodyBuffer(char* bytes, std::size_t size);
-  // How much of that buffer is not filled.
+  // Number of unfilled bytes in that buffer.
   std::size_t body_buffer_left() const { return parser_->get().body().size; }
   bool IsComplete() const { return parser_->is_done(); }
 
-  // Once complete: whether another request may follow on the connection.
+  // Whether the connection may carry another request after this response. Valid when IsComplete().
   bool KeepsConnection() const { return parser_->get().keep_alive() && !parser_->need_eof(); }
-  // Moves the head out, as of a response without its body.
+  // Moves the head out into a response without a body.
   HttpResponse TakeHead();
 
-  // Frees what the last exchange needed.
+  // Frees the memory of the last exchange.
   void Clear() { parser_.reset(); }
 
  private:
   std::optional<Parser> parser_;
-  int interim_responses_ = 0;  // to this request
+  int interim_responses_ = 0;  // to the current request
 };
 
 }  // namespace lb::sidecar
--- a/sidecar/socket_io.h
+++ b/sidecar/socket_io.h
@@ -1,5 +1,5 @@
-// Single reads and writes on sockets that are not blocking, with interruptions handled and errors told apart.
-// Asio's synchronous calls hand EINTR to the caller as an error like any other.
+// Single read and write calls on non-blocking sockets, which retry interrupted calls and classify errors.
+// Asio's synchronous calls do not retry: they return EINTR to the caller like any other error.
 #pragma once
 
 #include <sys/uio.h>
@@ -10,11 +10,11 @@
 namespace lb::sidecar {
 
 enum class IoStatus {
-  kDone,        // `size` bytes, one at least; perhaps fewer than asked for
-  kWouldBlock,  // nothing can be moved now
-  kEnd,         // reads only: the peer has ended its sending
-  kShortage,    // the machine is short of memory (ENOBUFS, ENOMEM): the connection stands, it may work soon
-  kBroken,      // the connection is over, as `error` says
+  kDone,            // transferred `size` bytes: at least one, possibly fewer than requested
+  kWouldBlock,      // nothing can be transferred now
+  kEnd,             // reads only: the peer has closed or half-closed the connection
+  kMemoryShortage,  // memory is short (ENOBUFS, ENOMEM), but the connection is intact: retry later
+  kBroken,          // the connection has failed with `error`
 };
 
 struct IoResult {
@@ -23,17 +23,17 @@
   boost::system::error_code error{};
 };
 
-// True for a shortage of memory of this machine: it passes, and says nothing about the connection.
-bool IsShortage(const boost::system::error_code& error);
+// True for an error that means a temporary shortage of memory on this machine, not a fault of the connection.
+bool IsMemoryShortage(const boost::system::error_code& error);
 
 IoResult ReadSome(int socket, void* bytes, std::size_t size);
-// Whether there is something to read; takes nothing.
+// Checks for input without consuming it: kDone if there is some, kWouldBlock if there is none yet.
 IoResult Peek(int socket);
 IoResult WriteSome(int socket, const void* bytes, std::size_t size);
-// Some of `count` parts, at least one of which is not empty.
+// Writes as much as possible of `count` consecutive buffers, at least one of which must not be empty.
 IoResult WriteParts(int socket, iovec* parts, std::size_t count);
 
-// Which of `events` (as for poll(2)) hold now, POLLERR and POLLHUP always among them.
+// Returns the poll(2) events that are set now, out of `events`, POLLERR and POLLHUP. Does not wait.
 short PollNow(int socket, short events);
 
 }  // namespace lb::sidecar
--- a/sidecar/socket_reader.cpp
+++ b/sidecar/socket_reader.cpp
@@ -10,7 +10,8 @@
 using boost::beast::flat_buffer;
 using boost::system::error_code;
 
-// After ENOBUFS or ENOMEM: the bytes are still in the socket, so an immediate retry would only spin.
+// Pause before a retry after ENOBUFS or ENOMEM. The bytes are still in the socket, so an immediate retry
+// would only spin.
 constexpr auto kShortagePause = std::chrono::milliseconds(5);
 
 }  // namespace
@@ -20,7 +21,7 @@
   WaitUntilReadable(buffer, limit, std::move(handler));
 }
 
-// May come first: a close of the socket, which ends the wait with an error.
+// The socket may be closed before the wait completes, which ends the wait with an error.
 void SocketReader::WaitUntilReadable(flat_buffer& buffer, std::size_t limit, Handler handler) {
   socket_.async_wait(Socket::wait_read,
                      [this, &buffer, limit, handler = std::move(handler)](error_code error) mutable {
@@ -35,7 +36,7 @@
   switch (result.status) {
     case IoStatus::kWouldBlock:
       return WaitUntilReadable(buffer, limit, std::move(handler));
-    case IoStatus::kShortage:
+    case IoStatus::kMemoryShortage:
       return PauseAfterShortage(buffer, limit, std::move(handler));
     case IoStatus::kDone:
       buffer.commit(result.size);
@@ -46,7 +47,7 @@
   }
 }
 
-// May come first: a close of the socket, which the wait after the pause reports.
+// The socket may be closed during the pause; the following wait then reports it.
 void SocketReader::PauseAfterShortage(flat_buffer& buffer, std::size_t limit, Handler handler) {
   shortage_pause_.expires_after(kShortagePause);
   shortage_pause_.async_wait([this, &buffer, limit, handler = std::move(handler)](error_code error) mutable {
--- a/sidecar/socket_reader.h
+++ b/sidecar/socket_reader.h
@@ -1,5 +1,5 @@
-// Reads what a peer sends: the counterpart of WriteStream. Interruptions, spurious wake-ups and passing
-// shortages of memory are dealt with here, so that a reader's owner sees bytes, the end of them, or a
+// Asynchronous reads from a socket; the counterpart of WriteStream. Handles interrupted calls, spurious
+// wake-ups and temporary shortages of memory, so that its owner only gets bytes, the end of the input, or a
 // broken connection.
 #pragma once
 
@@ -13,8 +13,8 @@
 
 namespace lb::sidecar {
 
-// One read at a time, on a socket that is open and not blocking. The socket and the reader have to live until
-// the read has ended: the handler should own the object that holds them.
+// One read at a time, on a socket that is open and non-blocking. The socket and the reader must live until
+// the read has completed, so the handler should own the object that contains them.
 class SocketReader {
  public:
   using Socket = boost::asio::ip::tcp::socket;
@@ -22,16 +22,16 @@
 
   explicit SocketReader(Socket& socket) : socket_(socket), shortage_pause_(socket.get_executor()) {}
 
-  // Waits until bytes have come and appends them to `buffer`: at most `limit` (bytes), and no more than the
-  // buffer's max_size() leaves; neither may be 0. Memory is taken from the buffer only once there is
-  // something to read: most of the connections of a sidecar are idle.
+  // Waits for input and appends it to `buffer`: at most `limit` bytes, and no more than fit into the buffer's
+  // max_size(); neither bound may be 0. Space in the buffer is allocated only when there is input, because
+  // most connections of a sidecar are idle.
   //
-  // Calls `handler` once, from the event loop: kDone with the number of bytes, kEnd where the peer has ended
-  // its sending, or kBroken. Before that the owner may close the socket, which ends the read as kBroken, and
-  // may consume from `buffer`, but must not add to it.
+  // Calls `handler` once, from the event loop, with kDone and the number of bytes, kEnd if the peer has ended
+  // its output, or kBroken. Until then the owner may close the socket, which completes the read as kBroken,
+  // and may consume from `buffer`, but must not add to it.
   void Read(boost::beast::flat_buffer& buffer, std::size_t limit, Handler handler);
 
-  // A read was begun and its handler has not been called.
+  // A read has started and its handler has not been called yet.
   bool IsReading() const { return reading_; }
 
  private:
--- a/sidecar/upstream_connection.cpp
+++ b/sidecar/upstream_connection.cpp
@@ -15,8 +15,8 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-// Bounds the kernel's receive buffer of a streamed response. With the default it would take in megabytes for
-// a client that reads slowly.
+// Receive buffer of a connection with a streamed response, in bytes. With the default size, the kernel would
+// buffer megabytes for a client that reads slowly.
 constexpr int kStreamReceiveBuffer = 128 * 1024;
 
 }  // namespace
@@ -41,7 +41,7 @@
   return connect_result_ && connect_result_->is_local ? connect_result_->error : error_code();
 }
 
-// ---- The way to the first byte ----
+// ---- Connecting and the first byte ----
 
 void UpstreamConnection::Start(ExchangeId id, ExchangeRequest request) {
   const TimePoint now = Now();
@@ -59,7 +59,7 @@
   ArmTimer(std::min({deadlines.response(), history_.usable_from, deadlines.first_byte()}));
 }
 
-// Before it completes: the timer, Cancel, FailUnsent, AbandonUnsent, Close.
+// Until the connection completes, these may run: the timer, Cancel(), FailUnsent(), AbandonUnsent(), Close().
 void UpstreamConnection::StartConnecting() {
   state_ = State::kConnecting;
   const ExchangeDeadlines& deadlines = exchange_.deadlines;
@@ -84,17 +84,17 @@
   return LooksAlive() ? BeginRequest() : Fail(Failure::kLocal);
 }
 
-// Writes the first byte, unless that is of no use any more. The process may be held up between any two steps:
-// what takes time comes first, then the clock is read, and the client is looked at last, with nothing between
-// that look and the write.
+// Writes the first byte, unless the request must not be sent any more. The process may be suspended between
+// any two steps. So the order is: first what takes time, then the clock is read, and last the client's
+// connection is checked, with nothing between that check and the write.
 void UpstreamConnection::BeginRequest() {
-  if (!exchange_.is_wanted) return ReturnUnused();
+  if (!exchange_.may_be_sent) return ReturnUnused();
   const ExchangeRequest& request = exchange_.request;
   state_ = State::kAwaitingHead;
   const ExchangeDeadlines& deadlines = exchange_.deadlines;
   ArmTimer(request.body ? ExchangeDeadlines::NextPiece(request, Now()) : deadlines.response());
   const TimePoint now = Now();
-  writer_.Compose(*request.request, request.body, deadlines.ToldTimeout(request, now));
+  writer_.Compose(*request.request, request.body, deadlines.UpstreamTimeout(request, now));
   if (now >= deadlines.first_byte()) return ReturnUnused();
   if (request.client_is_waiting && !request.client_is_waiting()) return ReturnUnused();
   if (request.body) {
@@ -104,18 +104,20 @@
       if (!self->writer_.is_writing() && !self->writer_.is_complete()) self->SendNextPiece();
     };
   }
-  // Before it completes: the response's head and body, the timer, Cancel, AbandonUnsent, Close.
+  // Until the write completes, these may run: reads of the response's head and body, the timer, Cancel(),
+  // AbandonUnsent(), Close().
   writer_.WriteHead([self = shared_from_this()](error_code error) { self->OnWritten(error); });
   ReadHead();
 }
 
-// The connection is up, and there is nothing to send on it.
+// The connection is established, but the request is not sent: ends the exchange as kNotSent and keeps the
+// connection.
 void UpstreamConnection::ReturnUnused() {
   timer_.cancel();
   DetachRequestBody();
   const auto on_finished = EndExchange(State::kIdle);
   const ExchangeResult result = Result(Outcome::kNotSent);
-  // The upstream counts the idle time from its last response, whatever was meant to be sent since.
+  // The idle time is not restarted: the upstream measures it from its last response.
   BecomeIdle(history_.idle_since, history_.idle_since);
   on_finished(result);
 }
@@ -142,11 +144,11 @@
       break;
   }
   ArmTimer(ExchangeDeadlines::NextPiece(exchange_.request, Now()));
-  // Before it completes: as for the head.
+  // Until the write completes, the same may run as for the head.
   writer_.WritePiece([self = shared_from_this()](error_code error) { self->OnWritten(error); });
 }
 
-// The upstream's time runs from the last byte of a streamed request.
+// The time limit of the response starts with the last byte of a streamed request.
 void UpstreamConnection::OnRequestStreamed() {
   exchange_.deadlines.RestartAfterLastByte(exchange_.request, Now());
   ArmTimer(exchange_.deadlines.response());
@@ -154,7 +156,8 @@
 
 // ---- The response ----
 
-// Before it completes: completed writes, the timer, Cancel, AbandonUnsent, Close.
+// Until the read completes, these may run: completions of writes, the timer, Cancel(), AbandonUnsent(),
+// Close().
 void UpstreamConnection::ReadHead() {
   http::async_read_header(socket_, buffer_, framing_.ExpectHead(),
                           [self = shared_from_this()](error_code error, std::size_t) {
@@ -186,7 +189,7 @@
   if (!IsClosed()) ReadBody();
 }
 
-// What has been collected goes to the client, and the rest as it comes.
+// Sends the collected part of the body to the client, and the rest as it arrives.
 void UpstreamConnection::StartStreaming() {
   if (!exchange_.request.on_response_started) return Fail(Failure::kBroken, http::error::body_limit);
   state_ = State::kStreamingBody;
@@ -203,7 +206,7 @@
   exchange_.request.on_response_started(std::move(head), std::move(stream));
 }
 
-// The read that is under way goes on.
+// The pending read of the body continues.
 void UpstreamConnection::OnHoldBackTimer() {
   if (body_.collected() > 0) return StartStreaming();
   if (Now() >= exchange_.deadlines.response()) return Fail(Failure::kTimeout);
@@ -218,8 +221,8 @@
   }
   if (body_.is_streaming()) ArmTimer(ExchangeDeadlines::NextBytes(Now()));
   framing_.SetBodyBuffer(body_.PreparePart(), ResponseBody::PartSize());
-  // Before it completes: completed writes, the timer (also the one that starts to stream), the stream's
-  // reader leaving, Cancel, AbandonUnsent, Close.
+  // Until the read completes, these may run: completions of writes, the timer (which may start streaming),
+  // the stream's reader abandoning the body, Cancel(), AbandonUnsent(), Close().
   http::async_read_some(socket_, buffer_, framing_.parser(),
                         [self = shared_from_this()](error_code error, std::size_t) {
                           if (!self->IsClosed()) self->OnBodyPart(error);
@@ -228,7 +231,7 @@
 
 void UpstreamConnection::OnBodyPart(error_code error) {
   const std::size_t size = ResponseBody::PartSize() - framing_.body_buffer_left();
-  // need_buffer: the part is full.
+  // need_buffer means that the part is full.
   if (error && error != http::error::need_buffer) return Fail(Failure::kBroken, error);
   body_.TakePart(size);
   if (body_.collected() > kMaxBufferedBody) {
@@ -247,8 +250,8 @@
 }
 
 void UpstreamConnection::OnResponseComplete() {
-  // A response before the request was written out, or with bytes after it, leaves the connection between
-  // messages.
+  // The connection can't be reused if the response came before the request was written completely, or if
+  // further bytes follow it: the next response could not be matched to its request.
   const bool can_reuse = framing_.KeepsConnection() && writer_.is_complete() && buffer_.size() == 0;
   HttpResponse response = framing_.TakeHead();
   response.body() = body_.TakeCollected();
@@ -279,8 +282,8 @@
   context_.owner.OnReusable(shared_from_this());
 }
 
-// Before it completes: exchanges, one after another, and Close. A wait that an exchange has outlived is void,
-// which the count of exchanges tells.
+// Until the wait completes, further exchanges and Close() may run. If another exchange has started since,
+// which the count of exchanges shows, the wait's completion is ignored.
 void UpstreamConnection::WatchIdle() {
   socket_.async_wait(tcp::socket::wait_read,
                      [self = shared_from_this(), exchanges = history_.exchanges](error_code error) {
@@ -294,7 +297,7 @@
   return !IsClosed() && Peek(socket_.native_handle()).status == IoStatus::kWouldBlock;
 }
 
-// An idle connection keeps nothing of its last exchange.
+// Frees the memory of the last exchange.
 void UpstreamConnection::Clear() {
   exchange_.request = {};
   body_.Clear();
@@ -307,13 +310,14 @@
 // ---- Ends without a response ----
 
 void UpstreamConnection::AbandonUnsent() {
-  exchange_.is_wanted = false;
+  exchange_.may_be_sent = false;
   if (writer_.is_writing()) Fail(Failure::kCancelled);
 }
 
-// Closes the connection with the exchange: late bytes must never reach another request. Whether the last byte
-// was written is asked once no write is under way: bytes that the system has taken, but whose completion has
-// not run, count as written, and whether an unsafe request may be sent again depends on that.
+// Also closes the connection, because late bytes must never be read as the response to another request. If a
+// write is pending, waits for its completion before finishing: bytes that the system has taken count as
+// written even if the completion has not run yet, and an unsafe request may be sent again only if its last
+// byte was not written.
 void UpstreamConnection::Fail(Failure failure, error_code error) {
   if (!HasExchange()) return;
   exchange_.error = error;
@@ -358,17 +362,17 @@
   ExchangeResult result;
   result.outcome = outcome;
   result.elapsed = Now() - exchange_.deadlines.started();
-  result.why = exchange_.error;
-  result.use = history_.exchanges;
-  result.open = exchange_.deadlines.started() - history_.opened;
-  result.idle = exchange_.connection_idle;
+  result.connection_error = exchange_.error;
+  result.connection_use = history_.exchanges;
+  result.connection_open_for = exchange_.deadlines.started() - history_.opened;
+  result.connection_idle_for = exchange_.connection_idle;
   return result;
 }
 
-// ---- Time ----
+// ---- Timer ----
 
-// Before it completes: any other event. A completion that is queued when the timer is set again must not
-// be taken for the new one, so it looks at the time.
+// Until the timer expires, any other event may run. A completion that is already queued when the timer is set
+// again must not count as the new expiry, so the handler compares the expiry time with the clock.
 void UpstreamConnection::ArmTimer(TimePoint at) {
   timer_.expires_at(ToSteady(at));
   timer_.async_wait([self = shared_from_this()](error_code error) {
--- a/sidecar/upstream_connection.h
+++ b/sidecar/upstream_connection.h
@@ -1,4 +1,4 @@
-// One connection to an upstream and the exchange that it carries.
+// One TCP connection to an upstream and the exchange (request and response) in progress on it.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -28,13 +28,13 @@
 
 struct UpstreamPool;
 
-// After a response the connection gets nothing new for this long. An upstream may send a second response
-// some milliseconds after the first, which would be read as the response to the next request.
+// After a response, the connection carries no new request for this time. A faulty upstream may send a second
+// response some milliseconds after the first, which would be taken for the response to the next request.
 constexpr Duration kReuseDelay = std::chrono::milliseconds(20);
 
-// A state machine. The request is written and the response read at the same time, and a response may begin
-// before the request is complete; so the state follows the response, and how far the request has come is
-// RequestWriter's to say.
+// A state machine. The request is written and the response is read concurrently, and a response may begin
+// before the request is complete. So the state describes the progress of the response; RequestWriter tracks
+// the progress of the request. The table gives the action for each event.
 //
 // clang-format off
 // | state            | Start    | connected | written     | head          | body part   | timer          |
@@ -51,35 +51,46 @@
 // | kAwaitingWrite   | -        | -         | finish      | -             | -           | -              |
 // | kClosed          | -        | drop      | drop        | drop          | drop        | drop           |
 //
-//   connect     to kConnecting
-//   send        to kAwaitingHead, with the request's head on its way; to kAwaitingReuse while the connection is
-//               not usable yet; or to kIdle where there is nothing to send any more
-//   next piece  of a streamed request, as its body comes; after the last the time for the response runs
-//   examine     ResponseFraming says: the next head, kCollectingBody, kHoldingBackBody, kStreamingBody, or end
-//   keep        collect; beyond kMaxBufferedBody stream a served response (to kStreamingBody) and end any other
-//   stream      to kStreamingBody, unless nothing of the body has come
-//   pass on     to the stream; to kStreamPaused, with no read under way, while it has no capacity
-//   end         the exchange without a response: close, and finish it in kClosed; first to kAwaitingWrite where
-//               a write's completion, which says whether the system took the bytes, is still on its way
+//   connect     start to connect; to kConnecting
+//   send        write the request's head; to kAwaitingHead. To kAwaitingReuse instead while the connection is
+//               not usable yet, or to kIdle if the request must not be sent any more
+//   next piece  write the next piece of a streamed request's body when it arrives from the client; after the
+//               last one, start the time limit of the response
+//   examine     depending on ResponseFraming: read the next head; to kCollectingBody, kHoldingBackBody or
+//               kStreamingBody; or end
+//   keep        collect the part; beyond kMaxBufferedBody stream a served response (to kStreamingBody) and
+//               end any other
+//   stream      to kStreamingBody if some of the body has arrived
+//   wait        set the timer again; at the response's deadline, end
+//   pass on     write the part to the stream; while the stream has no capacity, to kStreamPaused without a
+//               pending read
+//   end         end the exchange without a response: close the connection and finish in kClosed. If a write
+//               has not completed, first to kAwaitingWrite: only its completion shows whether the system took
+//               the bytes
+//   finish      call the exchange's callback; to kClosed
+//   drop        ignore the event
 // clang-format on
 //
-// The last part of a body leads from each of the three body states to kIdle, or to kClosed where the
-// connection can't be used again. The stream's reader makes kStreamPaused go on, or, where it has gone, ends
-// the exchange. Errors, Cancel() and FailUnsent() end the exchange in each state that has one, and change
-// nothing in the others. Bytes or a close in kIdle lead to kClosed, and so does Close() everywhere.
+// When the body is complete, the connection goes from any of the three body states to kIdle, or to kClosed if
+// it can't be reused. kStreamPaused ends when the stream's reader consumes data; if the reader abandons the
+// stream, the exchange ends. Errors, Cancel() and FailUnsent() end the exchange in each state that has one
+// and have no effect in the others. Received bytes or a close by the upstream lead from kIdle to kClosed, and
+// Close() leads there from every state.
 //
-// Owned by its own asynchronous steps, by the pool while idle and by Upstreams during an exchange.
+// Shared ownership: by the pending asynchronous operations, by the pool while idle, and by Upstreams during
+// an exchange.
 class UpstreamConnection : public std::enable_shared_from_this<UpstreamConnection> {
  public:
-  // Has to outlive the open connections.
+  // Receives the events of the connections, and must outlive those that are open.
   class Owner {
    public:
     virtual ~Owner() = default;
-    // The exchange is over; its `on_finished` is called after this.
+    // The exchange has ended; its `on_finished` is called after this call.
     virtual void OnExchangeFinished(ExchangeId id) = 0;
-    // The connection can carry another exchange: it is pooled, or closed.
+    // The connection can carry another exchange: the owner pools or closes it.
     virtual void OnReusable(const std::shared_ptr<UpstreamConnection>& connection) = 0;
-    // The upstream closed the idle connection, or sent bytes without a request; it closes after this call.
+    // The upstream closed the idle connection or sent bytes without a request. The connection closes itself
+    // after this call.
     virtual void OnIdleConnectionLost(UpstreamConnection& connection) = 0;
   };
   struct Context {
@@ -87,37 +98,38 @@
     Descriptors& descriptors;
     Owner& owner;
     Duration connect_timeout;
-    std::size_t stream_capacity;  // bytes held of a streamed response
+    std::size_t stream_capacity;  // bytes buffered of a streamed response
   };
 
-  // Takes a descriptor's place. `context` has to outlive the open connection.
+  // Reserves a file descriptor in `context.descriptors`. `context` must outlive the open connection.
   UpstreamConnection(const Context& context, std::weak_ptr<UpstreamPool> pool);
 
-  // Opens a socket and begins to connect; once, before Start(). An error is this machine's own, and the
-  // connection has to be closed then.
+  // Opens a socket and begins to connect. Called once, before Start(). An error is local to this machine; the
+  // caller must then close the connection.
   boost::system::error_code OpenSocket(const Endpoint& endpoint);
-  // Starts an exchange: in kNew after OpenSocket(), or in kIdle once it is out of the pool.
+  // Starts an exchange: in kNew after OpenSocket(), or in kIdle after the connection was taken from the pool.
   void Start(ExchangeId id, ExchangeRequest request);
-  // Ends the exchange as cancelled and closes the connection.
+  // Ends the exchange as kCancelled and closes the connection.
   void Cancel() { Fail(Failure::kCancelled); }
-  // Ends an exchange that is unsent() as not sent and closes the connection.
+  // Ends an exchange that is unsent() as kNotSent and closes the connection.
   void FailUnsent() { Fail(Failure::kNotSent); }
-  // The request has been answered elsewhere: from now on nothing of it is written. An exchange
-  // without a write under way goes on, as its outcome tells something of the upstream.
+  // Called when the client's request has its response. If nothing of the exchange has been written yet,
+  // nothing will be. An exchange with a pending write is cancelled. Any other exchange continues, because its
+  // outcome is a sample of the upstream's health.
   void AbandonUnsent();
-  // Closes without an end of the exchange. Does nothing the second time.
+  // Closes the connection without finishing its exchange. Does nothing if it is closed already.
   void Close();
 
-  // Of an idle connection: false if the upstream has closed it or sent bytes without a request. Asks the
-  // system, as the event may not have been delivered yet.
+  // Returns false if the upstream has closed this idle connection or sent bytes without a request. Peeks at
+  // the socket, because the event loop may not have delivered that event yet.
   bool LooksAlive();
-  // Connected, and no second response can come any more.
+  // Connected, and kReuseDelay has passed since the last response.
   bool IsUsable() const { return IsConnected() && Now() >= history_.usable_from; }
-  // Nothing of the exchange has been written.
+  // An exchange has started, and nothing of it has been written.
   bool unsent() const { return state_ == State::kConnecting || state_ == State::kAwaitingReuse; }
-  // Null where the upstream has moved, restarted or gone since the connection was opened.
+  // Null if the upstream has changed its address, restarted or been removed since the connection was opened.
   std::shared_ptr<UpstreamPool> pool() const { return pool_.lock(); }
-  // The time of the last response, or of the connection where there was none.
+  // The time of the last response, or of connecting if there was none.
   TimePoint idle_since() const { return history_.idle_since; }
   TimePoint usable_from() const { return history_.usable_from; }
 
@@ -135,23 +147,24 @@
     kAwaitingWrite,
     kClosed
   };
-  // Why an exchange ends without a response.
+  // The reason why an exchange ends without a response.
   enum class Failure { kBroken, kTimeout, kCancelled, kNotSent, kLocal };
   struct Exchange {
     Exchange() = default;
-    Exchange(ExchangeId exchange, ExchangeRequest to_send, TimePoint now)
-        : id(exchange), request(std::move(to_send)), deadlines(request, now) {}
+    Exchange(ExchangeId exchange, ExchangeRequest exchange_request, TimePoint now)
+        : id(exchange), request(std::move(exchange_request)), deadlines(request, now) {}
 
     ExchangeId id{};
     ExchangeRequest request;
-    // False once AbandonUnsent() was called. Independent of the state: the connection still comes up.
-    bool is_wanted = true;
+    // False after AbandonUnsent(). Not a state of its own: a connection that is being established is
+    // completed.
+    bool may_be_sent = true;
     ExchangeDeadlines deadlines;
-    Duration connection_idle{};  // before it started
+    Duration connection_idle{};  // idle time of the connection before this exchange
     boost::system::error_code error;
   };
 
-  // What outlasts an exchange.
+  // Properties of the connection that are kept across exchanges.
   struct History {
     std::uint64_t exchanges = 0;
     TimePoint opened;
@@ -159,7 +172,7 @@
     TimePoint usable_from;
   };
 
-  // Transitions, in the order of the table. Each is called in the states that the table gives.
+  // Transitions, in the order of the table. Each is called only in the states that the table gives.
   void StartConnecting();
   void OnConnected(ConnectResult result);
   void OnReuseTimer();
@@ -182,15 +195,15 @@
   void Fail(Failure failure, boost::system::error_code error = {});
   void FinishFailed(Failure failure);
 
-  // Closed, or as good as: completions that arrive have nothing to do.
+  // The socket is closed: completions of asynchronous operations are ignored.
   bool IsClosed() const { return state_ == State::kClosed || state_ == State::kAwaitingWrite; }
   bool HasExchange() const { return state_ != State::kNew && state_ != State::kIdle && !IsClosed(); }
   bool IsConnected() const { return state_ != State::kNew && state_ != State::kConnecting; }
-  // Enters `next` and returns the callback of the exchange, for the caller to run last.
+  // Enters `next` and returns the callback of the exchange, which the caller runs last.
   ExchangeRequest::OnFinished EndExchange(State next);
   ExchangeResult Result(lb::Outcome outcome) const;
   void ArmTimer(TimePoint at);
-  // A completion that is on its way finds that its time has not come.
+  // A completion that is already queued finds a later expiry time and is ignored.
   void DisarmTimer() { timer_.expires_at(std::chrono::steady_clock::time_point::max()); }
   void DetachRequestBody();
   void Clear();
@@ -205,7 +218,7 @@
   ResponseFraming framing_;
   ResponseBody body_;
   State state_ = State::kNew;
-  // What connect() said at once; none where it goes on. Read once, by Start().
+  // The immediate result of connect(); none while the connection is in progress. Read once, by Start().
   std::optional<ConnectResult> connect_result_;
   // Valid from Start() to the end of the exchange.
   Exchange exchange_;
--- a/sidecar/upstream_location.h
+++ b/sidecar/upstream_location.h
@@ -1,4 +1,4 @@
-// Where an upstream listens, as discovery last said.
+// State, address and process start time of an upstream, as last reported by discovery.
 #pragma once
 
 #include <cstdint>
@@ -9,11 +9,11 @@
 namespace lb::sidecar {
 
 struct Location {
-  // Only a serving upstream gets new exchanges.
+  // New exchanges start only on an upstream that is kServing.
   lb::UpstreamState state = lb::UpstreamState::kServing;
   Endpoint endpoint;
-  // Start time of the upstream's process, Unix time in milliseconds. A change means that another process
-  // listens now, to which old connections do not lead.
+  // Start time of the upstream's process, Unix time in milliseconds. A change means that a new process
+  // listens; existing connections belong to the previous process.
   std::int64_t boot_ms = 0;
 };
 
--- a/sidecar/upstreams.cpp
+++ b/sidecar/upstreams.cpp
@@ -15,7 +15,7 @@
 using lb::Outcome;
 using lb::UpstreamState;
 
-// Paths of the upstreams' protocol.
+// Request paths of load probes.
 constexpr const char* kLoadPath = "/metrics/load";
 constexpr const char* kAlivePath = "/alive";
 
@@ -40,7 +40,7 @@
   Apply(pools_.try_emplace(upstream).first, location);
 }
 
-// Walks both maps at once, as both are sorted by the upstreams' ids.
+// Merges the two maps in one pass: both are sorted by upstream id.
 void Upstreams::ReplaceAll(const std::map<std::string, Location>& locations) {
   auto pool = pools_.begin();
   for (const auto& [upstream, location] : locations) {
@@ -61,8 +61,8 @@
   if (location.state == UpstreamState::kServing && !has_moved) return next;
   const auto old = pool;
   if (has_moved) {
-    // Connections in use lead to the former process or place and are not pooled
-    // again.
+    // Connections in use belong to the previous process or address. Without their pool they are closed after
+    // use.
     pool = std::make_shared<UpstreamPool>(UpstreamPool{at->first, location, {}});
     old->location.state = UpstreamState::kGone;
   }
@@ -91,8 +91,8 @@
   FailUnsent(pool);
 }
 
-// Callbacks of exchanges that finish may start others: the ones to fail are
-// collected first.
+// Collects the exchanges first: their callbacks may start other exchanges, which would change `exchanges_`
+// during the iteration.
 void Upstreams::FailUnsent(const std::shared_ptr<UpstreamPool>& pool) {
   std::vector<std::shared_ptr<UpstreamConnection>> unsent;
   for (const auto& [id, connection] : exchanges_) {
@@ -114,7 +114,7 @@
   if (!opened.connection) {
     ExchangeResult result;
     result.outcome = opened.error ? Outcome::kLocalFailure : Outcome::kNotSent;
-    result.why = opened.error;
+    result.connection_error = opened.error;
     return request.on_finished(std::move(result));
   }
   exchanges_.emplace(id, opened.connection);
@@ -159,7 +159,7 @@
   if (it != pools_.end()) connection_pool_.CloseIdle(*it->second);
 }
 
-// ---- Events of connections ----
+// ---- Connection events ----
 
 void Upstreams::OnExchangeFinished(ExchangeId id) { exchanges_.erase(id); }
 
--- a/sidecar/upstreams.h
+++ b/sidecar/upstreams.h
@@ -1,4 +1,4 @@
-// The upstreams that discovery knows, and the exchanges with them.
+// The upstreams of the current endpoint list, with their connection pools and the exchanges in progress.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -18,57 +18,54 @@
 
 namespace lb::sidecar {
 
-// Starts an exchange on a pooled connection or on a new one, and ends those
-// that may not be sent any more when an upstream drains, moves, restarts, goes
-// or is disabled. What is sent where, and what follows from an outcome, is
-// decided elsewhere. Used on the event loop's thread only.
+// Starts exchanges on pooled or new connections. When an upstream drains, changes its address, restarts, is
+// removed from the endpoint list or is disabled, ends its exchanges that have not been sent yet. The choice
+// of the upstream and the reaction to an outcome belong to the balancer. Used on the event loop's thread
+// only.
 class Upstreams : private UpstreamConnection::Owner {
  public:
   using ExchangeId = sidecar::ExchangeId;
   using ExchangeRequest = sidecar::ExchangeRequest;
   using OnFinished = ExchangeRequest::OnFinished;
 
-  // `load_by_probe`: load probes ask for the load itself rather than for any
-  // response. `stream_capacity`: bytes held of each streamed response. `io` and
-  // `descriptors` have to outlive this.
+  // `load_by_probe`: load probes request the upstream's load report; otherwise they only check that it
+  // responds. `stream_capacity`: bytes buffered of each streamed response. `io` and `descriptors` must
+  // outlive this object.
   Upstreams(boost::asio::io_context& io, const lb::Limits& limits, bool load_by_probe,
             std::size_t stream_capacity, Descriptors& descriptors);
-  // Closes all connections; exchanges that have not finished never do.
+  // Closes all connections. The callbacks of unfinished exchanges are never called.
   ~Upstreams() override;
   Upstreams(const Upstreams&) = delete;
   Upstreams& operator=(const Upstreams&) = delete;
 
-  // What discovery says of one upstream. Where it drains, is gone, moved or
-  // restarted, its idle connections are closed, and exchanges of which nothing
-  // has been written finish as kNotSent, from within the call.
+  // Applies discovery's latest state of one upstream. If the upstream drains, is gone, or has a new address
+  // or process, closes its idle connections and finishes the exchanges of which nothing has been written as
+  // kNotSent, from within this call.
   void Update(const std::string& upstream, const Location& location);
-  // What discovery says of all of them: those not in `locations` are gone.
+  // Applies a complete endpoint list: upstreams that are not in `locations` are gone.
   void ReplaceAll(const std::map<std::string, Location>& locations);
   bool empty() const { return pools_.empty(); }
   bool Contains(const std::string& upstream) const { return pools_.contains(upstream); }
-  // An upstream disabled by the operators is treated as one that drains,
-  // whatever discovery says of it, also where discovery does not know it yet.
+  // A disabled upstream is treated as draining, whatever state discovery reports. The setting also applies to
+  // an upstream that discovery lists only later.
   void SetDisabled(const std::string& upstream, bool disabled);
 
-  // `request.on_finished` is called exactly once: from within the call, as
-  // kNotSent or kLocalFailure, where there is no connection to send on, else
-  // from the event loop or from within Cancel(), AbandonUnsent(), Update(),
-  // ReplaceAll() or SetDisabled().
+  // Calls `request.on_finished` exactly once. If there is no connection to send on, the call comes from
+  // within this function, with kNotSent or kLocalFailure; otherwise from the event loop or from within
+  // Cancel(), AbandonUnsent(), Update(), ReplaceAll() or SetDisabled().
   void StartExchange(ExchangeId id, const std::string& upstream, ExchangeRequest request);
-  // An exchange whose result has the load that the upstream reports. Its
-  // timeout is that for connecting.
+  // Starts an exchange whose result contains the load that the upstream reports. Its timeout is the connect
+  // timeout.
   void SendLoadProbe(ExchangeId id, const std::string& upstream, Duration max_connection_idle,
                      OnFinished on_finished);
-  // Ends the exchange as kCancelled and closes its connection. Does nothing
-  // once it has finished.
+  // Ends the exchange as kCancelled and closes its connection. Does nothing if the exchange has finished.
   void Cancel(ExchangeId id);
-  // The request has had its response: from now on nothing of this exchange is
-  // written. A connection that still comes up for it is pooled. An exchange
-  // that has been written whole goes on, for what its outcome says of the
-  // upstream.
+  // Called when the client's request has its response. If nothing of the exchange has been written yet,
+  // nothing will be, and its connection is pooled once it is established. An exchange with a pending write is
+  // cancelled. Any other exchange continues, because its outcome is a sample of the upstream's health.
   void AbandonUnsent(ExchangeId id);
   void CloseIdleConnections(const std::string& upstream);
-  // Closes idle connections beyond the limit on descriptors.
+  // Closes idle connections until the sidecar is within its limit on file descriptors.
   void EnforceCapacity() { connection_pool_.EnforceCapacity(); }
 
  private:
@@ -78,21 +75,22 @@
   void OnReusable(const std::shared_ptr<UpstreamConnection>& connection) override;
   void OnIdleConnectionLost(UpstreamConnection& connection) override;
 
-  // Returns the place after `at`, which is erased where the upstream is gone.
+  // Sets the location of the pool at `at`, and erases the pool if the upstream is gone. Returns the iterator
+  // after `at`.
   Pools::iterator Apply(Pools::iterator at, const Location& location);
-  // Closes the idle connections and ends what has not begun to be written.
+  // Closes the idle connections of the pool and ends its exchanges of which nothing has been written.
   void RetirePool(const std::shared_ptr<UpstreamPool>& pool);
   void FailUnsent(const std::shared_ptr<UpstreamPool>& pool);
   bool AcceptsExchanges(const UpstreamPool& pool) const;
-  // Null where the exchange has finished.
+  // Returns null if the exchange has finished.
   std::shared_ptr<UpstreamConnection> FindExchange(ExchangeId id) const;
 
   const UpstreamConnection::Context context_;
   const std::string probe_target_;
   ConnectionPool connection_pool_;
-  Pools pools_;                                                          // by upstream
-  std::set<std::string> disabled_;                                       // upstreams
-  std::map<ExchangeId, std::shared_ptr<UpstreamConnection>> exchanges_;  // that have not finished
+  Pools pools_;                                                          // by upstream id
+  std::set<std::string> disabled_;                                       // upstream ids
+  std::map<ExchangeId, std::shared_ptr<UpstreamConnection>> exchanges_;  // unfinished ones
 };
 
 }  // namespace lb::sidecar
--- a/sidecar/write_stream.h
+++ b/sidecar/write_stream.h
@@ -1,6 +1,7 @@
-// Writes on a socket for the composed operations of Asio and Beast: the counterpart of SocketReader. Asio
-// itself takes a short write for a full send buffer and waits for an edge of epoll, which never comes while
-// there is capacity; and it reports a passing shortage of memory as if the connection were broken.
+// Asynchronous writes to a socket, for the composed operations of Asio and Beast; the counterpart of
+// SocketReader. Replaces Asio's own writes for two reasons. Asio treats a short write as a full send buffer
+// and waits for an edge-triggered epoll event, which never occurs while the buffer has space. And it reports
+// a temporary shortage of memory as a broken connection.
 #pragma once
 
 #include <sys/uio.h>
@@ -20,8 +21,8 @@
 
 namespace lb::sidecar {
 
-// An AsyncWriteStream on a socket that is open and not blocking. One write at a time; both have to live until
-// it has ended.
+// An AsyncWriteStream on a socket that is open and non-blocking. One write at a time. The socket and this
+// object must live until the write has completed.
 class WriteStream {
  public:
   using Socket = boost::asio::ip::tcp::socket;
@@ -31,8 +32,9 @@
 
   executor_type get_executor() { return socket_.get_executor(); }
 
-  // Tries at once, and completes from the event loop, never from within. A socket that is closed meanwhile
-  // ends it with an error.
+  // Writes at once as much as the system takes, and waits if it takes nothing. Completes from the event loop,
+  // never from within the call. If the socket is closed while the operation waits, it completes with an
+  // error.
   template <typename Buffers, typename Handler>
   auto async_write_some(const Buffers& buffers, Handler&& handler) {
     return boost::asio::async_compose<Handler, void(boost::system::error_code, std::size_t)>(
@@ -40,9 +42,10 @@
   }
 
  private:
-  // Buffers of one write; the rest is left for the next one.
+  // Maximum number of buffers in one write; any further ones are left for the next write.
   static constexpr std::size_t kMaxParts = 16;
-  // After ENOBUFS or ENOMEM the socket is writable, so an immediate retry would only spin.
+  // Pause before a retry after ENOBUFS or ENOMEM. The socket is still writable, so an immediate retry would
+  // only spin.
   static constexpr auto kShortagePause = std::chrono::milliseconds(5);
 
   class Write {
@@ -61,11 +64,11 @@
       if (ended_ || error) return operation.complete(error ? error : result_.error, result_.size);
       result_ = count_ > 0 ? WriteParts(stream_->socket_.native_handle(), parts_.data(), count_)
                            : IoResult{IoStatus::kDone};
-      WriteStream& stream = *stream_;  // this is moved away below
-      // May come first, in each of the three: a close of the socket, which ends the wait with an error.
+      WriteStream& stream = *stream_;  // `this` is moved from below
+      // In each of the three cases the socket may be closed first, which ends the wait with an error.
       if (result_.status == IoStatus::kWouldBlock) {
         stream.socket_.async_wait(Socket::wait_write, std::move(operation));
-      } else if (result_.status == IoStatus::kShortage) {
+      } else if (result_.status == IoStatus::kMemoryShortage) {
         stream.pause_.expires_after(kShortagePause);
         stream.pause_.async_wait(std::move(operation));
       } else {
--- a/tests/sidecar/exchange_deadlines_test.cpp
+++ b/tests/sidecar/exchange_deadlines_test.cpp
@@ -1,4 +1,4 @@
-// The times of an exchange, without a clock.
+// Deadlines of an exchange, computed from given times without a clock.
 #include "sidecar/exchange_deadlines.h"
 
 #include <boost/asio/io_context.hpp>
@@ -37,19 +37,19 @@
   EXPECT_EQ(deadlines.first_byte(), kStart + milliseconds(300));
 }
 
-TEST(ExchangeDeadlines, UpstreamIsToldWhatIsLeftAfterConnecting) {
+TEST(ExchangeDeadlines, UpstreamTimeoutExcludesConnectingTime) {
   const auto request = RequestWithTimeout(seconds(2));
   const ExchangeDeadlines deadlines(request, kStart);
 
-  EXPECT_EQ(deadlines.ToldTimeout(request, kStart + milliseconds(500)), milliseconds(1500));
+  EXPECT_EQ(deadlines.UpstreamTimeout(request, kStart + milliseconds(500)), milliseconds(1500));
 }
 
-TEST(ExchangeDeadlines, UpstreamIsToldNoMoreThanTheClientWaits) {
+TEST(ExchangeDeadlines, UpstreamTimeoutIsLimitedToTheClientsWait) {
   auto request = RequestWithTimeout(seconds(2));
   request.time_left = [](TimePoint) { return milliseconds(40); };
   const ExchangeDeadlines deadlines(request, kStart);
 
-  EXPECT_EQ(deadlines.ToldTimeout(request, kStart), milliseconds(40));
+  EXPECT_EQ(deadlines.UpstreamTimeout(request, kStart), milliseconds(40));
 }
 
 TEST(ExchangeDeadlines, StreamedRequestsTimeoutRunsFromItsLastByte) {
@@ -58,14 +58,14 @@
   request.body = std::make_shared<BodyStream>(io, 1024, boost::none);
   ExchangeDeadlines deadlines(request, kStart);
 
-  EXPECT_EQ(deadlines.ToldTimeout(request, kStart + seconds(1)), seconds(2));
+  EXPECT_EQ(deadlines.UpstreamTimeout(request, kStart + seconds(1)), seconds(2));
   deadlines.RestartAfterLastByte(request, kStart + seconds(5));
 
   EXPECT_EQ(deadlines.started(), kStart + seconds(5));
   EXPECT_EQ(deadlines.response(), kStart + seconds(7));
 }
 
-TEST(ExchangeDeadlines, HoldBackTakesATenthOfTheTimeLeft) {
+TEST(ExchangeDeadlines, HoldBackLastsATenthOfTheRemainingTime) {
   const ExchangeDeadlines deadlines(RequestWithTimeout(seconds(2)), kStart);
 
   EXPECT_EQ(deadlines.HoldBackEnd(kStart + seconds(1)), kStart + milliseconds(1100));
@@ -73,7 +73,7 @@
   EXPECT_EQ(deadlines.HoldBackEnd(kStart + seconds(3)), kStart + seconds(2));
 }
 
-TEST(ExchangeDeadlines, StalledPieceIsBoundedByTheRequest) {
+TEST(ExchangeDeadlines, RequestLimitsThePieceDeadline) {
   auto request = RequestWithTimeout(seconds(2));
   EXPECT_EQ(ExchangeDeadlines::NextPiece(request, kStart), kStart + seconds(10));
 
