--- a/tests/attempt_outcome_test.cpp
+++ b/tests/attempt_outcome_test.cpp
@@ -1,5 +1,5 @@
-// What the end of an attempt proves: 503 to the client where the request cannot have run, 502 or 504 where it
-// may have.
+// The client's status after a failed attempt of a non-idempotent request: 503 if the upstream can't have
+// processed the request, 502 or 504 if it may have.
 #include <atomic>
 #include <chrono>
 #include <future>
@@ -51,7 +51,7 @@
 }
 
 TEST(AttemptOutcome, ResetBeforeTheLastRequestByteProvesThatNothingRan) {
-  if (BytesAcceptedUnread() >= 65536) GTEST_SKIP() << "this system takes a whole message that nobody reads";
+  if (BytesAcceptedUnread() >= 65536) GTEST_SKIP() << "this system buffers a whole unread message";
   Peer peer(
       [](Wire& wire, int) {
         char byte = 0;
@@ -124,7 +124,8 @@
   EXPECT_LE(wait, 2);
 }
 
-// A trial goes on behind its request's answer, to learn of the upstream, but nothing may be sent for it then.
+// A half-open probe continues after its request has its response, to test the upstream. If its connection is
+// established only then, the probe must not be sent; the connection is pooled and carries a later request.
 TEST(AttemptOutcome, ConnectionEstablishedAfterTheResponseCarriesTheNextRequest) {
   BlackHole late(false);
   Upstream good(Upstream::Echo("good"));
@@ -140,7 +141,8 @@
     const auto response = client.Get("/page/k", "r" + std::to_string(number++), 15000);
     return response && response->result_int() == 200;
   };
-  // Two failures in a row make it a suspect, which copies of calls try out.
+  // Two consecutive failures make the upstream suspected. From then on, copies of requests test it as
+  // half-open probes.
   auto failing = std::async(std::launch::async, [&] {
     for (int i = 0; i < 2; ++i) {
       const auto wire = late.Accept();
@@ -151,18 +153,18 @@
   while (failing.wait_for(milliseconds(0)) != std::future_status::ready) ASSERT_TRUE(served());
   late.Fill();
   const int before = number;
-  ASSERT_TRUE(served());  // and its copy waits for a connection
-  std::atomic<bool> come{false};
+  ASSERT_TRUE(served());  // its copy to `late` waits for a connection
+  std::atomic<bool> received{false};
   auto first = std::async(std::launch::async, [&] {
     const auto wire = late.Accept();
     auto request = wire->ReadRequest();
-    come = true;
+    received = true;
     wire->Answer(200, "late");
     return request;
   });
   EXPECT_TRUE(Eventually([&] {
     EXPECT_TRUE(served());
-    return come.load();
+    return received.load();
   }));
   const auto request = first.get();
   ASSERT_TRUE(request);
@@ -170,13 +172,14 @@
   EXPECT_GT(carried, before);
 }
 
-// The copy's connection does not come up while the upstreams remember the first one's key. They would for
-// less than the connection may take.
+// The retry's connection is not established within the window during which the upstreams remember the
+// idempotency key. The window is shorter than the connect timeout; sent after the window, the retry could be
+// processed a second time.
 TEST(AttemptOutcome, RetryIsNotSentBeyondTheIdempotencyKeysWindow) {
   BlackHole late;
-  std::atomic<bool> told{false};
+  std::atomic<bool> list_applied{false};
   Upstream resets([&](Wire& wire, const Request&, int) {
-    EXPECT_TRUE(Eventually([&] { return told.load(); }));
+    EXPECT_TRUE(Eventually([&] { return list_applied.load(); }));
     wire.Reset();
   });
   const json first = Target("u1", resets.address());
@@ -194,12 +197,12 @@
   ASSERT_TRUE(client.Send(PostText("/keyed/k", "a1", "x", 15000, "Idempotency-Key: 1\r\n")));
   ASSERT_TRUE(Eventually([&] { return resets.requests().size() == 1; }));
   discovery.Tell(List({first, Target("u2", late.address())}));
-  const int calls = discovery.calls();  // the next one is made when the list was taken in
-  ASSERT_TRUE(Eventually([&] { return discovery.calls() > calls; }));
-  told = true;
+  const int calls_before = discovery.calls();  // the next call is made after the list was applied
+  ASSERT_TRUE(Eventually([&] { return discovery.calls() > calls_before; }));
+  list_applied = true;
   const auto answer = client.Read();
   ASSERT_TRUE(answer);
-  EXPECT_EQ(answer->result_int(), 502U) << "504 is the end of its time";
+  EXPECT_EQ(answer->result_int(), 502U) << "504 would mean that the client's deadline has passed";
 }
 
 }  // namespace
--- a/tests/connection_pool_test.cpp
+++ b/tests/connection_pool_test.cpp
@@ -1,4 +1,5 @@
-// Upstream connections: when one is reused, and when it is closed or left out instead.
+// Reuse of upstream connections: when a pooled connection is reused, and when it is closed or skipped
+// instead.
 #include <atomic>
 #include <chrono>
 #include <future>
@@ -66,29 +67,30 @@
   EXPECT_TRUE(ended.get_future().get());
 }
 
-// The one used last may be fresh while those below it in the pool have been idle for long: each is judged by
-// its own age.
+// After a connection was reset on reuse, connections that have been idle for at least as long are no longer
+// used. The most recently used connection may be fresh while older ones in the pool have been idle for too
+// long, so the idle time must be checked for each connection.
 TEST(ConnectionPool, SkipsConnectionIdleForLongerThanOneFoundDropped) {
-  Gate both;
+  Gate both_held;
   Gate go;
   std::atomic<int> held{0};
   Upstream upstream([&](Wire& wire, const Request& request, int) {
     if (request["X-Request-ID"].starts_with("held")) {
-      if (++held == 2) both.Open();
+      if (++held == 2) both_held.Open();
       go.Pass();
     }
     if (request["X-Request-ID"] == "dropped") return wire.Reset();
     wire.Answer(200, "x");
   });
   json settings = Settings();
-  settings["Limits"]["ConnectTimeout"] = 19000000;  // a reset within a tenth of it is one at once
+  settings["Limits"]["ConnectTimeout"] = 19000000;  // a reset within a tenth of this counts as immediate
   SidecarProcess sidecar(With(List({Target("u1", upstream.address())}), settings));
   ASSERT_TRUE(sidecar.Listening());
   Client a(sidecar.port());
   Client b(sidecar.port());
   ASSERT_TRUE(a.Send(PostText("/submit/k", "held1", "x")));
   ASSERT_TRUE(b.Send(PostText("/submit/k", "held2", "x")));
-  both.Pass();
+  both_held.Pass();
   go.Open();
   ASSERT_TRUE(a.Read());
   ASSERT_TRUE(b.Read());
--- a/tests/fault_injection.h
+++ b/tests/fault_injection.h
@@ -1,6 +1,6 @@
-// Faults of system calls, forced in the real program from a test. A library that the program is started with
-// (fault_injection.cpp, LD_PRELOAD) stands ahead of the C library's calls; test and library share a small
-// mapped file, so that faults are forced and counted while the program runs:
+// Injects faults into the system calls of the real program from a test. The program is started with a library
+// (fault_injection/, LD_PRELOAD) that overrides functions of the C library. The test and the library share a
+// small mapped file, so that faults can be set and counted while the program runs:
 //
 //   FaultInjector faults;
 //   SidecarProcess::Options options;
@@ -21,7 +21,7 @@
 
 namespace lb::sidecar::testing {
 
-// A group of calls that fail alike.
+// Groups of system calls. A fault applies to all calls of a group.
 enum class SystemCall : std::uint32_t {
   kAccept,        // accept, accept4
   kSocket,        // socket
@@ -35,42 +35,44 @@
   kOpen,          // open, openat, creat, fopen
   kSync,          // fsync, fdatasync
   kClose,         // close, fclose
-  kRename,        // rename, renameat; the path is the new one
+  kRename,        // rename, renameat; matched by the new path
   kRemove,        // unlink, unlinkat, rmdir, remove
   kMakeFolder,    // mkdir, mkdirat
   kOpenFolder,    // opendir, and open or openat with O_DIRECTORY
   kReadFolder,    // readdir
 };
 
-// On what a call works.
+// The kind of descriptor that a call operates on.
 enum class Descriptor : std::uint32_t {
-  kAny,        // any of these; never standard error, pipes, timers, nor the event loop's own
-  kListening,  // a TCP socket that listens
-  kAccepted,   // from a client
-  kOutgoing,   // to an upstream or to discovery; also before it is connected
-  kLocal,      // a Unix socket of whatever kind
-  kFile,       // a file or a folder
+  kAny,        // any of these, but no standard stream, pipe, timer or epoll descriptor
+  kListening,  // a listening TCP socket
+  kAccepted,   // a TCP connection from a client
+  kOutgoing,   // a TCP socket to an upstream or to discovery, connected or not
+  kLocal,      // any Unix domain socket
+  kFile,       // a file or folder
 };
 
-// What happens at a call. Nothing forces more than one of `error` and `at_most`.
+// A fault, and the calls that it applies to. At most one of `error` and `at_most` may be set. A call that is
+// made to fail has no effect, except that close() closes and an interrupted connect() continues.
 struct Fault {
   SystemCall call = SystemCall::kAccept;
-  int error = 0;                         // the errno it fails with, nothing done; 0: it doesn't fail
-  std::size_t at_most = 0;               // bytes that a read or write moves; 0: as many as it is asked to
-  std::chrono::milliseconds delay{0};    // the process is held up for so long ahead of the call
-  bool first_after_clock = false;        // only the first such call after each reading of the monotonic clock
-  bool kills = false;                    // SIGKILL right after the call, be it failed, short or whole
-  bool loses_connection = false;         // an accept that fails takes the connection from the backlog
-  int skip = 0;                          // matching calls that go through first
-  int times = -1;                        // how often; -1: without end
-  std::chrono::milliseconds lasting{0};  // from Force() on; 0: without end
+  int error = 0;                         // errno of the failed call; 0: no failure
+  std::size_t at_most = 0;               // limit on the bytes of a read or write; 0: no limit
+  std::chrono::milliseconds delay{0};    // suspends the process for this long before the call
+  bool first_after_clock = false;        // only the first call after each reading of the monotonic clock
+  bool kills = false;                    // SIGKILL to the process after the call, failed or not
+  bool loses_connection = false;         // a failing accept also removes the connection from the backlog
+  int skip = 0;                          // number of matching calls to let through before the first fault
+  int times = -1;                        // number of faults; -1: no limit
+  std::chrono::milliseconds lasting{0};  // duration from Force() on; 0: no limit
   Descriptor on = Descriptor::kAny;
-  std::uint16_t port =
-      0;  // of a TCP socket: its own where it listens or was accepted, else the peer's; 0: any
-  std::string path = {};  // of files: how it begins, as the program names it; empty: any
+  // Port of a TCP socket; 0: any. The local port of a listening or accepted socket, the peer's of any other.
+  std::uint16_t port = 0;
+  // Prefix of a file's path as the program passes it; empty: any.
+  std::string path = {};
 };
 
-// What test and library share.
+// The contents of the mapped file that the test and the library share.
 struct SharedFaults {
   struct Slot {
     std::atomic<std::uint32_t> active{0};
@@ -83,23 +85,23 @@
     bool loses_connection = false;
     std::int64_t skip = 0;
     std::int64_t times = -1;
-    std::int64_t ends_ns = 0;  // on the monotonic clock; 0: never
+    std::int64_t ends_ns = 0;  // on the monotonic clock; 0: no end
     Descriptor on{};
     std::uint16_t port = 0;
     std::array<char, 256> path{};
-    std::atomic<std::int64_t> seen{0};
-    std::atomic<std::int64_t> forced{0};
+    std::atomic<std::int64_t> matched{0};  // matching calls
+    std::atomic<std::int64_t> forced{0};   // injected faults
   };
   static constexpr std::size_t kSlots = 32;
   std::array<Slot, kSlots> slots{};
   std::atomic<std::int64_t> wall_offset_ns{0};
 };
 
-// The name of the environment variable that tells the library the shared file.
+// The environment variable with the path of the shared file.
 inline constexpr char kFaultsVariable[] = "LB_SIDECAR_FAULTS";
 
-// The test's side. It may force faults before the program is started, and while it runs. One injector may
-// serve several processes: they share the faults and their counts.
+// The test's side of fault injection. Faults may be set before the program starts and while it runs. One
+// injector may serve several processes, which share the faults and their counts.
 class FaultInjector {
  public:
   enum class Id : std::size_t {};
@@ -109,16 +111,18 @@
   FaultInjector(const FaultInjector&) = delete;
   FaultInjector& operator=(const FaultInjector&) = delete;
 
-  // For SidecarProcess::Options.
+  // The variables to set in SidecarProcess::Options::environment.
   std::map<std::string, std::string> environment() const;
 
-  // From now on. Throws std::runtime_error where more than SharedFaults::kSlots were ever forced.
+  // Injects the fault from now on. Throws std::runtime_error after SharedFaults::kSlots faults, or if the
+  // path is too long.
   Id Force(const Fault& fault);
   void Stop(Id id);
+  // How often the fault has been injected.
   int forced(Id id) const;
-  // Waits for the event; false where it does not come in 20 s.
+  // Waits until the fault has been injected `times` times. Returns false if that takes longer than 20 s.
   bool WaitUntilForced(Id id, int times = 1) const;
-  // What the program's wall clock (CLOCK_REALTIME) is ahead of the machine's from now on.
+  // Sets how far the program's wall clock (CLOCK_REALTIME) is ahead of the machine's from now on.
   void StepWallClock(std::chrono::milliseconds ahead);
 
  private:
--- a/tests/fault_injection/clock_calls.cpp
+++ b/tests/fault_injection/clock_calls.cpp
@@ -1,4 +1,5 @@
-// The preloaded library's calls on clocks: the wall clock is shifted as the test says.
+// Overrides of clock functions in the preloaded library: shift the wall clock by the offset that the test
+// sets.
 #include <sys/time.h>
 
 #include <cstdint>
@@ -7,7 +8,7 @@
 #include "tests/fault_injection/forced_call.h"
 
 using lb::fault_injection::MarkClockRead;
-using lb::fault_injection::Next;
+using lb::fault_injection::RealFunction;
 using lb::fault_injection::WallClockOffset;
 
 namespace {
@@ -19,26 +20,27 @@
 extern "C" {
 
 int clock_gettime(clockid_t clock, timespec* now) noexcept {
-  static const auto kNext = Next(&::clock_gettime, "clock_gettime");
-  const int done = kNext(clock, now);
+  static const auto kReal = RealFunction(&::clock_gettime, "clock_gettime");
+  const int result = kReal(clock, now);
   if (clock == CLOCK_MONOTONIC) MarkClockRead();
-  if (done == 0 && (clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE)) {
-    const std::int64_t moved = now->tv_sec * kNanosecondsPerSecond + now->tv_nsec + WallClockOffset();
-    now->tv_sec = moved / kNanosecondsPerSecond;
-    now->tv_nsec = moved % kNanosecondsPerSecond;
+  if (result == 0 && (clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE)) {
+    const std::int64_t shifted = now->tv_sec * kNanosecondsPerSecond + now->tv_nsec + WallClockOffset();
+    now->tv_sec = shifted / kNanosecondsPerSecond;
+    now->tv_nsec = shifted % kNanosecondsPerSecond;
   }
-  return done;
+  return result;
 }
 
 int gettimeofday(timeval* now, void* zone) noexcept {
-  static const auto kNext = Next(&::gettimeofday, "gettimeofday");
-  const int done = kNext(now, zone);
-  if (done == 0) {
-    const std::int64_t moved = now->tv_sec * kNanosecondsPerSecond + now->tv_usec * 1000 + WallClockOffset();
-    now->tv_sec = moved / kNanosecondsPerSecond;
-    now->tv_usec = moved % kNanosecondsPerSecond / 1000;
+  static const auto kReal = RealFunction(&::gettimeofday, "gettimeofday");
+  const int result = kReal(now, zone);
+  if (result == 0) {
+    const std::int64_t shifted =
+        now->tv_sec * kNanosecondsPerSecond + now->tv_usec * 1000 + WallClockOffset();
+    now->tv_sec = shifted / kNanosecondsPerSecond;
+    now->tv_usec = shifted % kNanosecondsPerSecond / 1000;
   }
-  return done;
+  return result;
 }
 
 time_t time(time_t* now) noexcept {
--- a/tests/fault_injection/file_calls.cpp
+++ b/tests/fault_injection/file_calls.cpp
@@ -1,7 +1,8 @@
-// The preloaded library's calls on files and folders. A call that no fault is set for goes through.
+// Overrides of file and folder functions in the preloaded library. A call without a matching fault is
+// forwarded to the C library.
 //
-// Calls that the C library makes for itself are not seen: fopen() and remove() have entries of their own here
-// for that reason, and std::ofstream is met at fopen() and at its write()s.
+// Calls within the C library itself can't be overridden. So fopen() and remove() have overrides of their own,
+// and faults of std::ofstream are injected into its calls of fopen() and write().
 #include <dirent.h>
 #include <fcntl.h>
 #include <sys/stat.h>
@@ -13,16 +14,16 @@
 #include "tests/fault_injection/forced_call.h"
 
 using lb::fault_injection::ForcedCall;
-using lb::fault_injection::Next;
+using lb::fault_injection::RealFunction;
 using lb::sidecar::testing::SystemCall;
 
 namespace {
 
-SystemCall Opening(int flags) {
+SystemCall OpenCall(int flags) {
   return (flags & O_DIRECTORY) != 0 ? SystemCall::kOpenFolder : SystemCall::kOpen;
 }
 
-// The third argument of open(), which is there with some flags only.
+// The third argument of open(), which is present only with some flags; otherwise 0.
 mode_t Mode(int flags, va_list arguments) {
   return (flags & (O_CREAT | O_TMPFILE)) != 0 ? va_arg(arguments, mode_t) : 0;
 }
@@ -32,142 +33,142 @@
 extern "C" {
 
 int open(const char* path, int flags, ...) {
-  static const auto kNext = Next(&::open, "open");
+  static const auto kReal = RealFunction(&::open, "open");
   va_list arguments;
   va_start(arguments, flags);
   const mode_t mode = Mode(flags, arguments);
   va_end(arguments);
-  return ForcedCall(Opening(flags), {-1, path}).Fails() ? -1 : kNext(path, flags, mode);
+  return ForcedCall(OpenCall(flags), {-1, path}).Fails() ? -1 : kReal(path, flags, mode);
 }
 
 int open64(const char* path, int flags, ...) {
-  static const auto kNext = Next(&::open64, "open64");
+  static const auto kReal = RealFunction(&::open64, "open64");
   va_list arguments;
   va_start(arguments, flags);
   const mode_t mode = Mode(flags, arguments);
   va_end(arguments);
-  return ForcedCall(Opening(flags), {-1, path}).Fails() ? -1 : kNext(path, flags, mode);
+  return ForcedCall(OpenCall(flags), {-1, path}).Fails() ? -1 : kReal(path, flags, mode);
 }
 
 int openat(int folder, const char* path, int flags, ...) {
-  static const auto kNext = Next(&::openat, "openat");
+  static const auto kReal = RealFunction(&::openat, "openat");
   va_list arguments;
   va_start(arguments, flags);
   const mode_t mode = Mode(flags, arguments);
   va_end(arguments);
-  return ForcedCall(Opening(flags), {-1, path}).Fails() ? -1 : kNext(folder, path, flags, mode);
+  return ForcedCall(OpenCall(flags), {-1, path}).Fails() ? -1 : kReal(folder, path, flags, mode);
 }
 
 int openat64(int folder, const char* path, int flags, ...) {
-  static const auto kNext = Next(&::openat64, "openat64");
+  static const auto kReal = RealFunction(&::openat64, "openat64");
   va_list arguments;
   va_start(arguments, flags);
   const mode_t mode = Mode(flags, arguments);
   va_end(arguments);
-  return ForcedCall(Opening(flags), {-1, path}).Fails() ? -1 : kNext(folder, path, flags, mode);
+  return ForcedCall(OpenCall(flags), {-1, path}).Fails() ? -1 : kReal(folder, path, flags, mode);
 }
 
 int creat(const char* path, mode_t mode) {
-  static const auto kNext = Next(&::creat, "creat");
-  return ForcedCall(SystemCall::kOpen, {-1, path}).Fails() ? -1 : kNext(path, mode);
+  static const auto kReal = RealFunction(&::creat, "creat");
+  return ForcedCall(SystemCall::kOpen, {-1, path}).Fails() ? -1 : kReal(path, mode);
 }
 
 FILE* fopen(const char* path, const char* mode) {
-  static const auto kNext = Next(&::fopen, "fopen");
-  return ForcedCall(SystemCall::kOpen, {-1, path}).Fails() ? nullptr : kNext(path, mode);
+  static const auto kReal = RealFunction(&::fopen, "fopen");
+  return ForcedCall(SystemCall::kOpen, {-1, path}).Fails() ? nullptr : kReal(path, mode);
 }
 
 FILE* fopen64(const char* path, const char* mode) {
-  static const auto kNext = Next(&::fopen64, "fopen64");
-  return ForcedCall(SystemCall::kOpen, {-1, path}).Fails() ? nullptr : kNext(path, mode);
+  static const auto kReal = RealFunction(&::fopen64, "fopen64");
+  return ForcedCall(SystemCall::kOpen, {-1, path}).Fails() ? nullptr : kReal(path, mode);
 }
 
-// Linux has closed the descriptor also where close() fails.
+// Closes the descriptor even if the call is made to fail, as Linux does.
 int close(int descriptor) {
-  static const auto kNext = Next(&::close, "close");
+  static const auto kReal = RealFunction(&::close, "close");
   const ForcedCall forced(SystemCall::kClose, {descriptor});
-  const int done = kNext(descriptor);
-  return forced.Fails() ? -1 : done;
+  const int result = kReal(descriptor);
+  return forced.Fails() ? -1 : result;
 }
 
 int fclose(FILE* file) {
-  static const auto kNext = Next(&::fclose, "fclose");
+  static const auto kReal = RealFunction(&::fclose, "fclose");
   const ForcedCall forced(SystemCall::kClose, {::fileno(file)});
-  const int done = kNext(file);
-  return forced.Fails() ? EOF : done;
+  const int result = kReal(file);
+  return forced.Fails() ? EOF : result;
 }
 
 int fsync(int descriptor) {
-  static const auto kNext = Next(&::fsync, "fsync");
-  return ForcedCall(SystemCall::kSync, {descriptor}).Fails() ? -1 : kNext(descriptor);
+  static const auto kReal = RealFunction(&::fsync, "fsync");
+  return ForcedCall(SystemCall::kSync, {descriptor}).Fails() ? -1 : kReal(descriptor);
 }
 
 int fdatasync(int descriptor) {
-  static const auto kNext = Next(&::fdatasync, "fdatasync");
-  return ForcedCall(SystemCall::kSync, {descriptor}).Fails() ? -1 : kNext(descriptor);
+  static const auto kReal = RealFunction(&::fdatasync, "fdatasync");
+  return ForcedCall(SystemCall::kSync, {descriptor}).Fails() ? -1 : kReal(descriptor);
 }
 
 int rename(const char* from, const char* to) noexcept {
-  static const auto kNext = Next(&::rename, "rename");
+  static const auto kReal = RealFunction(&::rename, "rename");
   const ForcedCall forced(SystemCall::kRename, {-1, to});
-  return forced.Fails() ? -1 : kNext(from, to);
+  return forced.Fails() ? -1 : kReal(from, to);
 }
 
 int renameat(int from_folder, const char* from, int to_folder, const char* to) noexcept {
-  static const auto kNext = Next(&::renameat, "renameat");
+  static const auto kReal = RealFunction(&::renameat, "renameat");
   const ForcedCall forced(SystemCall::kRename, {-1, to});
-  return forced.Fails() ? -1 : kNext(from_folder, from, to_folder, to);
+  return forced.Fails() ? -1 : kReal(from_folder, from, to_folder, to);
 }
 
 int unlink(const char* path) noexcept {
-  static const auto kNext = Next(&::unlink, "unlink");
+  static const auto kReal = RealFunction(&::unlink, "unlink");
   const ForcedCall forced(SystemCall::kRemove, {-1, path});
-  return forced.Fails() ? -1 : kNext(path);
+  return forced.Fails() ? -1 : kReal(path);
 }
 
 int unlinkat(int folder, const char* path, int flags) noexcept {
-  static const auto kNext = Next(&::unlinkat, "unlinkat");
+  static const auto kReal = RealFunction(&::unlinkat, "unlinkat");
   const ForcedCall forced(SystemCall::kRemove, {-1, path});
-  return forced.Fails() ? -1 : kNext(folder, path, flags);
+  return forced.Fails() ? -1 : kReal(folder, path, flags);
 }
 
 int rmdir(const char* path) noexcept {
-  static const auto kNext = Next(&::rmdir, "rmdir");
+  static const auto kReal = RealFunction(&::rmdir, "rmdir");
   const ForcedCall forced(SystemCall::kRemove, {-1, path});
-  return forced.Fails() ? -1 : kNext(path);
+  return forced.Fails() ? -1 : kReal(path);
 }
 
 int remove(const char* path) noexcept {
-  static const auto kNext = Next(&::remove, "remove");
+  static const auto kReal = RealFunction(&::remove, "remove");
   const ForcedCall forced(SystemCall::kRemove, {-1, path});
-  return forced.Fails() ? -1 : kNext(path);
+  return forced.Fails() ? -1 : kReal(path);
 }
 
 int mkdir(const char* path, mode_t mode) noexcept {
-  static const auto kNext = Next(&::mkdir, "mkdir");
+  static const auto kReal = RealFunction(&::mkdir, "mkdir");
   const ForcedCall forced(SystemCall::kMakeFolder, {-1, path});
-  return forced.Fails() ? -1 : kNext(path, mode);
+  return forced.Fails() ? -1 : kReal(path, mode);
 }
 
 int mkdirat(int folder, const char* path, mode_t mode) noexcept {
-  static const auto kNext = Next(&::mkdirat, "mkdirat");
+  static const auto kReal = RealFunction(&::mkdirat, "mkdirat");
   const ForcedCall forced(SystemCall::kMakeFolder, {-1, path});
-  return forced.Fails() ? -1 : kNext(folder, path, mode);
+  return forced.Fails() ? -1 : kReal(folder, path, mode);
 }
 
 DIR* opendir(const char* path) {
-  static const auto kNext = Next(&::opendir, "opendir");
-  return ForcedCall(SystemCall::kOpenFolder, {-1, path}).Fails() ? nullptr : kNext(path);
+  static const auto kReal = RealFunction(&::opendir, "opendir");
+  return ForcedCall(SystemCall::kOpenFolder, {-1, path}).Fails() ? nullptr : kReal(path);
 }
 
 dirent* readdir(DIR* folder) {
-  static const auto kNext = Next(&::readdir, "readdir");
-  return ForcedCall(SystemCall::kReadFolder, {::dirfd(folder)}).Fails() ? nullptr : kNext(folder);
+  static const auto kReal = RealFunction(&::readdir, "readdir");
+  return ForcedCall(SystemCall::kReadFolder, {::dirfd(folder)}).Fails() ? nullptr : kReal(folder);
 }
 
 dirent64* readdir64(DIR* folder) {
-  static const auto kNext = Next(&::readdir64, "readdir64");
-  return ForcedCall(SystemCall::kReadFolder, {::dirfd(folder)}).Fails() ? nullptr : kNext(folder);
+  static const auto kReal = RealFunction(&::readdir64, "readdir64");
+  return ForcedCall(SystemCall::kReadFolder, {::dirfd(folder)}).Fails() ? nullptr : kReal(folder);
 }
 
 }  // extern "C"
--- a/tests/fault_injection/forced_call.cpp
+++ b/tests/fault_injection/forced_call.cpp
@@ -27,28 +27,28 @@
 std::atomic<bool> clock_was_read{false};
 std::array<std::atomic<bool>, kMaxDescriptors> accepted{};
 
-__attribute__((constructor)) void Map() {
+__attribute__((constructor)) void MapSharedFaults() {
   const char* const path = std::getenv(kFaultsVariable);
   if (path == nullptr) return;
-  static const auto kOpenNext = Next(&::open, "open");
-  const int file = kOpenNext(path, O_RDWR | O_CLOEXEC);
+  static const auto kRealOpen = RealFunction(&::open, "open");
+  const int file = kRealOpen(path, O_RDWR | O_CLOEXEC);
   if (file < 0) std::abort();
-  void* const memory = ::mmap(nullptr, sizeof(SharedFaults), PROT_READ | PROT_WRITE, MAP_SHARED, file, 0);
-  static const auto kCloseNext = Next(&::close, "close");
-  kCloseNext(file);
-  if (memory == MAP_FAILED) std::abort();
-  shared = static_cast<SharedFaults*>(memory);
+  void* const mapping = ::mmap(nullptr, sizeof(SharedFaults), PROT_READ | PROT_WRITE, MAP_SHARED, file, 0);
+  static const auto kRealClose = RealFunction(&::close, "close");
+  kRealClose(file);
+  if (mapping == MAP_FAILED) std::abort();
+  shared = static_cast<SharedFaults*>(mapping);
 }
 
 std::int64_t Monotonic() {
-  static const auto kNext = Next(&::clock_gettime, "clock_gettime");
+  static const auto kNext = RealFunction(&::clock_gettime, "clock_gettime");
   timespec now{};
   kNext(CLOCK_MONOTONIC, &now);
   return now.tv_sec * kNanosecondsPerSecond + now.tv_nsec;
 }
 
 int Option(int descriptor, int name) {
-  static const auto kNext = Next(&::getsockopt, "getsockopt");
+  static const auto kNext = RealFunction(&::getsockopt, "getsockopt");
   int value = -1;
   socklen_t size = sizeof value;
   return kNext(descriptor, SOL_SOCKET, name, &value, &size) == 0 ? value : -1;
@@ -78,7 +78,8 @@
   return ntohs(address.sin_port);
 }
 
-// A descriptor's file begins with a slash; pipes, timers and the like don't, and standard streams are spared.
+// Matches by the path of the file. For a descriptor, the path comes from /proc: that of a file starts with a
+// slash, unlike that of pipes, timers and the like. Standard streams never match.
 bool FileMatches(const SharedFaults::Slot& slot, const CallTarget& target) {
   std::array<char, 4096> name{};
   const char* path = target.path;
@@ -102,11 +103,11 @@
   return PortOf(target, kind) == slot.port;
 }
 
-// True if it is this call's turn. Counts the call.
-bool TakeTurn(SharedFaults::Slot& slot) {
+// Counts a matching call, and returns true if the fault is to be injected into it.
+bool ShouldForce(SharedFaults::Slot& slot) {
   if (slot.ends_ns != 0 && Monotonic() >= slot.ends_ns) return false;
   if (slot.first_after_clock && !clock_was_read.exchange(false)) return false;
-  if (slot.seen++ < slot.skip) return false;
+  if (slot.matched++ < slot.skip) return false;
   auto forced = slot.forced.load();
   do {
     if (slot.times >= 0 && forced >= slot.times) return false;
@@ -115,8 +116,8 @@
 }
 
 void Sleep(std::int64_t microseconds) {
-  timespec left{microseconds / 1'000'000, microseconds % 1'000'000 * 1000};
-  while (::nanosleep(&left, &left) != 0 && errno == EINTR) {
+  timespec remaining{microseconds / 1'000'000, microseconds % 1'000'000 * 1000};
+  while (::nanosleep(&remaining, &remaining) != 0 && errno == EINTR) {
   }
 }
 
@@ -133,17 +134,17 @@
 
 ForcedCall::ForcedCall(SystemCall call, const CallTarget& target) {
   if (shared == nullptr) return;
-  const int before = errno;
+  const int saved_errno = errno;
   for (auto& slot : shared->slots) {
     if (slot.active.load(std::memory_order_acquire) == 0 || slot.call != call) continue;
-    if (!Matches(slot, target) || !TakeTurn(slot)) continue;
+    if (!Matches(slot, target) || !ShouldForce(slot)) continue;
     if (slot.delay_us > 0) Sleep(slot.delay_us);
     if (slot.error != 0) error_ = slot.error;
     if (slot.at_most != 0) at_most_ = std::min<std::size_t>(at_most_, slot.at_most);
     kills_ = kills_ || slot.kills;
     loses_connection_ = loses_connection_ || slot.loses_connection;
   }
-  errno = before;
+  errno = saved_errno;
 }
 
 ForcedCall::~ForcedCall() {
@@ -151,11 +152,11 @@
 }
 
 ForcedCall::Parts::Parts(const ForcedCall& forced, const iovec* parts, std::size_t count) {
-  std::size_t left = forced.at_most_;
-  for (std::size_t i = 0; i < count && count_ < kMaxParts && left > 0; ++i) {
+  std::size_t remaining = forced.at_most_;
+  for (std::size_t i = 0; i < count && count_ < kMaxParts && remaining > 0; ++i) {
     parts_[count_] = parts[i];
-    parts_[count_].iov_len = std::min(parts[i].iov_len, left);
-    left -= parts_[count_++].iov_len;
+    parts_[count_].iov_len = std::min(parts[i].iov_len, remaining);
+    remaining -= parts_[count_++].iov_len;
   }
 }
 
--- a/tests/fault_injection/forced_call.h
+++ b/tests/fault_injection/forced_call.h
@@ -1,5 +1,5 @@
-// The part of the preloaded library that decides, for each system call, whether and how it is made to fail.
-// See tests/fault_injection.h for how a test says so.
+// Part of the preloaded library: determines for each system call which faults apply to it. Tests set the
+// faults through tests/fault_injection.h.
 #pragma once
 
 #include <dlfcn.h>
@@ -18,29 +18,29 @@
 
 using sidecar::testing::SystemCall;
 
-// The function that this library stands ahead of.
+// Returns the C library's function that this library overrides. The first argument only gives the type.
 template <typename Function>
-Function* Next(Function*, const char* name) {
+Function* RealFunction(Function*, const char* name) {
   return reinterpret_cast<Function*>(::dlsym(RTLD_NEXT, name));
 }
 
-// What a call is about: a descriptor, a path, or the peer that it connects to. None of them: any fault of
-// that call applies.
+// The target of a call: a descriptor or a path; for connect() the descriptor and the peer's address. A call
+// without a target matches every fault of its group.
 struct CallTarget {
   int descriptor = -1;
   const char* path = nullptr;
   const sockaddr* peer = nullptr;
 };
 
-// Notes whether a descriptor came from accept(). Each way to make a socket says so.
+// Records whether a descriptor was returned by accept(). Called by every function that creates a socket.
 void MarkAccepted(int descriptor, bool is_accepted);
-// Notes that the monotonic clock was read, for faults that come first after that.
+// Records that the monotonic clock was read, for Fault::first_after_clock.
 void MarkClockRead();
-// By how much the wall clock is shifted, in nanoseconds.
+// The offset of the wall clock in nanoseconds.
 std::int64_t WallClockOffset();
 
-// What is forced at one call: delays in the constructor, an error or a bound on the bytes in between, and the
-// end of the process in the destructor, once the call is done.
+// The faults of one call. The constructor applies delays; then the caller applies the error or the limit on
+// the bytes; the destructor, after the call, kills the process if a fault requires it.
 class ForcedCall {
  public:
   ForcedCall(SystemCall call, const CallTarget& target);
@@ -48,18 +48,18 @@
   ForcedCall(const ForcedCall&) = delete;
   ForcedCall& operator=(const ForcedCall&) = delete;
 
-  // True if the call is to fail; sets errno then.
+  // True if the call must fail; also sets errno then.
   bool Fails() const {
     if (error_ != 0) errno = error_;
     return error_ != 0;
   }
   bool Interrupted() const { return error_ == EINTR; }
-  // Of accept(): the connection that waits is lost.
+  // For accept(): remove the first connection from the backlog.
   bool loses_connection() const { return loses_connection_; }
-  // The bytes that may move of those asked for.
-  std::size_t Bytes(std::size_t asked) const { return std::min(asked, at_most_); }
+  // The number of bytes to transfer when `requested` bytes were requested.
+  std::size_t Bytes(std::size_t requested) const { return std::min(requested, at_most_); }
 
-  // The parts of a message, cut to the bytes that may move.
+  // The buffers of a vectored read or write, truncated to the bytes that may be transferred.
   class Parts {
    public:
     Parts(const ForcedCall& forced, const iovec* parts, std::size_t count);
@@ -67,7 +67,7 @@
     std::size_t size() const { return count_; }
 
    private:
-    static constexpr int kMaxParts = 64;  // the rest of a readv or writev is left for the next call
+    static constexpr int kMaxParts = 64;  // further buffers are left for the next call
     std::array<iovec, kMaxParts> parts_{};
     std::size_t count_ = 0;
   };
--- a/tests/fault_injector.cpp
+++ b/tests/fault_injector.cpp
@@ -17,10 +17,10 @@
   path_ = std::filesystem::temp_directory_path() / "lb-sidecar-faults-XXXXXX";
   const int file = ::mkstemp(path_.data());
   if (file < 0 || ::ftruncate(file, sizeof(SharedFaults)) != 0) throw std::runtime_error(path_);
-  void* const memory = ::mmap(nullptr, sizeof(SharedFaults), PROT_READ | PROT_WRITE, MAP_SHARED, file, 0);
+  void* const mapping = ::mmap(nullptr, sizeof(SharedFaults), PROT_READ | PROT_WRITE, MAP_SHARED, file, 0);
   ::close(file);
-  if (memory == MAP_FAILED) throw std::runtime_error("mmap");
-  shared_ = new (memory) SharedFaults;
+  if (mapping == MAP_FAILED) throw std::runtime_error("mmap");
+  shared_ = new (mapping) SharedFaults;
 }
 
 FaultInjector::~FaultInjector() {
@@ -28,17 +28,18 @@
   std::filesystem::remove(path_);
 }
 
-// The address sanitizer insists on being the first library unless it is told not to.
+// AddressSanitizer refuses to start if it is not the first library in the link order, unless that check is
+// disabled.
 std::map<std::string, std::string> FaultInjector::environment() const {
   const char* const options = std::getenv("ASAN_OPTIONS");
-  const std::string before = options != nullptr ? std::string(options) + ":" : "";
+  const std::string inherited = options != nullptr ? std::string(options) + ":" : "";
   return {{"LD_PRELOAD", FAULT_INJECTION_LIBRARY},
-          {"ASAN_OPTIONS", before + "verify_asan_link_order=0"},
+          {"ASAN_OPTIONS", inherited + "verify_asan_link_order=0"},
           {kFaultsVariable, path_}};
 }
 
 FaultInjector::Id FaultInjector::Force(const Fault& fault) {
-  if (used_ == SharedFaults::kSlots) throw std::runtime_error("no slot is left for a further fault");
+  if (used_ == SharedFaults::kSlots) throw std::runtime_error("no free slot for another fault");
   auto& slot = shared_->slots[used_];
   slot.call = fault.call;
   slot.error = fault.error;
@@ -53,7 +54,7 @@
   slot.ends_ns = fault.lasting.count() == 0 ? 0 : std::chrono::nanoseconds(now + fault.lasting).count();
   slot.on = fault.on;
   slot.port = fault.port;
-  if (fault.path.size() >= slot.path.size()) throw std::runtime_error("too long: " + fault.path);
+  if (fault.path.size() >= slot.path.size()) throw std::runtime_error("path too long: " + fault.path);
   std::copy(fault.path.begin(), fault.path.end(), slot.path.begin());
   slot.active.store(1, std::memory_order_release);
   return Id{used_++};
--- a/tests/request_forwarding_test.cpp
+++ b/tests/request_forwarding_test.cpp
@@ -1,4 +1,5 @@
-// The program between a client and an upstream: a request and its response cross unchanged, in order, once.
+// The sidecar between a client and an upstream: forwards each request and its response unchanged, in order,
+// and once.
 #include <string>
 
 #include "gtest/gtest.h"
@@ -29,9 +30,9 @@
   EXPECT_EQ(sent[0]["Content-Type"], "text/x");
   EXPECT_EQ(sent[0].count("TE"), 0U);
   EXPECT_TRUE(sent[0].body() == body);
-  const int left = std::stoi(std::string(sent[0]["X-Timeout-Ms"]));
-  EXPECT_GT(left, 0);
-  EXPECT_LE(left, 5000);
+  const int timeout_ms = std::stoi(std::string(sent[0]["X-Timeout-Ms"]));
+  EXPECT_GT(timeout_ms, 0);
+  EXPECT_LE(timeout_ms, 5000);
 }
 
 TEST(RequestForwarding, PassesChunkedResponsesAndRequestsInPieces) {
@@ -110,8 +111,8 @@
   EXPECT_EQ(response->result_int(), 200U);
 }
 
-// What a deployment does not say: nothing is assumed of zones, rules, prices, reports, tenants or the keys'
-// scope.
+// Settings other than the classes are optional: zones, rules, prices, load reports, tenants and the scope of
+// idempotency keys have defaults.
 TEST(RequestForwarding, NeedsNoSettingsButClasses) {
   Upstream upstream(Upstream::Echo("u"));
   const json cls = {{"Name", "only"}, {"Effect", "read_like"}, {"Aim", 400000}, {"HardLimit", 2000000}};
--- a/tests/response_framing_test.cpp
+++ b/tests/response_framing_test.cpp
@@ -1,4 +1,4 @@
-// Responses that violate HTTP/1.1 framing, and bytes that belong to no request.
+// Upstream responses that violate HTTP/1.1 framing, and bytes that do not belong to any request.
 #include <atomic>
 #include <chrono>
 #include <string>
@@ -11,7 +11,8 @@
 namespace lb::sidecar::testing {
 namespace {
 
-// What an unsafe request gets for an upstream that sends these bytes and leaves the connection open.
+// Returns the status of a non-idempotent request whose upstream responds with these bytes and leaves the
+// connection open.
 unsigned StatusForBytes(const std::string& bytes) {
   Upstream upstream([&](Wire& wire, const Request&, int) { wire.Write(bytes); });
   const unsigned status = NonIdempotentStatus(upstream.address(), 1000);
@@ -29,7 +30,7 @@
   }
 }
 
-// That is a form of HTTP/1.1, too; but a reset is no end.
+// HTTP/1.1 allows a body that ends with the close of the connection; a reset must not count as that end.
 TEST(ResponseFraming, EndOfConnectionCompletesTheBodyAndAResetDoesNot) {
   Upstream ends([](Wire& wire, const Request&, int) {
     wire.Write("HTTP/1.1 200 OK\r\n\r\nall of it");
@@ -50,9 +51,9 @@
   EXPECT_EQ(StatusForBytes("HTTP/1.1 101 Switching Protocols\r\n\r\n"), 502U);
 }
 
-// Guards against an answer that is none: the request can't have been read.
+// A response that arrives before the request was written completely can't be a response to that request.
 TEST(ResponseFraming, ResponseBeforeTheLastRequestByteIsIgnored) {
-  if (BytesAcceptedUnread() >= 65536) GTEST_SKIP() << "this system takes a whole message that nobody reads";
+  if (BytesAcceptedUnread() >= 65536) GTEST_SKIP() << "this system buffers a whole unread message";
   Gate end;
   Peer peer(
       [&](Wire& wire, int) {
@@ -64,7 +65,7 @@
   end.Open();
 }
 
-// Bytes that come while a connection is idle must never be read as the next answer, whole or in part.
+// Bytes that arrive on an idle connection must never be read as the next response or a part of it.
 TEST(ResponseFraming, ExcessBytesReachNoOtherRequest) {
   const std::string copy = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray";
   for (const std::string& stray : {copy, copy.substr(0, 20), std::string("noise")}) {
@@ -100,8 +101,8 @@
   }
 }
 
-// The second answer is written once the next request has come, where that is within the time that the program
-// allows for it: on the same connection it would be that request's.
+// An upstream sends a second response to a request within kReuseDelay, after the next request has arrived. On
+// the same connection, it would be read as the response to that next request.
 TEST(ResponseFraming, SecondResponseReachesNoOtherRequest) {
   using Clock = std::chrono::steady_clock;
   std::atomic<int> crossings{0};
@@ -110,7 +111,7 @@
     Upstream upstream([&](Wire& wire, const Request& request, int) {
       const std::string id(request["X-Request-ID"]);
       if (id == "one") {
-        answered = Clock::now();  // the program can't have read it sooner
+        answered = Clock::now();  // the sidecar can't have read the response earlier
       } else if (Clock::now() - answered.load() < kReuseDelay) {
         ++crossings;
         if (upstream.connections() == 1) wire.Answer(200, "one");
--- a/tests/sidecar/load_report_test.cpp
+++ b/tests/sidecar/load_report_test.cpp
@@ -1,4 +1,4 @@
-// Load reports as upstreams write them.
+// Parsing of load reports, in the formats that upstreams send.
 #include "sidecar/load_report.h"
 
 #include <string>
@@ -24,14 +24,14 @@
   }
 }
 
-TEST(LoadReport, PassesOverUnknownNamesAndFieldsWithoutAValue) {
+TEST(LoadReport, IgnoresUnknownNamesAndFieldsWithoutAValue) {
   const LoadReport report = ParseLoadReport("cores=4,hello,,inflight=1");
 
   EXPECT_EQ(report.in_flight, 1);
   EXPECT_FALSE(report.queued);
 }
 
-TEST(LoadReport, IsDroppedWholeWhereOneValueIsNotANumberInRange) {
+TEST(LoadReport, IsEmptyIfAnyValueIsNotANumberInRange) {
   for (const std::string value : {"", "x", "1x", "-1", "nan", "inf", "1000001"}) {
     const LoadReport report = ParseLoadReport("inflight=7,queue=" + value);
 
--- a/tests/sidecar/request_writer_test.cpp
+++ b/tests/sidecar/request_writer_test.cpp
@@ -1,3 +1,4 @@
+// Writing of buffered and streamed requests to a loopback socket.
 #include "sidecar/request_writer.h"
 
 #include <boost/optional.hpp>
@@ -13,7 +14,7 @@
 
 using std::chrono::milliseconds;
 
-constexpr std::size_t kCapacity = 1024;  // bytes, of a stream
+constexpr std::size_t kCapacity = 1024;  // bytes buffered by a stream
 
 class RequestWriterTest : public testing::SocketPairTest {
  protected:
@@ -27,7 +28,7 @@
     return std::make_shared<BodyStream>(io_, kCapacity, length);
   }
 
-  // Runs one write, begun by `begin`, to its completion.
+  // Runs the write that `begin` starts to its completion.
   template <typename Begin>
   void Complete(Begin begin) {
     std::optional<boost::system::error_code> result;
@@ -59,7 +60,7 @@
   EXPECT_EQ(ReceiveAtPeer(expected.size()), expected);
 }
 
-TEST_F(RequestWriterTest, TellsAnUpstreamAtLeastOneMillisecond) {
+TEST_F(RequestWriterTest, SendsATimeoutOfAtLeastOneMillisecond) {
   writer_.Compose(request_, nullptr, Duration(0));
 
   WriteHead();
@@ -68,7 +69,7 @@
   EXPECT_EQ(ReceiveAtPeer(expected.size()), expected);
 }
 
-TEST_F(RequestWriterTest, WritesAStreamOfKnownLengthAsItIs) {
+TEST_F(RequestWriterTest, WritesAStreamOfKnownLengthWithoutChunks) {
   const Body stream = MakeStream(5);
   writer_.Compose(request_, stream, milliseconds(10));
   WriteHead();
@@ -117,7 +118,7 @@
   EXPECT_TRUE(writer_.is_complete());
 }
 
-TEST_F(RequestWriterTest, ReportsThatTheClientIsGone) {
+TEST_F(RequestWriterTest, ReportsAnAbortedStream) {
   const Body stream = MakeStream(5);
   writer_.Compose(request_, stream, milliseconds(10));
   WriteHead();
--- a/tests/sidecar/response_body_test.cpp
+++ b/tests/sidecar/response_body_test.cpp
@@ -1,4 +1,4 @@
-// A response's body, collected and streamed.
+// Collecting and streaming of a response's body.
 #include "sidecar/response_body.h"
 
 #include <boost/asio/io_context.hpp>
@@ -10,7 +10,7 @@
 namespace lb::sidecar {
 namespace {
 
-constexpr std::size_t kCapacity = 8;
+constexpr std::size_t kCapacity = 8;  // bytes buffered by a stream
 
 void Add(ResponseBody& body, const std::string& part) {
   std::memcpy(body.PreparePart(), part.data(), part.size());
@@ -41,7 +41,7 @@
   EXPECT_FALSE(body.is_streaming());
 }
 
-TEST(ResponseBody, TellsWhenTheStreamHasCapacityAgain) {
+TEST(ResponseBody, NotifiesWhenTheStreamHasCapacityAgain) {
   boost::asio::io_context io;
   ResponseBody body;
   int calls = 0;
@@ -57,7 +57,7 @@
   EXPECT_FALSE(body.IsAbandonedByReader());
 }
 
-TEST(ResponseBody, AbortBreaksTheStreamAndEndsItsCalls) {
+TEST(ResponseBody, AbortEndsTheStreamAndItsNotifications) {
   boost::asio::io_context io;
   ResponseBody body;
   int calls = 0;
--- a/tests/sidecar/response_framing_test.cpp
+++ b/tests/sidecar/response_framing_test.cpp
@@ -1,4 +1,4 @@
-// Responses of an upstream, byte by byte.
+// Framing of upstream responses, parsed from bytes without a socket.
 #include "sidecar/response_framing.h"
 
 #include <boost/asio/buffer.hpp>
@@ -13,26 +13,26 @@
 using HeadAction = ResponseFraming::HeadAction;
 using RequestProgress = ResponseFraming::RequestProgress;
 
-// Feeds bytes as a connection does: heads first, then bodies.
+// Feeds bytes to the parser as a connection does: first a head, then its body.
 class Responses {
  public:
   explicit Responses(std::string bytes) : bytes_(std::move(bytes)) {}
 
   HeadAction ReadHead(RequestProgress progress = RequestProgress::kComplete) {
     auto& parser = framing_.ExpectHead();
-    while (!parser.is_header_done() && Put(parser)) {
+    while (!parser.is_header_done() && Parse(parser)) {
     }
     return parser.is_header_done() ? framing_.ExamineHead(progress) : HeadAction::kFail;
   }
 
-  // What there is of the body.
+  // Returns the body, as far as the bytes contain it.
   std::string ReadBody() {
     std::string body;
     bool more = true;
     while (more && !framing_.IsComplete()) {
       char part[4];
       framing_.SetBodyBuffer(part, sizeof part);
-      more = Put(framing_.parser());
+      more = Parse(framing_.parser());
       body.append(part, sizeof part - framing_.body_buffer_left());
     }
     return body;
@@ -47,8 +47,8 @@
   const std::string& rest() const { return bytes_; }
 
  private:
-  // False where nothing came of it.
-  bool Put(ResponseFraming::Parser& parser) {
+  // Passes bytes to the parser. Returns false on an error or if none were consumed.
+  bool Parse(ResponseFraming::Parser& parser) {
     boost::system::error_code error;
     const std::size_t used = parser.put(boost::asio::buffer(bytes_), error);
     bytes_.erase(0, used);
@@ -117,7 +117,7 @@
   EXPECT_FALSE(responses.framing().KeepsConnection());
 }
 
-TEST(ResponseFraming, BodyIsStreamedOnlyBeyondTheBound) {
+TEST(ResponseFraming, BodyIsStreamedOnlyAboveTheBufferLimit) {
   const auto action = [](std::uint64_t length) {
     return Responses(Served("Content-Length: " + std::to_string(length) + "\r\n")).ReadHead();
   };
@@ -136,7 +136,7 @@
   }
 }
 
-TEST(ResponseFraming, ServedBodyMustBeFramedOnce) {
+TEST(ResponseFraming, ServedBodyMustHaveUnambiguousFraming) {
   for (const std::string fields : {"Content-Length: 1\r\nTransfer-Encoding: chunked\r\n",
                                    "Transfer-Encoding: gzip\r\n", "Transfer-Encoding: gzip, chunked\r\n",
                                    "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n",
@@ -155,7 +155,7 @@
   EXPECT_EQ(responses.ReadBody(), "a");
 }
 
-TEST(ResponseFraming, BoundsInterimResponsesToEachRequest) {
+TEST(ResponseFraming, LimitsInterimResponsesPerRequest) {
   std::string bytes;
   for (int i = 0; i < 17; ++i) bytes += "HTTP/1.1 102 Processing\r\n\r\n";
   Responses responses(bytes);
@@ -171,7 +171,7 @@
   EXPECT_EQ(Responses("HTTP/1.1 101 Switching Protocols\r\n\r\n").ReadHead(), HeadAction::kFail);
 }
 
-TEST(ResponseFraming, ServesNoRequestThatIsNotWhole) {
+TEST(ResponseFraming, FailsAServedResponseToAnIncompleteRequest) {
   const auto progress = RequestProgress::kIncomplete;
 
   EXPECT_EQ(Responses(Served("Content-Length: 0\r\n")).ReadHead(progress), HeadAction::kFail);
--- a/tests/sidecar/socket_pair.h
+++ b/tests/sidecar/socket_pair.h
@@ -1,4 +1,4 @@
-// Two connected sockets on loopback, for tests of what reads or writes one of them.
+// Fixture with two connected TCP sockets on loopback, for tests of classes that read or write one of them.
 #pragma once
 
 #include <boost/asio/buffer.hpp>
@@ -25,20 +25,20 @@
     socket_.non_blocking(true);
   }
 
-  // Runs the event loop until `condition` holds; the test runner's timeout is the only limit.
+  // Runs the event loop until `condition` holds. Only the test runner's timeout limits the wait.
   void RunUntil(const std::function<bool()>& condition) {
     io_.restart();
     while (!condition()) io_.run_one();
   }
 
-  // What the peer receives next, this many bytes.
+  // Reads the next `size` bytes at the peer.
   std::string ReceiveAtPeer(std::size_t size) {
     std::string bytes(size, '\0');
     boost::asio::read(peer_, boost::asio::buffer(bytes));
     return bytes;
   }
 
-  // What the peer receives until the end of the connection.
+  // Reads at the peer until the end of the connection.
   std::string ReceiveAllAtPeer() {
     std::string bytes;
     boost::system::error_code error;
@@ -48,7 +48,7 @@
 
   boost::asio::io_context io_;
   tcp::socket peer_{io_};
-  tcp::socket socket_{io_};  // not blocking
+  tcp::socket socket_{io_};  // non-blocking
 };
 
 }  // namespace lb::sidecar::testing
--- a/tests/sidecar/socket_reader_test.cpp
+++ b/tests/sidecar/socket_reader_test.cpp
@@ -1,5 +1,5 @@
-// Reading from a socket: bytes, the end of them, and a close before any. Shortages of memory are forced on
-// the real program by system_call_faults_test.
+// Reads from a socket: bytes, the end of the input, and a close of the socket during a read. Shortages of
+// memory are tested with the real program in system_call_faults_test.
 #include "sidecar/socket_reader.h"
 
 #include <boost/asio/io_context.hpp>
@@ -56,7 +56,7 @@
   EXPECT_EQ(buffer_.size(), buffer_.max_size());
 }
 
-TEST_F(SocketReaderTest, TakesNoMemoryWhileItWaits) {
+TEST_F(SocketReaderTest, AllocatesNoMemoryWhileItWaits) {
   StartRead(8);
   io_.poll();
 
@@ -64,7 +64,7 @@
   EXPECT_EQ(buffer_.capacity(), 0U);
 }
 
-TEST_F(SocketReaderTest, ReportsTheEndOfSending) {
+TEST_F(SocketReaderTest, ReportsTheEndOfInput) {
   peer_.shutdown(tcp::socket::shutdown_send);
 
   StartRead(8);
--- a/tests/system_call_faults_fixture.h
+++ b/tests/system_call_faults_fixture.h
@@ -1,4 +1,5 @@
-// The real program with upstreams that answer at once, and system calls that a test makes fail.
+// Fixture for tests of failing system calls: runs the real program with fault injection and upstreams that
+// respond immediately.
 #pragma once
 
 #include <poll.h>
@@ -14,26 +15,27 @@
 
 namespace lb::sidecar::testing {
 
-// How long an answer may take that a fault must not hold up: far longer than it should, far shorter than the
-// deadline of its request.
+// Time limit of a response that a fault must not delay: far longer than such a response takes, far shorter
+// than the request's deadline kDeadlineMs.
 inline constexpr int kAtOnceMs = 2000;
 inline constexpr int kDeadlineMs = 20000;
 
-// An answer within kAtOnceMs; nothing where none came.
+// Returns the next response, or none if it does not start within kAtOnceMs.
 inline std::optional<Response> AnswerAtOnce(Client& client) {
   pollfd ready{client.wire.socket.native_handle(), POLLIN, 0};
   if (::poll(&ready, 1, kAtOnceMs) <= 0) return std::nullopt;
   return client.Read();
 }
 
-// The status of the response to a request of its own; 0 without one.
+// Sends a request with this id and returns the status of its response; 0 if there is none within kAtOnceMs.
 inline unsigned Ask(Client& client, const std::string& id) {
   if (!client.Send(GetText("/page/" + id, id, kDeadlineMs))) return 0;
   const auto answer = AnswerAtOnce(client);
   return answer ? answer->result_int() : 0;
 }
 
-// The program with upstreams that answer at once, and a client whose connection was open before any fault.
+// Runs the program with upstreams that respond immediately, and connects a client before any fault is
+// injected.
 class SystemCallFaults : public ::testing::Test {
  protected:
   void Start(int upstreams = 1, const Upstream::Handler& handler = nullptr, std::vector<json> known = {}) {
@@ -42,7 +44,7 @@
       upstreams_.push_back(std::make_unique<Upstream>(handler ? handler : Upstream::Echo(name)));
       known.push_back(Target(name, upstreams_.back()->address()));
     }
-    // Far from any time that a busy machine takes: what fails here is to fail by the fault alone.
+    // Times far longer than a busy machine needs, so that only the injected fault can make a test fail.
     json settings = Settings();
     for (json& cls : settings["Classes"]) cls["Aim"] = 10000000;
     settings["Limits"]["ConnectTimeout"] = 5000000;
--- a/tests/system_call_faults_test.cpp
+++ b/tests/system_call_faults_test.cpp
@@ -1,5 +1,5 @@
-// Tables of system call x errno x what must hold: the real program on loopback, the fault forced in it by a
-// preloaded library (fault_injection.h).
+// Failing system calls in the real program: tables of system call, errno and expected behaviour. The program
+// runs on loopback, and a preloaded library injects the faults (fault_injection.h).
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -17,15 +17,17 @@
 
 using std::chrono::milliseconds;
 
-// ---- The seam itself: each call of the real program is met ----
+// ---- The fault injection itself: it reaches each system call of the real program ----
 
-struct SeamRow {
+struct InjectionCase {
   const char* name;
   Fault fault;
-  bool folder;  // of the operators' folder: met when they say something, or by the program's next look
+  // True for a call on the operator state folder, which the program makes when an operator's command is
+  // stored or when it reads the folder.
+  bool folder;
 };
 
-class InjectedFault : public SystemCallFaults, public ::testing::WithParamInterface<SeamRow> {};
+class InjectedFault : public SystemCallFaults, public ::testing::WithParamInterface<InjectionCase> {};
 
 TEST_P(InjectedFault, ReachesTheSystemCall) {
   Start();
@@ -33,12 +35,12 @@
   fault.times = 1;
   if (GetParam().folder) fault.path = folder_.path();
   const auto forced = faults_.Force(fault);
-  Client next(sidecar_->port());
+  Client client(sidecar_->port());
   if (GetParam().folder) {
     EXPECT_EQ(sidecar_->Status("POST", "/upstreams/disable/u0"), 200u);
     EXPECT_EQ(sidecar_->Status("POST", "/upstreams/enable/u0"), 200u);
   } else {
-    next.Send(GetText("/page/x", "x", kDeadlineMs));
+    client.Send(GetText("/page/x", "x", kDeadlineMs));
   }
   EXPECT_TRUE(faults_.WaitUntilForced(forced));
 }
@@ -46,50 +48,52 @@
 INSTANTIATE_TEST_SUITE_P(
     Calls, InjectedFault,
     ::testing::Values(
-        SeamRow{
+        InjectionCase{
             "accept", {.call = SystemCall::kAccept, .error = ENOBUFS, .on = Descriptor::kListening}, false},
-        SeamRow{"read", {.call = SystemCall::kRead, .at_most = 1, .on = Descriptor::kAccepted}, false},
-        SeamRow{
+        InjectionCase{"read", {.call = SystemCall::kRead, .at_most = 1, .on = Descriptor::kAccepted}, false},
+        InjectionCase{
             "readUpstream", {.call = SystemCall::kRead, .at_most = 1, .on = Descriptor::kOutgoing}, false},
-        SeamRow{"write", {.call = SystemCall::kWrite, .at_most = 1, .on = Descriptor::kAccepted}, false},
-        SeamRow{
+        InjectionCase{
+            "write", {.call = SystemCall::kWrite, .at_most = 1, .on = Descriptor::kAccepted}, false},
+        InjectionCase{
             "writeUpstream", {.call = SystemCall::kWrite, .at_most = 1, .on = Descriptor::kOutgoing}, false},
-        SeamRow{"epollWait", {.call = SystemCall::kEpollWait, .error = EINTR}, false},
-        SeamRow{"epollControl", {.call = SystemCall::kEpollControl, .delay = milliseconds(1)}, false},
-        SeamRow{"makeFolder", {.call = SystemCall::kMakeFolder, .delay = milliseconds(1)}, true},
-        SeamRow{"openFolder", {.call = SystemCall::kOpenFolder, .delay = milliseconds(1)}, true},
-        SeamRow{"readFolder", {.call = SystemCall::kReadFolder, .delay = milliseconds(1)}, true},
-        SeamRow{"open", {.call = SystemCall::kOpen, .delay = milliseconds(1)}, true},
-        SeamRow{"remove", {.call = SystemCall::kRemove, .delay = milliseconds(1)}, true}),
+        InjectionCase{"epollWait", {.call = SystemCall::kEpollWait, .error = EINTR}, false},
+        InjectionCase{"epollControl", {.call = SystemCall::kEpollControl, .delay = milliseconds(1)}, false},
+        InjectionCase{"makeFolder", {.call = SystemCall::kMakeFolder, .delay = milliseconds(1)}, true},
+        InjectionCase{"openFolder", {.call = SystemCall::kOpenFolder, .delay = milliseconds(1)}, true},
+        InjectionCase{"readFolder", {.call = SystemCall::kReadFolder, .delay = milliseconds(1)}, true},
+        InjectionCase{"open", {.call = SystemCall::kOpen, .delay = milliseconds(1)}, true},
+        InjectionCase{"remove", {.call = SystemCall::kRemove, .delay = milliseconds(1)}, true}),
     [](const auto& row) { return row.param.name; });
 
 // ---- socket and connect ----
 
-struct LocalRow {
+struct LocalFault {
   SystemCall call;
   int error;
 };
 
-std::string LocalName(const ::testing::TestParamInfo<LocalRow>& row) {
+std::string LocalFaultName(const ::testing::TestParamInfo<LocalFault>& row) {
   const std::string call = row.param.call == SystemCall::kSocket    ? "socket"
                            : row.param.call == SystemCall::kConnect ? "connect"
                                                                     : "epoll_ctl";
   return call + ::strerrorname_np(row.param.error);
 }
 
-class FailingSocketCall : public SystemCallFaults, public ::testing::WithParamInterface<LocalRow> {
+class FailingSocketCall : public SystemCallFaults, public ::testing::WithParamInterface<LocalFault> {
  protected:
-  // Until connections rest at many upstreams.
+  // Sends enough requests that many upstreams have an idle connection.
   void WarmUp() {
     for (int i = 0; i < 40; ++i) ASSERT_EQ(Ask(*client_, "warm" + std::to_string(i)), 200u);
   }
 };
 
-// What rests serves while no connection can be opened; none of it is closed, and nobody is blamed for it.
+// While no connection can be opened, idle connections serve the requests. None of them is closed, and no
+// upstream is ejected for the failure.
 TEST_P(FailingSocketCall, LeavesIdleConnectionsInUse) {
   Start(9);
   WarmUp();
-  // Two at once: what rests at an upstream is in use now and then.
+  // With two clients at once, an upstream's idle connection is sometimes in use.
   Client second(sidecar_->port());
   ASSERT_EQ(Ask(second, "second"), 200u);
   const int open_before = sidecar_->descriptors();
@@ -110,7 +114,8 @@
 
 class FailingConnect : public FailingSocketCall {};
 
-// One upstream can't be connected to for a while: the others serve, and it is back once it can be.
+// While connecting to one upstream fails locally, the others serve; the upstream is used again when the fault
+// ends.
 TEST_P(FailingConnect, DoesNotCountAsAnUpstreamFailure) {
   const Upstream hard(Upstream::Echo("hard"));
   const auto port =
@@ -129,29 +134,29 @@
 }
 
 const auto kLocalConnects =
-    ::testing::Values(LocalRow{SystemCall::kConnect, EADDRNOTAVAIL},
-                      LocalRow{SystemCall::kConnect, ENETUNREACH}, LocalRow{SystemCall::kConnect, EAGAIN},
-                      LocalRow{SystemCall::kConnect, ENOBUFS}, LocalRow{SystemCall::kConnect, EPERM});
-INSTANTIATE_TEST_SUITE_P(Connect, FailingSocketCall, kLocalConnects, LocalName);
-INSTANTIATE_TEST_SUITE_P(Errors, FailingConnect, kLocalConnects, LocalName);
+    ::testing::Values(LocalFault{SystemCall::kConnect, EADDRNOTAVAIL},
+                      LocalFault{SystemCall::kConnect, ENETUNREACH}, LocalFault{SystemCall::kConnect, EAGAIN},
+                      LocalFault{SystemCall::kConnect, ENOBUFS}, LocalFault{SystemCall::kConnect, EPERM});
+INSTANTIATE_TEST_SUITE_P(Connect, FailingSocketCall, kLocalConnects, LocalFaultName);
+INSTANTIATE_TEST_SUITE_P(Errors, FailingConnect, kLocalConnects, LocalFaultName);
 INSTANTIATE_TEST_SUITE_P(Socket, FailingSocketCall,
-                         ::testing::Values(LocalRow{SystemCall::kSocket, EMFILE},
-                                           LocalRow{SystemCall::kSocket, ENFILE},
-                                           LocalRow{SystemCall::kSocket, ENOBUFS},
-                                           LocalRow{SystemCall::kSocket, ENOMEM},
-                                           LocalRow{SystemCall::kEpollControl, ENOSPC}),
-                         LocalName);
+                         ::testing::Values(LocalFault{SystemCall::kSocket, EMFILE},
+                                           LocalFault{SystemCall::kSocket, ENFILE},
+                                           LocalFault{SystemCall::kSocket, ENOBUFS},
+                                           LocalFault{SystemCall::kSocket, ENOMEM},
+                                           LocalFault{SystemCall::kEpollControl, ENOSPC}),
+                         LocalFaultName);
 
 // ---- read, write and waits ----
 
-struct TransferRow {
+struct TransferCase {
   const char* name;
   Fault fault;
 };
 
-class TransientTransferFault : public SystemCallFaults, public ::testing::WithParamInterface<TransferRow> {};
+class TransientTransferFault : public SystemCallFaults, public ::testing::WithParamInterface<TransferCase> {};
 
-// Requests, with and without a body and an interim answer, are answered as if nothing were.
+// Requests, with and without a body and an interim response, are answered as if there were no fault.
 TEST_P(TransientTransferFault, IsNotSeenByTheClient) {
   Start();
   const auto fault = faults_.Force(GetParam().fault);
@@ -160,7 +165,8 @@
     const std::string id = "b" + std::to_string(i);
     ASSERT_TRUE(client_->Send(PostText("/submit/x", id, "body", kDeadlineMs, "Expect: 100-continue\r\n")));
     std::optional<Response> answer = AnswerAtOnce(*client_);
-    if (answer && answer->result_int() == 100) answer = client_->Read();  // may be read already
+    // There is no interim response if the sidecar has received the body together with the head.
+    if (answer && answer->result_int() == 100) answer = client_->Read();
     ASSERT_TRUE(answer.has_value()) << i;
     EXPECT_EQ(answer->result_int(), 200u) << i;
   }
@@ -170,67 +176,67 @@
 INSTANTIATE_TEST_SUITE_P(
     Calls, TransientTransferFault,
     ::testing::Values(
-        TransferRow{"readClientEINTR",
-                    {.call = SystemCall::kRead, .error = EINTR, .times = 3, .on = Descriptor::kAccepted}},
-        TransferRow{"readClientENOMEM",
-                    {.call = SystemCall::kRead, .error = ENOMEM, .times = 3, .on = Descriptor::kAccepted}},
-        TransferRow{"readClientENOBUFS",
-                    {.call = SystemCall::kRead, .error = ENOBUFS, .times = 3, .on = Descriptor::kAccepted}},
-        TransferRow{"readClientShort",
-                    {.call = SystemCall::kRead, .at_most = 1, .on = Descriptor::kAccepted}},
-        TransferRow{"writeClientEINTR",
-                    {.call = SystemCall::kWrite, .error = EINTR, .times = 3, .on = Descriptor::kAccepted}},
-        TransferRow{"writeClientENOBUFS",
-                    {.call = SystemCall::kWrite, .error = ENOBUFS, .times = 3, .on = Descriptor::kAccepted}},
-        TransferRow{"writeClientENOMEM",
-                    {.call = SystemCall::kWrite, .error = ENOMEM, .times = 3, .on = Descriptor::kAccepted}},
-        TransferRow{"writeClientShort",
-                    {.call = SystemCall::kWrite, .at_most = 1, .on = Descriptor::kAccepted}},
-        TransferRow{"readUpstreamEINTR",
-                    {.call = SystemCall::kRead, .error = EINTR, .times = 3, .on = Descriptor::kOutgoing}},
-        TransferRow{"readUpstreamShort",
-                    {.call = SystemCall::kRead, .at_most = 1, .on = Descriptor::kOutgoing}},
-        TransferRow{"writeUpstreamEINTR",
-                    {.call = SystemCall::kWrite, .error = EINTR, .times = 3, .on = Descriptor::kOutgoing}},
-        TransferRow{"writeUpstreamENOBUFS",
-                    {.call = SystemCall::kWrite, .error = ENOBUFS, .times = 3, .on = Descriptor::kOutgoing}},
-        TransferRow{"writeUpstreamShort",
-                    {.call = SystemCall::kWrite, .at_most = 1, .on = Descriptor::kOutgoing}},
-        TransferRow{"pollEINTR", {.call = SystemCall::kEpollWait, .error = EINTR, .times = 5}}),
+        TransferCase{"readClientEINTR",
+                     {.call = SystemCall::kRead, .error = EINTR, .times = 3, .on = Descriptor::kAccepted}},
+        TransferCase{"readClientENOMEM",
+                     {.call = SystemCall::kRead, .error = ENOMEM, .times = 3, .on = Descriptor::kAccepted}},
+        TransferCase{"readClientENOBUFS",
+                     {.call = SystemCall::kRead, .error = ENOBUFS, .times = 3, .on = Descriptor::kAccepted}},
+        TransferCase{"readClientShort",
+                     {.call = SystemCall::kRead, .at_most = 1, .on = Descriptor::kAccepted}},
+        TransferCase{"writeClientEINTR",
+                     {.call = SystemCall::kWrite, .error = EINTR, .times = 3, .on = Descriptor::kAccepted}},
+        TransferCase{"writeClientENOBUFS",
+                     {.call = SystemCall::kWrite, .error = ENOBUFS, .times = 3, .on = Descriptor::kAccepted}},
+        TransferCase{"writeClientENOMEM",
+                     {.call = SystemCall::kWrite, .error = ENOMEM, .times = 3, .on = Descriptor::kAccepted}},
+        TransferCase{"writeClientShort",
+                     {.call = SystemCall::kWrite, .at_most = 1, .on = Descriptor::kAccepted}},
+        TransferCase{"readUpstreamEINTR",
+                     {.call = SystemCall::kRead, .error = EINTR, .times = 3, .on = Descriptor::kOutgoing}},
+        TransferCase{"readUpstreamShort",
+                     {.call = SystemCall::kRead, .at_most = 1, .on = Descriptor::kOutgoing}},
+        TransferCase{"writeUpstreamEINTR",
+                     {.call = SystemCall::kWrite, .error = EINTR, .times = 3, .on = Descriptor::kOutgoing}},
+        TransferCase{"writeUpstreamENOBUFS",
+                     {.call = SystemCall::kWrite, .error = ENOBUFS, .times = 3, .on = Descriptor::kOutgoing}},
+        TransferCase{"writeUpstreamShort",
+                     {.call = SystemCall::kWrite, .at_most = 1, .on = Descriptor::kOutgoing}},
+        TransferCase{"pollEINTR", {.call = SystemCall::kEpollWait, .error = EINTR, .times = 5}}),
     [](const auto& row) { return row.param.name; });
 
-// ---- A connection that the system gives up ----
+// ---- Connections that fail ----
 
-struct GivenUpRow {
+struct ConnectionFault {
   SystemCall call;
   int error;
 };
 
-std::string GivenUpName(const ::testing::TestParamInfo<GivenUpRow>& row) {
+std::string ConnectionFaultName(const ::testing::TestParamInfo<ConnectionFault>& row) {
   const std::string call = row.param.call == SystemCall::kRead ? "read" : "write";
   return call + ::strerrorname_np(row.param.error);
 }
 
-class BrokenConnection : public SystemCallFaults, public ::testing::WithParamInterface<GivenUpRow> {
+class BrokenConnection : public SystemCallFaults, public ::testing::WithParamInterface<ConnectionFault> {
  protected:
-  FaultInjector::Id GiveUpOne(Descriptor on) {
+  FaultInjector::Id BreakOneConnection(Descriptor on) {
     return faults_.Force({.call = GetParam().call, .error = GetParam().error, .times = 1, .on = on});
   }
 };
 
-// Its request may be repeated and is served on another connection.
+// An idempotent request is retried and served on another connection.
 TEST_P(BrokenConnection, ToAnUpstreamIsReplaced) {
   Start(2);
-  const auto fault = GiveUpOne(Descriptor::kOutgoing);
+  const auto fault = BreakOneConnection(Descriptor::kOutgoing);
   for (int i = 0; i < 10; ++i) ASSERT_EQ(Ask(*client_, "a" + std::to_string(i)), 200u) << i;
   EXPECT_EQ(faults_.forced(fault), 1);
   EXPECT_EQ(sidecar_->log().find("ejected"), std::string::npos);
 }
 
-// That client's connection ends; the others are served.
+// Only the connection of that client is closed; other clients are served.
 TEST_P(BrokenConnection, OfAClientAffectsNoOther) {
   Start();
-  const auto fault = GiveUpOne(Descriptor::kAccepted);
+  const auto fault = BreakOneConnection(Descriptor::kAccepted);
   ASSERT_TRUE(client_->Send(GetText("/page/x", "x", kDeadlineMs)));
   ASSERT_TRUE(faults_.WaitUntilForced(fault));
   EXPECT_TRUE(client_->wire.ReadsEnd());
@@ -238,12 +244,14 @@
   for (int i = 0; i < 10; ++i) ASSERT_EQ(Ask(other, "o" + std::to_string(i)), 200u) << i;
 }
 
-INSTANTIATE_TEST_SUITE_P(
-    Errors, BrokenConnection,
-    ::testing::Values(GivenUpRow{SystemCall::kRead, ETIMEDOUT}, GivenUpRow{SystemCall::kRead, EHOSTUNREACH},
-                      GivenUpRow{SystemCall::kRead, ECONNRESET}, GivenUpRow{SystemCall::kWrite, ETIMEDOUT},
-                      GivenUpRow{SystemCall::kWrite, EHOSTUNREACH}, GivenUpRow{SystemCall::kWrite, EPIPE}),
-    GivenUpName);
+INSTANTIATE_TEST_SUITE_P(Errors, BrokenConnection,
+                         ::testing::Values(ConnectionFault{SystemCall::kRead, ETIMEDOUT},
+                                           ConnectionFault{SystemCall::kRead, EHOSTUNREACH},
+                                           ConnectionFault{SystemCall::kRead, ECONNRESET},
+                                           ConnectionFault{SystemCall::kWrite, ETIMEDOUT},
+                                           ConnectionFault{SystemCall::kWrite, EHOSTUNREACH},
+                                           ConnectionFault{SystemCall::kWrite, EPIPE}),
+                         ConnectionFaultName);
 
 }  // namespace
 }  // namespace lb::sidecar::testing
--- a/tests/wire_format_test.cpp
+++ b/tests/wire_format_test.cpp
@@ -1,5 +1,6 @@
-// What crosses each socket, byte for byte, and what is stored: the forms that the pages and earlier releases
-// fix. Recorded on release 4fd1713; a change here is a change for everyone who talks to the sidecar.
+// The exact bytes of each protocol of the sidecar, and the exact form of its stored state, as documented and
+// used by earlier releases. The expectations were recorded with release 4fd1713. Changing one breaks
+// compatibility with clients, upstreams, discovery, operators or a running older release.
 #include <sys/socket.h>
 
 #include <boost/asio/io_context.hpp>
@@ -27,7 +28,7 @@
 namespace fs = std::filesystem;
 using boost::system::error_code;
 
-// Everything up to the end of the connection.
+// Reads until the end of the connection.
 std::string ReadToEnd(tcp::socket& socket) {
   std::string bytes;
   error_code error;
@@ -35,7 +36,7 @@
   return bytes;
 }
 
-// One message: its head and as much body as Content-Length says.
+// Reads one message: its head, and a body of Content-Length bytes.
 std::string ReadMessage(tcp::socket& socket) {
   std::string bytes;
   error_code error;
@@ -52,18 +53,18 @@
   return bytes;
 }
 
-// `text` with the value of X-Timeout-Ms, which depends on the time that has passed, as "#".
+// Returns `text` with "#" in place of the value of X-Timeout-Ms, which depends on the elapsed time.
 std::string WithoutTimeout(const std::string& text) {
   return std::regex_replace(text, std::regex("X-Timeout-Ms: [0-9]+"), "X-Timeout-Ms: #");
 }
 
-// A whole answer of the sidecar's own, which ends its connection.
+// The bytes of a response that the sidecar generates itself and after which it closes the connection.
 std::string Plain(const std::string& status, const std::string& text, const std::string& headers = "") {
   return "HTTP/1.1 " + status + "\r\nContent-Type: text/plain\r\n" + headers +
          "Connection: close\r\nContent-Length: " + std::to_string(text.size()) + "\r\n\r\n" + text;
 }
 
-// A server that keeps the bytes of each request, and answers with the next of `answers`.
+// A server that records the bytes of each request and responds with the next of `answers`.
 class RawServer {
  public:
   explicit RawServer(std::vector<std::string> answers)
@@ -156,7 +157,7 @@
             "GET /discovery/hosts?index=7&wait=4500 HTTP/1.1\r\nHost: discovery\r\n\r\n");
 }
 
-// A sidecar with an operators' address and a folder that outlasts it.
+// Fixture for a sidecar with an admin address, and a state folder that outlives the sidecar.
 class StoredForms : public ::testing::Test {
  protected:
   SidecarProcess::Options Options() const {
@@ -172,7 +173,7 @@
     caller.Send(method + " " + target + " HTTP/1.1\r\nHost: x\r\n\r\n");
     return ReadToEnd(caller.wire.socket);
   }
-  // The names of the stored files, and what is in each.
+  // The names and contents of the stored files.
   std::set<std::pair<std::string, std::string>> Files() const {
     std::set<std::pair<std::string, std::string>> files;
     for (const auto& entry : fs::directory_iterator(state_)) {
@@ -225,7 +226,7 @@
   EXPECT_EQ(Files(), expected);
 }
 
-// The folder in tests/data was left by release 4fd1713, with u1 disabled and clients sent away.
+// The folder in tests/data was written by release 4fd1713, with u1 disabled and the sidecar drained.
 TEST_F(StoredForms, StartsFromTheFolderOfAnEarlierRelease) {
   fs::copy(fs::path(TEST_DATA) / "operator-state-4fd1713", state_, fs::copy_options::recursive);
   SidecarProcess sidecar(Options());
@@ -238,8 +239,8 @@
   EXPECT_EQ(Files(), (std::set<std::pair<std::string, std::string>>{{"handover", ""}}));
 }
 
-// The next process as an earlier release has it: it receives the clients' listening socket with one byte,
-// says `r` once it serves, and from then on is told what operators say.
+// Plays the next process in a hot restart with the protocol of an earlier release: receives the clients'
+// listening socket with one byte, sends `r` when it serves, and from then on receives the operators' changes.
 TEST_F(StoredForms, HotRestartSocket) {
   SidecarProcess sidecar(Options());
   ASSERT_TRUE(Eventually([&] { return sidecar.Status("GET", "/ready") == 200; }));
@@ -261,11 +262,11 @@
   EXPECT_EQ(CMSG_FIRSTHDR(&message)->cmsg_type, SCM_RIGHTS);
   boost::asio::write(next, boost::asio::buffer("r", 1));
 
-  std::string told;
+  std::string received;
   const auto line = [&] {
-    const std::size_t size = boost::asio::read_until(next, boost::asio::dynamic_buffer(told), '\n');
-    std::string text = told.substr(0, size);
-    told.erase(0, size);
+    const std::size_t size = boost::asio::read_until(next, boost::asio::dynamic_buffer(received), '\n');
+    std::string text = received.substr(0, size);
+    received.erase(0, size);
     return text;
   };
   EXPECT_EQ(line(), "+out-7532\n");
