--- a/tests/discovery_stand_in.h
+++ b/tests/discovery_stand_in.h
@@ -1,4 +1,4 @@
-// A stand-in for the discovery service, and the endpoint lists that it serves.
+// A stand-in for the discovery service, and functions that build the endpoint lists it serves.
 #pragma once
 
 #include <atomic>
@@ -16,20 +16,34 @@
 
 using nlohmann::json;
 
+// An entry of an endpoint list. `boot_ms` is the start time as Unix time in milliseconds; 0: unknown.
 json Target(const std::string& uid, const std::string& endpoint, const std::string& state = "active",
             std::int64_t boot_ms = 0);
 
-// A list of targets. (Braces alone would leave it to the compiler whether one target is a list.)
+// An array of targets. Use it instead of a braced list: braces around a single target may be taken for the
+// target itself instead of an array.
 json List(const std::vector<json>& targets);
 
+// Serves one endpoint list on a loopback port, with watches, until its destruction.
 class Discovery {
  public:
-  enum class Mood { kAnswers, kSilent, kBreaks, kMalformed };
+  enum class Mood {
+    kAnswers,    // responds as a discovery service does
+    kSilent,     // reads calls and does not respond
+    kBreaks,     // closes the connection instead of responding
+    kMalformed,  // responds with an invalid list
+  };
+  // Starts with the whole list `targets` at revision 1, in the mode kAnswers.
   explicit Discovery(const json& targets);
   std::string address() const { return peer_->address(); }
-  void Tell(const json& targets, bool all = true);  // a new version
+  // Publishes `targets` as the next revision and answers the open watches. `all`: the whole list, else only
+  // changes.
+  void Tell(const json& targets, bool all = true);
+  // Changes the mode, also for the calls that are waiting.
   void Set(Mood mood);
+  // The number of calls received.
   int calls() const { return calls_; }
+  // The number of calls for the whole list, which are the calls without a revision.
   int lists() const { return lists_; }
 
  private:
--- a/tests/gated_upstream.h
+++ b/tests/gated_upstream.h
@@ -1,4 +1,4 @@
-// An upstream that keeps an attempt in flight for as long as a test needs it, without a sleep.
+// An upstream that keeps an attempt in flight until the test releases it, so that tests need no sleeps.
 #pragma once
 
 #include <functional>
@@ -9,16 +9,17 @@
 
 namespace lb::sidecar::testing {
 
-// Holds its response to one request until the test releases it, and answers the others at once. Whatever is
-// still held at the end of the test is released then, so that a failed assertion does not leave a thread
-// behind.
+// Holds the response to one request until the test calls Release(), and answers all other requests
+// immediately. The destructor releases a response that is still held, so that a failed assertion does not
+// leave a blocked thread behind.
 class GatedUpstream {
  public:
-  // Whether to hold this request; `number` counts the requests in their order of arrival, from 0. May select
-  // one request only.
+  // Returns whether to hold this request. `number` counts the requests from 0 in their order of arrival. Must
+  // return true for one request only.
   using Selector = std::function<bool(const Request& request, int number)>;
 
-  // Holds the first request. `respond` writes the responses, also the one that was held.
+  // Holds the request that `is_held` selects, by default the first. `respond` writes all responses, including
+  // the held one after its release.
   explicit GatedUpstream(Upstream::Handler respond = RespondWithTarget, Selector is_held = IsFirst);
   ~GatedUpstream();
   GatedUpstream(const GatedUpstream&) = delete;
@@ -32,7 +33,7 @@
   void Release();
 
   static bool IsFirst(const Request& request, int number);
-  // A 200 whose body is the request's target.
+  // Responds with status 200 and the request's target as the body.
   static void RespondWithTarget(Wire& wire, const Request& request, int number);
 
  private:
--- a/tests/membership_growth_test.cpp
+++ b/tests/membership_growth_test.cpp
@@ -1,5 +1,5 @@
-// What a long list of upstreams costs, and that keeping its sums and its order from change to change decides
-// nothing otherwise.
+// Tests of the cost of long endpoint lists, and that the incremental updates of sums and order, which bound
+// this cost, do not change any decision.
 #include <algorithm>
 #include <bit>
 #include <cstddef>
@@ -17,10 +17,10 @@
 namespace lb::testing {
 namespace {
 
-// The hashes of all actions, but for the text of log lines, of plays 0, 1, 2, ..., recorded on the module
-// that sorted, summed and numbered the whole list at each change. They are the same at -O0, -O2 and -O3 and
-// under the sanitizers.
-constexpr std::uint64_t kRecorded[] = {
+// The hash of all actions, without the text of log lines, for each random play from play 0 on, in their
+// order. Recorded with an implementation that sorted, summed and numbered the whole list at each change.
+// The hashes are the same at -O0, -O2 and -O3 and under the sanitizers.
+constexpr std::uint64_t kRecordedHashes[] = {
     0xbe1ab2e527992315, 0xdaa3453cae716b70, 0x829f0486304835d3, 0x4f4241923406c909, 0xfca2c19b1c0596e4,
     0x3b84dbe651de8d40, 0x96a233325b08bf2e, 0xfc829f9f9618f748, 0x78983fdd9e83bb38, 0x373abc4a95f8317e,
     0x846a20c8ec6df8e9, 0x30160720035a31d9, 0xe4c1e4bb9200259b, 0x41c75e08a59e80d3, 0xe98159ddced68f9e,
@@ -30,29 +30,31 @@
 
 TEST(MembershipGrowth, RandomPlaysGiveTheActionsThatTheyGaveBefore) {
   std::size_t ejections = 0, sent = 0;
-  for (std::uint64_t number = 0; number < std::size(kRecorded); ++number) {
+  for (std::uint64_t number = 0; number < std::size(kRecordedHashes); ++number) {
     RandomPlay play(OptionsOf(number), number);
     play.Run();
-    EXPECT_EQ(play.decisions(), kRecorded[number]) << "play " << number;
+    EXPECT_EQ(play.decisions(), kRecordedHashes[number]) << "play " << number;
     EXPECT_EQ(play.broken(), 0U) << "play " << number;
     ejections += play.ejections();
     sent += play.sent();
   }
-  EXPECT_GT(ejections, 100U);  // or the plays tell little
+  EXPECT_GT(ejections, 100U);  // otherwise the plays cover too little
   EXPECT_GT(sent, 40000U);
 }
 
-// What is looked at, by a module that knows so many upstreams and has come to rest.
-class Work {
+// Counts the upstreams that a balancer with a list of the given size visits for an event. All upstreams are
+// warm at the start.
+class VisitCounter {
  public:
-  explicit Work(std::size_t upstreams) : settings_(DefaultSettings()), balancer_(Known(settings_), 7) {
+  explicit VisitCounter(std::size_t upstreams)
+      : settings_(DefaultSettings()), balancer_(WithSidecarCount(settings_), 7) {
     for (std::size_t i = 0; i < upstreams; ++i) list.push_back(MakeUpstream("upstream-" + std::to_string(i)));
-    Of(MembershipUpdate{MembershipUpdate::Kind::kRestored, list});
-    Rest();
+    VisitsFor(MembershipUpdate{MembershipUpdate::Kind::kRestored, list});
+    AdvanceUntilWarm();
   }
 
-  // By one event, and the next call that may have to count anew what it changed.
-  std::size_t Of(const Event& event) {
+  // Returns the number of upstreams visited while the balancer handles one event.
+  std::size_t VisitsFor(const Event& event) {
     const std::size_t before = balancer_.upstreams_visited();
     std::vector<Action> actions;
     balancer_.Handle(now, event, actions);
@@ -60,26 +62,28 @@
       if (const auto* timer = std::get_if<SetTimer>(&action)) timers_.emplace(timer->at, timer->token);
     return balancer_.upstreams_visited() - before;
   }
-  std::size_t OfChange(const UpstreamInfo& info) {
-    return Of(MembershipUpdate{MembershipUpdate::Kind::kChanges, {info}});
+  // The same for a change of one upstream.
+  std::size_t VisitsForChange(const UpstreamInfo& info) {
+    return VisitsFor(MembershipUpdate{MembershipUpdate::Kind::kChanges, {info}});
   }
-  std::size_t OfHousekeeping() {
+  // Advances the time to the earliest timer and returns the visits of its TimerFired event.
+  std::size_t VisitsForHousekeeping() {
     const auto due = *timers_.begin();
     timers_.erase(timers_.begin());
     now = std::max(now, due.first);
-    return Of(TimerFired{due.second});
+    return VisitsFor(TimerFired{due.second});
   }
-  // Until whatever was cold is warm.
-  void Rest() {
+  // Advances the time until all upstreams are warm.
+  void AdvanceUntilWarm() {
     for (const TimePoint end = now + settings_.fleet_limits.slow_start_duration + 1s; now < end;)
-      OfHousekeeping();
+      VisitsForHousekeeping();
   }
 
   std::vector<UpstreamInfo> list;
   TimePoint now{1000s};
 
  private:
-  static Settings Known(Settings settings) {
+  static Settings WithSidecarCount(Settings settings) {
     settings.sidecar_count = 900;
     return settings;
   }
@@ -88,82 +92,85 @@
   std::multimap<TimePoint, std::uint64_t> timers_;
 };
 
-// Some steps for each time that the list can be halved, and some in any case.
-std::size_t Logarithmic(std::size_t upstreams) { return 16 + 8 * std::bit_width(upstreams); }
+// The limit for an operation of logarithmic cost: 8 visits for each halving of the list, plus 16.
+std::size_t LogarithmicLimit(std::size_t upstreams) { return 16 + 8 * std::bit_width(upstreams); }
 
 constexpr std::size_t kSizes[] = {200, 3200, 4096};
 
 TEST(MembershipGrowth, AChangeOfOneUpstreamLooksAtFew) {
   for (const std::size_t size : kSizes) {
-    Work work(size);
-    std::size_t most = 0;
+    VisitCounter counter(size);
+    std::size_t max_visits = 0;
     for (std::size_t i = 0; i < 60; ++i) {
-      UpstreamInfo one = work.list[(i * 67) % size];
+      UpstreamInfo one = counter.list[(i * 67) % size];
       for (const auto state : {UpstreamState::kDraining, UpstreamState::kServing, UpstreamState::kGone}) {
         one.state = state;
-        most = std::max(most, work.OfChange(one));
+        max_visits = std::max(max_visits, counter.VisitsForChange(one));
       }
       one.state = UpstreamState::kServing;
-      one.started = work.now;  // another process under its id
-      most = std::max(most, work.OfChange(one));
+      one.started = counter.now;  // another process with the same id
+      max_visits = std::max(max_visits, counter.VisitsForChange(one));
       one.weight = 1.3;
-      most = std::max(most, work.OfChange(one));
-      most = std::max(most, work.Of(OperatorOverride{one.id, true}));
-      most = std::max(most, work.Of(OperatorOverride{one.id, false}));
-      work.Rest();
+      max_visits = std::max(max_visits, counter.VisitsForChange(one));
+      max_visits = std::max(max_visits, counter.VisitsFor(OperatorOverride{one.id, true}));
+      max_visits = std::max(max_visits, counter.VisitsFor(OperatorOverride{one.id, false}));
+      counter.AdvanceUntilWarm();
     }
-    EXPECT_LE(most, Logarithmic(size)) << size << " upstreams";
+    EXPECT_LE(max_visits, LogarithmicLimit(size)) << size << " upstreams";
   }
 }
 
 TEST(MembershipGrowth, HousekeepingLooksOnlyAtWhatIsDue) {
   for (const std::size_t size : kSizes) {
-    Work work(size);
-    EXPECT_EQ(work.OfHousekeeping(), 0U) << size << " upstreams at rest";
+    VisitCounter counter(size);
+    EXPECT_EQ(counter.VisitsForHousekeeping(), 0U) << size << " upstreams at rest";
     for (std::size_t i = 0; i < 3; ++i) {
-      UpstreamInfo cold = work.list[i];
-      cold.started = work.now;
-      work.OfChange(cold);
+      UpstreamInfo cold = counter.list[i];
+      cold.started = counter.now;
+      counter.VisitsForChange(cold);
     }
-    EXPECT_LE(work.OfHousekeeping(), 3 * Logarithmic(size)) << size << " upstreams, three of them cold";
-    work.Rest();
-    EXPECT_EQ(work.OfHousekeeping(), 0U) << size << " upstreams at rest again";
+    EXPECT_LE(counter.VisitsForHousekeeping(), 3 * LogarithmicLimit(size))
+        << size << " upstreams, three of them cold";
+    counter.AdvanceUntilWarm();
+    EXPECT_EQ(counter.VisitsForHousekeeping(), 0U) << size << " upstreams at rest again";
   }
 }
 
 TEST(MembershipGrowth, AWholeListIsComparedInOnePass) {
   for (const std::size_t size : kSizes) {
-    Work work(size);
-    const std::vector<UpstreamInfo> fewer(work.list.begin(), work.list.end() - size / 6);
-    for (const auto& list : {fewer, work.list, work.list})
-      EXPECT_LE(work.Of(MembershipUpdate{MembershipUpdate::Kind::kFull, list}), 6 * size);
+    VisitCounter counter(size);
+    const std::vector<UpstreamInfo> fewer(counter.list.begin(), counter.list.end() - size / 6);
+    for (const auto& list : {fewer, counter.list, counter.list})
+      EXPECT_LE(counter.VisitsFor(MembershipUpdate{MembershipUpdate::Kind::kFull, list}), 6 * size);
   }
 }
 
-// The subset is of the same size, as the sidecar's traffic is the same.
+// The limit does not depend on the size of the list: the subset has the same size, as the sidecar's traffic
+// is the same.
 TEST(MembershipGrowth, ARequestLooksAtItsSubset) {
   for (const std::size_t size : kSizes) {
-    Work work(size);
-    std::size_t most = 0;
+    VisitCounter counter(size);
+    std::size_t max_visits = 0;
     for (std::uint64_t i = 1; i <= 20; ++i) {
       RequestArrived e;
       e.request = RequestId{i};
-      e.deadline = work.now + 2s;
-      most = std::max(most, work.Of(e));
-      // It fails and gets its further attempts and its final answer.
+      e.deadline = counter.now + 2s;
+      max_visits = std::max(max_visits, counter.VisitsFor(e));
+      // Each attempt fails, until the request has no further attempt and gets its final answer.
       for (std::size_t attempt = 0; attempt < 4; ++attempt) {
-        most = std::max(
-            most, work.Of(AttemptFinished{e.request, AttemptId{attempt}, Outcome::kNotSent, {}, false, {}}));
+        max_visits =
+            std::max(max_visits, counter.VisitsFor(AttemptFinished{
+                                     e.request, AttemptId{attempt}, Outcome::kNotSent, {}, false, {}}));
       }
-      work.OfHousekeeping();
+      counter.VisitsForHousekeeping();
     }
-    EXPECT_LE(most, 160U) << size << " upstreams";
+    EXPECT_LE(max_visits, 160U) << size << " upstreams";
   }
 }
 
-// No list of 4,096 upstreams is too long for the sidecar: every field told, names of 128 bytes, spread over
-// lines.
-TEST(MembershipGrowth, ANodeTakesAnIndentedListOf4096Upstreams) {
+// The sidecar must accept a list of 4,096 upstreams even in its longest form: all fields present, names of
+// 128 bytes, indented JSON. Guards against a size limit that is too low for such a list.
+TEST(MembershipGrowth, ASidecarAcceptsAnIndentedListOf4096Upstreams) {
   using sidecar::testing::json;
   namespace peers = sidecar::testing;
   peers::Upstream live(peers::Upstream::Echo("live"));
@@ -178,16 +185,16 @@
   const std::string whole = json{{"rev", 7}, {"all", true}, {"targets", std::move(targets)}}.dump(4);
   RecordProperty("bytes", static_cast<int>(whole.size()));
   peers::Peer discovery([&](peers::Wire& wire, int) {
-    if (wire.ReadRequest() && wire.Answer(200, whole)) wire.ReadsEnd();  // a watch that tells nothing
+    if (wire.ReadRequest() && wire.Answer(200, whole)) wire.ReadsEnd();  // then a watch without a response
   });
   peers::SidecarProcess::Options options;
   options.discovery = discovery.address();
   peers::SidecarProcess sidecar(options);
   ASSERT_TRUE(sidecar.Listening());
   peers::Client client(sidecar.port());
-  int asked = 0;
+  int request_count = 0;
   EXPECT_TRUE(peers::Eventually([&] {
-    const auto answer = client.Get("/page/x", "growth-" + std::to_string(++asked));
+    const auto answer = client.Get("/page/x", "growth-" + std::to_string(++request_count));
     return answer && answer->result_int() == 200;
   })) << sidecar.log();
   EXPECT_EQ(live.connections(), 1);
--- a/tests/peers.h
+++ b/tests/peers.h
@@ -1,4 +1,4 @@
-// Everything that a test of the real program between scripted peers needs.
+// Includes everything that a test of the sidecar program with scripted peers needs.
 #pragma once
 
 #include "tests/discovery_stand_in.h"
--- a/tests/precompiled.h
+++ b/tests/precompiled.h
@@ -1,4 +1,5 @@
-// Precompiled for the tests that start the sidecar or the lab. Each file still includes what it uses.
+// The precompiled header of the tests that start the sidecar or the lab. Each file still includes the headers
+// that it uses.
 #pragma once
 
 #include "gtest/gtest.h"
--- a/tests/scripted_peers.cpp
+++ b/tests/scripted_peers.cpp
@@ -22,16 +22,16 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr auto kWaitLimit = seconds(20);  // see Eventually()
-// Bytes; over every body that a test sends.
-constexpr std::uint64_t kBodyLimit = std::uint64_t{64} * 1024 * 1024;
+constexpr auto kEventuallyTimeout = seconds(20);
+// Larger than every body that a test sends.
+constexpr std::uint64_t kBodyLimitBytes = std::uint64_t{64} * 1024 * 1024;
 
-// The local ports of this machine's sockets whose connect to `port` is not answered yet, by the kernel's
-// table.
+// The local ports of sockets on this machine whose connect to `port` is still in progress, according to
+// /proc/net/tcp.
 std::vector<std::uint16_t> PortsConnectingTo(std::uint16_t port) {
   std::ifstream table("/proc/net/tcp");
   std::string line;
-  std::getline(table, line);  // the names of the columns
+  std::getline(table, line);  // skips the header line
   std::vector<std::uint16_t> ports;
   while (std::getline(table, line)) {
     unsigned local = 0;
@@ -49,7 +49,7 @@
 tcp::endpoint Loopback(std::uint16_t port) { return {boost::asio::ip::make_address_v4("127.0.0.1"), port}; }
 
 bool Eventually(const std::function<bool()>& condition) {
-  const auto end = std::chrono::steady_clock::now() + kWaitLimit;
+  const auto end = std::chrono::steady_clock::now() + kEventuallyTimeout;
   while (!condition()) {
     if (std::chrono::steady_clock::now() > end) return false;
     std::this_thread::sleep_for(milliseconds(5));
@@ -59,7 +59,7 @@
 
 std::optional<Request> Wire::ReadRequest() {
   http::request_parser<http::string_body> parser;
-  parser.body_limit(kBodyLimit);
+  parser.body_limit(kBodyLimitBytes);
   error_code error;
   http::read(socket, buffer_, parser, error);
   if (error) return std::nullopt;
@@ -68,7 +68,7 @@
 
 std::optional<Response> Wire::ReadResponse() {
   http::response_parser<http::string_body> parser;
-  parser.body_limit(kBodyLimit);
+  parser.body_limit(kBodyLimitBytes);
   error_code error;
   http::read(socket, buffer_, parser, error);
   if (error) return std::nullopt;
@@ -99,14 +99,14 @@
   socket.close(ignored);
 }
 
-void MakeNarrow(tcp::acceptor& acceptor) {
+void SetSmallBuffers(tcp::acceptor& acceptor) {
   const int segment = 536;
   ::setsockopt(acceptor.native_handle(), IPPROTO_TCP, TCP_MAXSEG, &segment, sizeof segment);
   acceptor.set_option(boost::asio::socket_base::receive_buffer_size(1024));
 }
 
-Peer::Peer(Script script, bool narrow) : acceptor_(io_, tcp::v4()), script_(std::move(script)) {
-  if (narrow) MakeNarrow(acceptor_);
+Peer::Peer(Script script, bool small_buffers) : acceptor_(io_, tcp::v4()), script_(std::move(script)) {
+  if (small_buffers) SetSmallBuffers(acceptor_);
   acceptor_.bind(Loopback(0));
   acceptor_.listen();
   port_ = acceptor_.local_endpoint().port();
@@ -175,19 +175,19 @@
   if (full) Fill();
 }
 
-// Until a connection hangs.
+// Opens connections until one hangs.
 void BlackHole::Fill() {
   for (int i = 0; i < 16; ++i) {
     auto& socket = waiting_.emplace_back(io_, tcp::v4());
     socket.native_non_blocking(true);
     const auto to = acceptor_.local_endpoint();
-    // Not through Asio, which waits for the end of it.
+    // Asio is not used for the connect because it would wait for the completion.
     [[maybe_unused]] const int begun =
         ::connect(socket.native_handle(), to.data(), static_cast<socklen_t>(to.size()));
     pollfd ready{socket.native_handle(), POLLOUT, 0};
     if (::poll(&ready, 1, 100) == 0) return;
   }
-  throw std::runtime_error("the backlog never fills");
+  throw std::runtime_error("backlog not full after 16 connections");
 }
 
 bool BlackHole::HasHangingConnect() const {
--- a/tests/scripted_peers.h
+++ b/tests/scripted_peers.h
@@ -1,5 +1,5 @@
-// Scripted peers for tests of the sidecar: clients, upstreams and addresses that hang or refuse, over
-// loopback sockets on ports that the system picks.
+// Scripted peers for tests of the sidecar: clients, upstreams, and addresses where connects hang or are
+// refused. All use loopback sockets on ports that the system selects.
 #pragma once
 
 #include <atomic>
@@ -24,7 +24,8 @@
 using Request = boost::beast::http::request<boost::beast::http::string_body>;
 using Response = boost::beast::http::response<boost::beast::http::string_body>;
 
-// Blocks scripts until the test opens it, once. GatedUpstream is the usual use.
+// Blocks the scripts that call Pass() until the test calls Open(), which is allowed only once. Most tests use
+// it through GatedUpstream.
 class Gate {
  public:
   void Open() { promise_.set_value(); }
@@ -35,21 +36,25 @@
   std::shared_future<void> opened_ = promise_.get_future().share();
 };
 
-// Waits for a condition, up to 20 s, which is far longer than it should take; false where it did not come
-// true.
+// Polls `condition` until it is true, for up to 20 s, which is far longer than any condition should take.
+// Returns false on timeout.
 bool Eventually(const std::function<bool()>& condition);
 
-// A connection as a script sees it. Every call blocks; the test runner's timeout is the only limit. Reads
-// return nothing, and writes false, once the connection has failed.
+// The connection that a script reads from and writes to. Every call blocks, with the test runner's timeout as
+// the only limit. After the connection has failed, reads return nothing and writes return false.
 class Wire {
  public:
   explicit Wire(boost::asio::io_context& io) : socket(io) {}
   std::optional<Request> ReadRequest();
   std::optional<Response> ReadResponse();
   bool Write(const std::string& bytes);
+  // Writes a response; `headers` are complete lines, each with its CRLF.
   bool Answer(unsigned status, const std::string& body, const std::string& headers = "");
-  bool ReadsEnd();  // discards what comes until the other side closes or resets
-  void Reset();     // closes with a reset
+  // Reads and discards data until the other side closes or resets the connection. Returns false on another
+  // error.
+  bool ReadsEnd();
+  // Closes the connection with a TCP reset.
+  void Reset();
 
   tcp::socket socket;
 
@@ -57,15 +62,16 @@
   boost::beast::flat_buffer buffer_;
 };
 
-// Bounds what the system accepts of a message that the other end does not read, by small segments and a small
-// receive buffer.
-void MakeNarrow(tcp::acceptor& acceptor);
+// Sets small segments and a small receive buffer, to limit how much of a message the system accepts while the
+// peer does not read.
+void SetSmallBuffers(tcp::acceptor& acceptor);
 
-// Listens on a free port and plays a script for each connection, each in a thread of its own.
+// Listens on a free port and runs a script for each connection, each in its own thread. `number` counts the
+// connections from 0. With `small_buffers`, the listening socket is set up by SetSmallBuffers().
 class Peer {
  public:
   using Script = std::function<void(Wire&, int number)>;
-  explicit Peer(Script script, bool narrow = false);
+  explicit Peer(Script script, bool small_buffers = false);
   ~Peer();
   std::uint16_t port() const { return port_; }
   std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
@@ -84,11 +90,12 @@
   std::thread accepting_;
 };
 
-// An upstream that answers each request by a function of it, and records the requests.
+// An upstream that calls `handler` for each request to write the response, and records the requests.
 class Upstream {
  public:
   using Handler = std::function<void(Wire&, const Request&, int request_number)>;
   explicit Upstream(Handler handler);
+  // Responds with status 200 and a body of `name`, a space and the request's target.
   static Handler Echo(const std::string& name);
   std::string address() const { return peer_.address(); }
   int connections() const { return peer_.connections(); }
@@ -101,15 +108,16 @@
   Peer peer_;
 };
 
-// An address where connects hang while its backlog is full: from the start, or after Fill().
+// A listening address whose backlog is filled, at construction or by Fill(), so that further connects hang.
 class BlackHole {
  public:
   explicit BlackHole(bool full = true);
   std::string address() const;
   void Fill();
-  // True while the connect of another process hangs here.
+  // True while a connect that this class did not start hangs at this address.
   bool HasHangingConnect() const;
-  // The next connection that this class did not open itself. Accepting frees the backlog for those that hang.
+  // Accepts connections until one was not opened by this class, and returns it. Accepting frees backlog
+  // entries for hanging connects.
   std::unique_ptr<Wire> Accept();
 
  private:
@@ -118,7 +126,7 @@
   std::vector<tcp::socket> waiting_;
 };
 
-// An address that refuses connections: bound, but nobody listens.
+// An address that refuses connections: its port is bound but not listening.
 class Refusing {
  public:
   Refusing();
@@ -129,14 +137,16 @@
   tcp::acceptor acceptor_;
 };
 
-// The address of a port on loopback.
+// The IPv4 loopback address with this port.
 tcp::endpoint Loopback(std::uint16_t port);
 
+// The text of a GET or POST request to the sidecar, with X-Request-ID and X-Timeout-Ms. `headers` are
+// complete lines, each with its CRLF.
 std::string GetText(const std::string& target, const std::string& id, int timeout_ms = 5000);
 std::string PostText(const std::string& target, const std::string& id, const std::string& body,
                      int timeout_ms = 5000, const std::string& headers = "");
 
-// A client of the sidecar, with one connection.
+// A client of the sidecar with one connection, which the constructor opens.
 class Client {
  public:
   explicit Client(std::uint16_t port);
--- a/tests/sidecar_process.cpp
+++ b/tests/sidecar_process.cpp
@@ -82,19 +82,19 @@
 }
 
 bool SidecarProcess::Listening() {
-  return Eventually([this] { return (port_ = PortBehind(": listening address=127.0.0.1:")) != 0; });
+  return Eventually([this] { return (port_ = LoggedPort(": listening address=127.0.0.1:")) != 0; });
 }
 
-std::uint16_t SidecarProcess::PortBehind(const std::string& mark) const {
+std::uint16_t SidecarProcess::LoggedPort(const std::string& prefix) const {
   const std::string text = log();
-  const auto at = text.find(mark);
+  const auto at = text.find(prefix);
   if (at == std::string::npos || text.find('\n', at) == std::string::npos) return 0;
-  return static_cast<std::uint16_t>(std::stoi(text.substr(at + mark.size())));
+  return static_cast<std::uint16_t>(std::stoi(text.substr(at + prefix.size())));
 }
 
 std::uint16_t SidecarProcess::admin_port() {
   std::uint16_t port = 0;
-  Eventually([&] { return (port = PortBehind(": admin_listening address=127.0.0.1:")) != 0; });
+  Eventually([&] { return (port = LoggedPort(": admin_listening address=127.0.0.1:")) != 0; });
   return port;
 }
 
--- a/tests/sidecar_process.h
+++ b/tests/sidecar_process.h
@@ -1,4 +1,5 @@
-// The program under test as a process of its own, with its configuration file and its log.
+// Starts and controls the lb-sidecar program under test as a child process, with its configuration file and
+// its log.
 #pragma once
 
 #include <sys/types.h>
@@ -18,38 +19,50 @@
 
 namespace lb::sidecar::testing {
 
+// Settings with the request classes `page` (idempotent), `submit` (non-idempotent) and `keyed` (idempotency
+// key).
 json Settings();
 
-// The program under test, lb-sidecar, as a process of its own; killed at the end of the test.
+// A running lb-sidecar process. The destructor kills the process if it still runs.
 class SidecarProcess {
  public:
   struct Options {
     std::string discovery = "127.0.0.1:1";
-    json known = nullptr;
+    json known = nullptr;  // the entries of the known endpoint list; null: none
     json settings = Settings();
     int sockets = 256;
     std::string listen = "127.0.0.1:0";
-    std::string admin;   // the admin interface's address; empty: none
-    std::string tmpdir;  // empty: the test's own $TMPDIR
-    std::vector<std::string> unset;
-    std::map<std::string, std::string> environment;  // set in addition
-    std::string config_text;                         // in place of the JSON made from the rest
+    std::string admin;                               // address of the admin interface; empty: none
+    std::string tmpdir;                              // $TMPDIR of the process; empty: inherited from the test
+    std::vector<std::string> unset;                  // environment variables to remove
+    std::map<std::string, std::string> environment;  // additional environment variables
+    std::string config_text;                         // replaces the generated configuration file
   };
   explicit SidecarProcess(const Options& options);
   ~SidecarProcess();
-  bool Listening();  // waits until it listens; false where it never does
+  // Waits until the process listens for clients. Returns false on timeout.
+  bool Listening();
   std::uint16_t port() const { return port_; }
-  // The admin interface's response to one call.
+  // Calls the admin interface and returns the response.
   std::optional<Response> Operate(const std::string& method, const std::string& target);
-  unsigned Status(const std::string& method, const std::string& target);  // its status; 0 without a response
+  // Calls the admin interface and returns the status of the response; 0 without a response.
+  unsigned Status(const std::string& method, const std::string& target);
+  // Waits for the port of the admin interface; 0 on timeout.
   std::uint16_t admin_port();
   void Signal(int number);
-  void Pause();                                 // SIGSTOP, and waits until it has stopped; SIGCONT resumes it
-  void Reload(const std::string& config_text);  // replaces the configuration file and sends SIGHUP
+  // Sends SIGSTOP and waits until the process has stopped. SIGCONT resumes it.
+  void Pause();
+  // Replaces the configuration file and sends SIGHUP.
+  void Reload(const std::string& config_text);
+  // The generated configuration, whether or not it was replaced by `config_text`.
   json config() const { return config_; }
-  int Wait();  // its exit code; 128 plus the signal where it was killed
+  // Waits for the process to end and returns its exit code, or 128 plus the signal number if a signal killed
+  // it.
+  int Wait();
   pid_t pid() const { return pid_; }
+  // What the process has written to standard error so far.
   std::string log() const;
+  // The number of file descriptors that the process has open.
   int descriptors() const;
 
  private:
@@ -58,13 +71,14 @@
   std::uint16_t port_ = 0;
   json config_;
   std::string config_path_;
-  std::uint16_t PortBehind(const std::string& mark) const;  // in the log; 0 while it is not there
+  // The port that follows `prefix` in the log; 0 if the log does not contain it yet.
+  std::uint16_t LoggedPort(const std::string& prefix) const;
   mutable std::mutex mutex_;
   std::string log_;
   std::thread reading_;
 };
 
-// Options for a sidecar whose configuration file names these upstreams.
+// Options for a sidecar whose configuration file contains these entries as the known endpoint list.
 inline SidecarProcess::Options With(const json& known, json settings = Settings()) {
   SidecarProcess::Options options;
   options.known = known;
@@ -72,7 +86,7 @@
   return options;
 }
 
-// A temporary folder, removed with the object.
+// A temporary folder. The destructor removes the folder and its contents.
 class Folder {
  public:
   Folder();
@@ -83,7 +97,7 @@
   std::string path_;
 };
 
-// Where a sidecar with this $TMPDIR stores the operator state.
+// The folder in which a sidecar with this $TMPDIR stores the operator state.
 inline std::string StateFolder(const Folder& tmpdir) { return tmpdir.path() + "/" + kStateFolder; }
 
 }  // namespace lb::sidecar::testing
--- a/tests/sidecar_steps.cpp
+++ b/tests/sidecar_steps.cpp
@@ -22,7 +22,7 @@
 std::size_t BytesAcceptedUnread() {
   boost::asio::io_context io;
   tcp::acceptor acceptor(io, tcp::v4());
-  MakeNarrow(acceptor);
+  SetSmallBuffers(acceptor);
   acceptor.bind({boost::asio::ip::make_address_v4("127.0.0.1"), 0});
   acceptor.listen();
   tcp::socket socket(io);
@@ -30,9 +30,9 @@
   socket.non_blocking(true);
   boost::system::error_code error;
   const std::string bytes(65536, 'x');
-  std::size_t taken = 0;
-  while (!error && taken < bytes.size()) taken += socket.write_some(boost::asio::buffer(bytes), error);
-  return taken;
+  std::size_t accepted = 0;
+  while (!error && accepted < bytes.size()) accepted += socket.write_some(boost::asio::buffer(bytes), error);
+  return accepted;
 }
 
 std::optional<Response> ReadFinalResponse(Client& client) {
