--- a/sidecar/acceptor.cpp
+++ b/sidecar/acceptor.cpp
@@ -7,15 +7,15 @@
 namespace lb::sidecar {
 namespace {
 
-// Lost connections in a row that are skipped before the event loop gets its turn.
-constexpr int kMaxLostAtOnce = 16;
+// How many failed connections in a row are skipped before control returns to the event loop.
+constexpr int kMaxFailedInARow = 16;
 
-// By accept(2): Linux hands errors of the new connection's network to the call, which are to be treated as if
-// nothing had been there yet; EPERM is a firewall's.
+// Follows accept(2): Linux reports pending network errors of the new connection as errors of accept(), to be
+// treated like EAGAIN. EPERM means that a firewall rule forbids the connection.
 AcceptStatus StatusOf(int error) {
   switch (error) {
     case EAGAIN:
-      return AcceptStatus::kNothingWaits;
+      return AcceptStatus::kBacklogEmpty;
     case EINTR:
     case ECONNABORTED:
     case EPROTO:
@@ -31,11 +31,11 @@
     case EPERM:
       return AcceptStatus::kConnectionLost;
     case EMFILE:
-      return AcceptStatus::kProcessShortage;
+      return AcceptStatus::kProcessOutOfDescriptors;
     case ENFILE:
     case ENOBUFS:
     case ENOMEM:
-      return AcceptStatus::kSystemShortage;
+      return AcceptStatus::kSystemOutOfResources;
     default:
       return AcceptStatus::kFailed;
   }
@@ -45,9 +45,9 @@
 
 AcceptResult AcceptOne(int listening) {
   AcceptResult result;
-  for (int i = 0; i < kMaxLostAtOnce; ++i) {
+  for (int i = 0; i < kMaxFailedInARow; ++i) {
     result.descriptor = ::accept(listening, nullptr, nullptr);
-    if (result.descriptor >= 0) return {AcceptStatus::kTaken, result.descriptor};
+    if (result.descriptor >= 0) return {AcceptStatus::kAccepted, result.descriptor};
     result.error = {errno, boost::system::system_category()};
     result.status = StatusOf(errno);
     if (result.status != AcceptStatus::kConnectionLost) break;
--- a/sidecar/acceptor.h
+++ b/sidecar/acceptor.h
@@ -1,5 +1,5 @@
-// Accepts connections from a listening socket, whatever accept() fails with: the one place that tells its
-// errors apart, and the loop that every listening socket of the program is accepted from.
+// The accept loop of every listening socket of the program, and the classification of the errors of accept().
+// The loop goes on after any error.
 #pragma once
 
 #include <unistd.h>
@@ -23,26 +23,29 @@
 
 // The result of one accept().
 enum class AcceptStatus {
-  kTaken,
-  kNothingWaits,
-  kConnectionLost,   // a fault of that one connection, or an interruption; the next may succeed
-  kProcessShortage,  // this process has no descriptor left; what waits stays in the backlog
-  kSystemShortage,   // the machine has no descriptor or memory left; likewise
-  kFailed,           // anything else
+  kAccepted,
+  kBacklogEmpty,
+  // That connection failed while it was in the backlog, or the call was interrupted. The next may succeed.
+  kConnectionLost,
+  // EMFILE: this process has no free descriptor. The connection stays in the backlog.
+  kProcessOutOfDescriptors,
+  // The machine is out of descriptors or memory. The connection stays in the backlog.
+  kSystemOutOfResources,
+  kFailed,  // any other error
 };
 
 struct AcceptResult {
-  AcceptStatus status = AcceptStatus::kNothingWaits;
-  int descriptor = -1;  // of kTaken: owned by the caller
+  AcceptStatus status = AcceptStatus::kBacklogEmpty;
+  int descriptor = -1;  // valid with kAccepted, and owned by the caller then
   boost::system::error_code error{};
 };
 
-// Accepts one connection of the backlog. `listening` has to be non-blocking, so this never blocks.
-// Connections that were lost while they waited are skipped, up to a bound.
+// Accepts one connection from the backlog. `listening` has to be non-blocking, so this never blocks. Skips
+// connections that failed while they were in the backlog, up to a bound.
 AcceptResult AcceptOne(int listening);
 
-// Accepts for as long as its acceptor is open: no error ends it. After an error it pauses, for a time that
-// doubles with each further error in a row (backoff), so that an error that persists costs next to nothing.
+// Accepts connections until its acceptor is closed; no error ends the loop. After an error it pauses. The
+// pause doubles with each further error in a row, so that a persistent error uses little CPU time.
 template <typename Protocol>
 class AcceptLoop {
  public:
@@ -50,19 +53,20 @@
   using Socket = typename Protocol::socket;
 
   struct Owner {
-    // Makes capacity for one more connection. False: there is none; called again soon. Null: there always is.
+    // Makes room for one more connection. Returns false if there is none; it is called again after a short
+    // pause. Null: there is always room.
     std::function<bool()> ensure_capacity;
-    // Is there capacity for one more with nothing closed for it? False: the next one is waited for first.
-    // Null: always.
+    // Whether there is room for one more connection without closing another. If not, the loop waits until a
+    // connection is in the backlog before it calls `ensure_capacity`. Null: there is always room.
     std::function<bool()> has_capacity;
-    // One more is accepted; the socket is non-blocking.
+    // Receives an accepted, non-blocking socket.
     std::function<void(Socket)> on_taken;
-    // The process ran out of descriptors: the owner may close a connection. Null: it has none to close.
+    // The process is out of descriptors: the owner may close a connection. Null: the owner has none to close.
     std::function<void()> on_process_shortage;
   };
 
-  // `listener`: the log's name for it. `protocol`: of the acceptor. `acceptor` is the owner's, and has to
-  // outlive this.
+  // `listener`: the name of the socket in the log. `protocol`: of the acceptor. `acceptor` has to outlive the
+  // loop.
   AcceptLoop(boost::asio::io_context& io, Acceptor& acceptor, Logger& log, std::string listener,
              Protocol protocol, Owner owner)
       : io_(io),
@@ -71,73 +75,76 @@
         log_(log),
         listener_(std::move(listener)),
         owner_(std::move(owner)),
-        pause_(io) {}
+        pause_timer_(io) {}
   ~AcceptLoop() {
-    if (unwatched_) ::close(*unwatched_);
+    if (unregistered_descriptor_) ::close(*unregistered_descriptor_);
   }
   AcceptLoop(const AcceptLoop&) = delete;
   AcceptLoop& operator=(const AcceptLoop&) = delete;
 
-  // The acceptor listens by now; makes it non-blocking. Throws boost::system::system_error.
+  // Starts the loop. The acceptor has to be listening; this makes it non-blocking. Throws
+  // boost::system::system_error.
   void Start() {
     acceptor_.non_blocking(true);
     Wait();
   }
 
-  // Accepts all of the backlog, whatever the capacity. True: nothing waits any more.
-  bool TakeWaiting() {
+  // Accepts all connections in the backlog without checking for capacity. Returns true if the backlog is
+  // empty, or the acceptor closed, and false if an error ended it.
+  bool AcceptBacklog() {
     while (acceptor_.is_open()) {
-      const auto status = TakeOne();
-      if (status != AcceptStatus::kTaken) return status == AcceptStatus::kNothingWaits;
+      const auto status = AcceptNext();
+      if (status != AcceptStatus::kAccepted) return status == AcceptStatus::kBacklogEmpty;
     }
     return true;
   }
 
  private:
-  // All connections are busy; one may end any moment.
+  // For when the owner has no room because all connections are in use. Short, as any of them may end soon.
   static constexpr Duration kNoCapacityPause = std::chrono::milliseconds(20);
   static constexpr Duration kFirstPause = std::chrono::milliseconds(5);
   static constexpr Duration kMaxPause = std::chrono::milliseconds(100);
-  static constexpr Duration kLogEvery = std::chrono::seconds(1);
+  static constexpr Duration kLogInterval = std::chrono::seconds(1);
 
-  // Waits for a connection before anything is closed for it, and without a descriptor reserved for it. May
-  // come first: a close of the acceptor, which ends the loop.
+  // Waits for a connection in the backlog. Nothing is closed and no descriptor reserved for it in advance.
+  // Closing the acceptor ends the wait, and with it the loop.
   void Wait() {
     acceptor_.async_wait(Acceptor::wait_read, [this](boost::system::error_code error) {
       if (error == boost::asio::error::operation_aborted || !acceptor_.is_open()) return;
-      if (error) return WaitIn(Failed(error));
-      Take();
+      if (error) return WaitAfter(HandleAcceptError(error));
+      AcceptPending();
     });
   }
 
-  // May come first: a close of the acceptor, which ends the loop when the pause is over.
-  void WaitIn(Duration pause) {
-    pause_.expires_after(pause);
-    pause_.async_wait([this](boost::system::error_code error) {
+  // If the acceptor is closed meanwhile, the loop ends when the pause is over.
+  void WaitAfter(Duration pause) {
+    pause_timer_.expires_after(pause);
+    pause_timer_.async_wait([this](boost::system::error_code error) {
       if (!error && acceptor_.is_open()) Wait();
     });
   }
 
-  void Take() {
+  void AcceptPending() {
     do {
-      if (owner_.ensure_capacity && !owner_.ensure_capacity()) return WaitIn(kNoCapacityPause);
-      const auto status = TakeOne();
-      if (status == AcceptStatus::kNothingWaits) break;
-      if (status != AcceptStatus::kTaken) return WaitIn(next_pause_);
+      if (owner_.ensure_capacity && !owner_.ensure_capacity()) return WaitAfter(kNoCapacityPause);
+      const auto status = AcceptNext();
+      if (status == AcceptStatus::kBacklogEmpty) break;
+      if (status != AcceptStatus::kAccepted) return WaitAfter(next_pause_);
     } while (acceptor_.is_open() && (!owner_.has_capacity || owner_.has_capacity()));
     if (acceptor_.is_open()) Wait();
   }
 
-  // A connection that was accepted but could not be registered with the event loop is kept for the next call.
-  AcceptStatus TakeOne() {
+  // If an accepted connection can't be registered with the event loop, its descriptor is kept for the next
+  // call.
+  AcceptStatus AcceptNext() {
     AcceptResult result;
-    if (unwatched_) {
-      result = {AcceptStatus::kTaken, *unwatched_};
-      unwatched_.reset();
+    if (unregistered_descriptor_) {
+      result = {AcceptStatus::kAccepted, *unregistered_descriptor_};
+      unregistered_descriptor_.reset();
     } else {
       result = AcceptOne(acceptor_.native_handle());
     }
-    if (result.status == AcceptStatus::kTaken) {
+    if (result.status == AcceptStatus::kAccepted) {
       Socket socket(io_);
       socket.assign(protocol_, result.descriptor, result.error);
       if (!result.error) {
@@ -146,27 +153,27 @@
         owner_.on_taken(std::move(socket));
         return result.status;
       }
-      unwatched_ = result.descriptor;
-      result.status = AcceptStatus::kSystemShortage;
+      unregistered_descriptor_ = result.descriptor;
+      result.status = AcceptStatus::kSystemOutOfResources;
     }
-    if (result.status == AcceptStatus::kNothingWaits) {
+    if (result.status == AcceptStatus::kBacklogEmpty) {
       next_pause_ = kFirstPause;
       return result.status;
     }
-    Failed(result.error);
-    if (result.status == AcceptStatus::kProcessShortage && owner_.on_process_shortage) {
+    HandleAcceptError(result.error);
+    if (result.status == AcceptStatus::kProcessOutOfDescriptors && owner_.on_process_shortage) {
       owner_.on_process_shortage();
     }
     return result.status;
   }
 
-  // Logs an error, one a second at most, and lengthens the pause. Returns the pause before this.
-  Duration Failed(boost::system::error_code error) {
+  // Logs the error, at most once per kLogInterval, and doubles the pause. Returns the pause before doubling.
+  Duration HandleAcceptError(boost::system::error_code error) {
     const TimePoint now = Now();
-    if (!logged_ || now - *logged_ >= kLogEvery) {
+    if (!last_logged_at_ || now - *last_logged_at_ >= kLogInterval) {
       log_.Write(
           LogEvent(log_events::kAcceptFailed).With("listener", listener_).With("error", error.message()));
-      logged_ = now;
+      last_logged_at_ = now;
     }
     const Duration pause = next_pause_;
     next_pause_ = std::min(2 * next_pause_, kMaxPause);
@@ -179,10 +186,10 @@
   Logger& log_;
   const std::string listener_;
   const Owner owner_;
-  boost::asio::steady_timer pause_;
+  boost::asio::steady_timer pause_timer_;
   Duration next_pause_ = kFirstPause;
-  std::optional<TimePoint> logged_;
-  std::optional<int> unwatched_;  // accepted, and not registered with the event loop
+  std::optional<TimePoint> last_logged_at_;
+  std::optional<int> unregistered_descriptor_;  // accepted, but not yet registered with the event loop
 };
 
 }  // namespace lb::sidecar
--- a/sidecar/client_connection.cpp
+++ b/sidecar/client_connection.cpp
@@ -1,5 +1,5 @@
-// Lifetime of a client connection, the listener's events, client bytes and the end of sending. The request
-// and response are in client_connection_exchange.cpp.
+// The lifetime of a client connection, events from the listener, bytes received from the client, and the end
+// of its sending. client_connection_exchange.cpp has the handling of a complete request and its response.
 #include "sidecar/client_connection.h"
 
 #include <linux/sockios.h>
@@ -20,10 +20,11 @@
 using boost::system::error_code;
 using std::chrono::milliseconds;
 
-// Bytes read at a time: more than usual requests have, less than would make other connections wait.
+// Bytes per read: larger than a usual request, and small enough not to delay other connections.
 constexpr std::size_t kReadSize = 8192;
-// While a full buffer keeps the connection from being read, the client's end and its last byte are looked for
-// so often: often enough to cancel a request soon, seldom enough to cost nothing.
+// While the buffer is full and nothing is read, this is how often the connection is checked for a disconnect
+// and for the arrival of the body's last byte. Frequent enough to cancel a request promptly, at negligible
+// cost.
 constexpr Duration kUnreadCheckInterval = milliseconds(50);
 constexpr string_view kEvictionResponse =
     "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
@@ -40,7 +41,7 @@
       unread_check_(context.io),
       body_({[this] { return IsMoreOfBodyIncoming(); }, [this] { HandleBodyCapacity(); }}) {
   buffer_.max_size(kMaxReadAhead);
-  activity_.since = Now();
+  activity_.state_since = Now();
 }
 
 void ClientConnection::Start() {
@@ -68,7 +69,7 @@
   Close();
 }
 
-// An orderly close could be taken for the end of the response.
+// Closes with a reset, as the client could take an orderly close for the end of the response.
 void ClientConnection::Reset() {
   error_code ignored;
   socket_.set_option(boost::asio::socket_base::linger(true, 0), ignored);
@@ -83,7 +84,7 @@
 
 // ---- Events of the listener ----
 
-void ClientConnection::EndIdle() {
+void ClientConnection::DrainIdle() {
   if (!HasAnyRequestBegun()) return Reject({http::status::service_unavailable, "draining"});
   close_after_response_ = true;
   StartLinger();
@@ -97,14 +98,15 @@
 }
 
 void ClientConnection::HandleDeadline(TimePoint now) {
-  const Duration age = now - activity_.since;
+  const Duration age = now - activity_.state_since;
   if (body_.IsStreaming() || (state_ == State::kReadingRequest && HasRequestBegun())) {
     if (!IsRequestOverdue(now) || HasUnreadBytes()) return;
     return Reject({http::status::request_timeout, "request did not come in time"});
   }
   switch (state_) {
     case State::kReadingRequest:
-      // Answered, not only closed: a first request that crosses this has its response.
+      // A response is sent rather than just a close, so that a first request that is already on its way to
+      // the sidecar gets a response.
       if (HasAnyRequestBegun() || age <= kFirstRequestTimeout || HasUnreadBytes()) return;
       return Reject({http::status::request_timeout, "no request came in time"});
     case State::kLingering:
@@ -123,7 +125,7 @@
   }
 }
 
-// A streamed request that waits for capacity is not overdue: the upstream is slow, not the client.
+// A streamed request whose body waits for capacity is not overdue: its upstream is slow, not the client.
 bool ClientConnection::IsRequestOverdue(TimePoint now) const {
   if (body_.IsStreaming() && (body_.IsWaitingForCapacity() || !body_.HasCapacity())) return false;
   return IsRequestStalled(activity_, now);
@@ -144,7 +146,8 @@
 void ClientConnection::Read() {
   if (reader_.IsReading() || state_ == State::kClosed || sending_ended_) return;
   if (buffer_.size() == buffer_.max_size()) return ScheduleUnreadCheck();
-  // May come first: any other event, as a read is pending in all states. After a close it ends with an error.
+  // Any other event may come before the read completes, as a read is pending in all states. Closing the
+  // socket ends the read with an error.
   reader_.Read(buffer_, kReadSize,
                [self = shared_from_this()](const IoResult& result) { self->HandleReadResult(result); });
 }
@@ -177,19 +180,20 @@
     const bool is_first_request = !HasAnyRequestBegun();
     RequestFraming::Piece piece;
     const RequestFraming::Step step = framing_.Next(buffer_, piece);
-    // A first request has its time from the connection's start.
-    if (step.request_began && !is_first_request) activity_.since = Now();
+    // The time limit of a first request runs from the start of the connection.
+    if (step.request_began && !is_first_request) activity_.state_since = Now();
     if (step.outcome == RequestFraming::Outcome::kFault) return Reject(step.fault);
     if (step.head_complete) SendContinueIfExpected();
     if (!step.body.empty()) HandleBodyBytes(step.body);
-    // A streamed request may have its response already.
+    // The handler may already have responded to a streamed request.
     if (state_ != State::kReadingRequest && !body_.IsStreaming()) return;
     if (step.outcome == RequestFraming::Outcome::kRequestComplete) return HandleRequestComplete();
     if (step.outcome == RequestFraming::Outcome::kNeedsBytes) return;
   }
 }
 
-// A client that asked whether to go on waits for this before it sends the body (RFC 9110, 10.1.1).
+// A client that sent `Expect: 100-continue` waits for this response before it sends the body (RFC 9110,
+// 10.1.1).
 void ClientConnection::SendContinueIfExpected() {
   if (boost::beast::iequals(framing_.head()[http::field::expect], "100-continue")) writer_.WriteContinue();
 }
@@ -220,13 +224,13 @@
   HandleRequest(std::move(request), nullptr);
 }
 
-// The stream of a request's body can take more, or its reader has left.
+// Called when the stream of the request's body has capacity again, or its reader has left.
 void ClientConnection::HandleBodyCapacity() {
   if (body_.IsWaitingForCapacity()) {
     body_.EndWaitForCapacity();
-    // The client could not send while its bytes waited: its time limit starts again.
-    activity_.since = Now();
-    activity_.last_body_byte_at = activity_.since;
+    // The client could not send while its bytes waited for capacity, so its time limit starts again.
+    activity_.state_since = Now();
+    activity_.last_body_byte_at = activity_.state_since;
     activity_.body_bytes = 1;
   }
   ProcessBufferedBytes();
@@ -238,8 +242,9 @@
 
 // ---- End of sending ----
 
-// What was read ahead of the end of sending is parsed and passed on first. Then there is a response to wait
-// for, or nothing. While a response is written, that write tells whether the client is connected.
+// Called after the bytes read before the end of sending were parsed and passed on. What remains to be done
+// depends on whether a response is due. While a response is being written, the result of that write shows
+// whether the client is still connected.
 void ClientConnection::HandleSendingEnded() {
   if (!sending_ended_) return;
   switch (state_) {
@@ -248,9 +253,9 @@
       return;
     case State::kReadingRequest:
     case State::kLingering:
-      return Close();  // the rest of a request will not come
+      return Close();  // the rest of the request can't arrive any more
     case State::kAwaitingResponse:
-      if (body_.IsStreaming() && body_.HasCapacity()) return Close();  // nor the rest of its body
+      if (body_.IsStreaming() && body_.HasCapacity()) return Close();  // nor can the rest of its body
       return SendHalfCloseProbe();
   }
 }
@@ -258,8 +263,8 @@
 void ClientConnection::SendHalfCloseProbe() {
   if (probe_.state() != HalfCloseProbe::State::kNotSent) return;
   unread_check_.cancel();
-  // May come first: the response, which is written; more bytes, which are kept; a close, which cancels the
-  // probe.
+  // Before the probe has a result, the response may be written, more bytes may be received, which are kept,
+  // and the connection may be closed, which cancels the probe.
   const bool sent = probe_.Send(
       [self = shared_from_this()](HalfCloseProbe::Result result) { self->HandleProbeResult(result); });
   if (!sent) Close();
@@ -267,26 +272,29 @@
 
 void ClientConnection::HandleProbeResult(HalfCloseProbe::Result result) {
   if (state_ == State::kClosed) return;
-  if (result == HalfCloseProbe::Result::kConnectionOver) return Close();
-  if (unprobed_request_) {
-    auto [request, body] = std::move(*unprobed_request_);
-    unprobed_request_.reset();
+  if (result == HalfCloseProbe::Result::kConnectionClosed) return Close();
+  if (request_awaiting_probe_) {
+    auto [request, body] = std::move(*request_awaiting_probe_);
+    request_awaiting_probe_.reset();
     PassToHandler(std::move(request), std::move(body));
   }
   if (state_ != State::kClosed) Read();
 }
 
-// Posted, as the caller of CheckClient() is in the middle of a decision that a close would change.
+// Posted rather than done at once: CheckClient() is called in the middle of a decision that a close would
+// affect.
 void ClientConnection::PostHalfCloseProbe() {
   probe_.DiscardResult();
-  // May come first: the response, after which no probe is needed, or a close.
+  // Before this runs, the response may have begun, so that no probe is needed, or the connection may be
+  // closed.
   boost::asio::post(context_->io, [self = shared_from_this()] {
     if (self->state_ == State::kAwaitingResponse) self->SendHalfCloseProbe();
   });
 }
 
-// As the kernel has it now, also where bytes ahead of the client's end are unread. Earlier results don't
-// count: the process may have been suspended since.
+// Reads the current state from the kernel, also if the end of sending is behind unread bytes. The results of
+// earlier calls are not reused, and an old result of a probe causes another probe: the client may have
+// disconnected since, for example while this process was suspended.
 ClientPresence ClientConnection::CheckClient() {
   if (state_ == State::kClosed) return ClientPresence::kGone;
   if (probe_.IsResultStale(Now())) PostHalfCloseProbe();
@@ -299,20 +307,21 @@
       return ClientPresence::kConnected;
     }
   }
-  if (IsConnectionOver(socket_)) return ClientPresence::kGone;
+  if (IsClosedBothWays(socket_)) return ClientPresence::kGone;
   const bool connected = probe_.state() == HalfCloseProbe::State::kClientConnected;
   return connected ? ClientPresence::kConnected : ClientPresence::kUnknown;
 }
 
-// With no capacity to read, the client's end is looked for behind what is unread, unless it is known or being
-// probed.
+// While the buffer is full, checks periodically whether the client ended its sending or disconnected behind
+// the unread bytes. Not needed while a probe is outstanding, nor after a probe found the client connected,
+// unless the time of the body's last byte is still to be recorded.
 void ClientConnection::ScheduleUnreadCheck() {
   if (state_ != State::kAwaitingResponse || probe_.state() == HalfCloseProbe::State::kOutstanding) return;
   const bool last_byte_known = !body_.IsStreaming() || body_.IsKnownToBeSent();
   if (probe_.state() == HalfCloseProbe::State::kClientConnected && last_byte_known) return;
   unread_check_.expires_after(kUnreadCheckInterval);
-  // May come first: capacity for the body, after which bytes are read again; the response; a probe or a
-  // close, which cancel this.
+  // Before the timer expires, the body may get capacity, so that reading resumes, or the response may be
+  // ready. A probe or a close cancels the timer.
   unread_check_.async_wait([self = shared_from_this()](error_code stopped) {
     if (!stopped && self->state_ != State::kClosed) self->HandleUnreadCheck();
   });
@@ -328,7 +337,8 @@
   ScheduleUnreadCheck();
 }
 
-// Known where the body's length is: is some of it neither read nor in the kernel's buffer?
+// Whether some of the body is neither read nor in the kernel's receive buffer. Certain only if the body's
+// length is known; otherwise true if there are no unparsed bytes.
 bool ClientConnection::IsMoreOfBodyIncoming() {
   error_code error;
   const std::size_t unparsed = buffer_.size() + socket_.available(error);
--- a/sidecar/client_connection.h
+++ b/sidecar/client_connection.h
@@ -1,20 +1,41 @@
-// One client connection of the listener, as a state machine.
+// A client connection of the listener, as a state machine: reads the client's requests, passes each of them
+// to the request handler and writes the response.
 //
-// | state | client bytes | end of sending | response ready | deadline | close |
-// | --- | --- | --- | --- | --- | --- |
-// | kReadingRequest | parsed; a whole request, or one too large to hold, is handed to its handler:
-// kAwaitingResponse; a malformed one is rejected: kWritingResponse | kClosed | not legal | 408:
-// kWritingResponse | kClosed | | kAwaitingResponse | of a streamed body: passed on; else kept (pipelined) up
-// to kMaxReadAhead | half-close probe, kClosed if it finds the client gone; in the middle of a body kClosed |
-// kWritingResponse | of a streamed body 408: kWritingResponse | kClosed, the handler is notified | |
-// kWritingResponse | kept up to kMaxReadAhead | kept in mind until the response is written | not legal |
-// streamed: kClosed with a reset; whole: kClosed | kClosed | | kLingering | discarded, past kLingerByteLimit
-// kClosed | kClosed | not legal | kClosed | kClosed | | kClosed | - | - | its body is abandoned | - | - |
+// clang-format off
+// | state             | bytes   | sending ends | response | written | time limit | draining | eviction |
+// | ----------------- | ------- | ------------ | -------- | ------- | ---------- | -------- | -------- |
+// | kReadingRequest   | parse   | close        | -        | -       | reject     | drain    | close    |
+// | kAwaitingResponse | pass on | probe        | write    | -       | reject     | -        | -        |
+// | kWritingResponse  | keep    | record       | -        | next    | abort      | -        | -        |
+// | kLingering        | discard | close        | -        | -       | close      | -        | close    |
+// | kClosed           | -       | -            | abandon  | -       | -          | -        | -        |
 //
-// A written response leads from kWritingResponse to kReadingRequest; to kLingering where the connection is
-// not to be kept; to kClosed where the client has ended its sending besides. Two events are the listener's:
-// the end of an idle connection for draining (503 to one that has carried no request, kLingering to the
-// others) and eviction (kClosed).
+//   parse    a complete request, or one too large to be held in memory, is passed to its handler: to
+//            kAwaitingResponse, or to kClosed if the client has disconnected. GET /up is answered at once,
+//            and a malformed request with 400 or 413: to kWritingResponse
+//   pass on  bytes of a streamed body go to its stream; if they are malformed, the handler is notified and
+//            the client gets 400 or 413: to kWritingResponse. All other bytes: keep
+//   keep     pipelined requests stay in the buffer, up to kMaxReadAhead
+//   discard  beyond kLingerByteLimit: to kClosed
+//   probe    HalfCloseProbe finds out whether the client waits for its response: to kClosed if it has closed.
+//            To kClosed at once if the rest of a streamed body is missing
+//   record   takes effect when the response has been written
+//   write    to kWritingResponse
+//   abandon  the body of the response, if it is streamed
+//   next     to kReadingRequest; to kLingering if the connection is not kept open, or to kClosed if, besides,
+//            the client has ended its sending; to kClosed with a reset if a streamed body was aborted
+//   reject   the handler, if there is one, is notified, and the client gets 408: to kWritingResponse. In
+//            kReadingRequest this applies to the first request and to one that has begun, in
+//            kAwaitingResponse to a streamed body that is incomplete
+//   abort    to kClosed, with a reset if the response is streamed
+//   drain    a connection without a request under way that has carried one: to kLingering; one that has
+//            carried none: 503, to kWritingResponse
+//   close    to kClosed; an evicted client that is sending its request, or about to send its first, gets 503
+// clang-format on
+//
+// A broken connection and Close() lead from each state to kClosed, and the handler of a request that awaits
+// its response is notified. Draining and eviction are events of the listener (connection_eviction.h). The
+// time limits are those of connection_timeouts.h.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -42,57 +63,59 @@
 
 class ClientConnection;
 
-// What all connections of a listener share. The listener owns it.
+// State and callbacks that all connections of a listener share. Owned by the listener.
 struct ClientConnectionContext {
   boost::asio::io_context& io;
   Descriptors& descriptors;
-  const std::size_t body_capacity;  // bytes of a streamed request that are held
+  const std::size_t body_capacity;  // of a streamed request body, in bytes
   const OnRequest on_request;
-  const std::function<bool()> is_ready;  // GET /up answers 503 until then
-  // The connection is closed and gives up its place.
+  const std::function<bool()> is_ready;  // GET /up answers 503 until this returns true
+  // Called when a connection is closed, to remove it from the listener's set.
   const std::function<void(const std::shared_ptr<ClientConnection>&)> on_closed;
   DrainState drain;
 };
 
-// A read is pending whenever there is capacity, also while a request is served: that is how a client that
-// leaves is noticed. Two members beyond the usual bound: each flag is independent of the state, as its
-// comment says, and the components must not share them.
+// A read is pending in every state in which the buffer has room, also while a request is served; that is how
+// a disconnect of the client is noticed. The class has two data members more than the usual limit:
+// `sending_ended_` and `close_after_response_` are independent of the state, as their comments explain, and
+// must not be visible to the components.
 class ClientConnection : public std::enable_shared_from_this<ClientConnection> {
  public:
   enum class State { kReadingRequest, kAwaitingResponse, kWritingResponse, kLingering, kClosed };
 
-  // Takes over an accepted socket that is not blocking. `context` outlives the connection, or drops it
-  // before.
+  // Takes over an accepted, non-blocking socket. `context` has to outlive the connection, unless Drop() is
+  // called first.
   ClientConnection(ClientConnectionContext& context, boost::asio::ip::tcp::socket socket);
 
   void Start();
   void Close();
-  // The listener is being destroyed: closes without telling the request's handler.
+  // Closes without notifying the listener or the request handler: the listener is being destroyed.
   void Drop();
 
   // ---- Events of the listener ----
 
-  // Ends an idle connection for draining. Not by a close alone: over a request that arrives just then it
-  // would be a reset. A client that has sent no request yet gets a response, as it need not know that a
-  // request may cross the end of its connection.
-  void EndIdle();
-  // Closes for want of descriptors. A client that has begun a request, or is about to send its first, is told
-  // that nothing was done, as far as the kernel takes that at once; an idle one asks on another connection.
+  // Ends an idle connection for draining. Closing at once would reset a connection on which a request is
+  // arriving. So a connection that has carried a request lingers first, and one that has carried none gets a
+  // 503 response: its client may not expect that the close can cross its first request.
+  void DrainIdle();
+  // Closes the connection to free its descriptor. A client that is sending a request, or is expected to send
+  // its first one, gets a 503, as far as the kernel accepts the bytes at once. An idle client gets nothing;
+  // it can send its next request on another connection.
   void Evict();
-  // Ends what has lasted too long: see connection_timeouts.h.
+  // Ends the current state if its time limit has passed: see connection_timeouts.h.
   void HandleDeadline(TimePoint now);
 
-  // ---- What the listener and eviction ask ----
+  // ---- Queries of the listener and of eviction ----
 
   State state() const { return state_; }
-  // When the state began, or a later request's first byte came.
-  TimePoint since() const { return activity_.since; }
+  // When the current state began, or the first byte of a later request on this connection arrived.
+  TimePoint state_since() const { return activity_.state_since; }
   bool IsIdle() const { return state_ == State::kReadingRequest && !framing_.HasRequestBegun(); }
   bool HasRequestBegun() const { return framing_.HasRequestBegun(); }
   bool HasAnyRequestBegun() const { return framing_.HasAnyRequestBegun(); }
-  // Bytes have come that this process had no time to read yet: perhaps the rest of a request.
+  // Whether bytes have arrived in the kernel's receive buffer that were not read yet.
   bool HasUnreadBytes();
-  // Some of the response has not reached the client's machine: a close could discard it.
+  // Whether some bytes written have not been acknowledged by the client's machine: a close could lose them.
   bool HasUnsentBytes();
 
  private:
@@ -122,7 +145,7 @@
   void HandleResponseReady(HttpResponse response, Body body);
   void Respond(HttpResponse response, Body body);
   bool ShouldCloseAfterResponse(const HttpResponse& response);
-  bool ServesPipelinedRequest();
+  bool ShouldServePipelinedRequest();
   void HandleResponseWritten(ResponseWriter::Outcome outcome);
   void StartNextRequest();
   void StartLinger();
@@ -132,27 +155,27 @@
   bool IsRequestOverdue(TimePoint now) const;
   boost::beast::string_view BufferedBytes() const;
 
-  ClientConnectionContext* context_;  // null once dropped
+  ClientConnectionContext* context_;  // null after Drop()
   std::optional<Descriptors::Slot> descriptor_slot_;
   boost::asio::ip::tcp::socket socket_;
   SocketReader reader_;
   ResponseWriter writer_;
   HalfCloseProbe probe_;
-  boost::asio::steady_timer unread_check_;  // while there is no capacity to read
-  boost::beast::flat_buffer buffer_;        // read and not parsed
+  boost::asio::steady_timer unread_check_;  // runs while the buffer is full
+  boost::beast::flat_buffer buffer_;        // bytes read but not parsed yet
   RequestFraming framing_;
   RequestBody body_;
-  // Waits for the half-close probe: its client may be gone.
-  std::optional<std::pair<HttpRequest, Body>> unprobed_request_;
+  // A request that is passed to its handler only after the half-close probe found its client connected.
+  std::optional<std::pair<HttpRequest, Body>> request_awaiting_probe_;
   State state_ = State::kReadingRequest;
   ConnectionActivity activity_;
   Linger linger_;
   OnDisconnected on_disconnected_;
-  // The client has ended its sending. Independent of the state: it may do so in any of them, and requests
-  // that it sent before are still answered.
+  // The client has ended its sending. Independent of the state: this can happen in any state, and requests
+  // received before it are still answered.
   bool sending_ended_ = false;
-  // The next response is the last one. Independent of the state: set by the request, the response, draining,
-  // or a fault, each in another state, and acted on when the response is written.
+  // The connection ends after the current response. Independent of the state: the request, the response,
+  // draining or a fault set it in different states, and it takes effect when the response has been written.
   bool close_after_response_ = false;
 };
 
--- a/sidecar/client_connection_exchange.cpp
+++ b/sidecar/client_connection_exchange.cpp
@@ -1,5 +1,6 @@
-// A client connection's request and response, from the whole head to the last byte written: the transitions
-// between kAwaitingResponse, kWritingResponse and what follows it. The rest is in client_connection.cpp.
+// The request and response of a client connection, from the complete head to the last byte written: the
+// transitions between kAwaitingResponse, kWritingResponse and the states after them. The other transitions
+// are in client_connection.cpp.
 #include <chrono>
 #include <string>
 #include <utility>
@@ -12,8 +13,8 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-// So long after clients began to be asked to leave, the requests that a client has pipelined are served; then
-// the next response is the last. A client that pipelines without end must not keep its connection.
+// After draining or a planned stop began, requests that a client has pipelined are served for this long; then
+// the next response is the last one, so that a client that pipelines without end can't keep its connection.
 constexpr Duration kServePipelinedTime = std::chrono::seconds(1);
 
 }  // namespace
@@ -25,12 +26,12 @@
   writer_.set_version(request.version());
   state_ = State::kAwaitingResponse;
   if (request.target() == "/up" && request.method() == http::verb::get) return AnswerHealthCheck();
-  // The client may have disconnected since it sent this, also where the request waits behind the end of its
-  // sending.
+  // The client may have disconnected after it sent the request. That is checked also for a request that was
+  // read after the client ended its sending.
   const ClientPresence client = CheckClient();
   if (client == ClientPresence::kGone) return Close();
   if (client == ClientPresence::kUnknown) {
-    unprobed_request_.emplace(std::move(request), std::move(body));
+    request_awaiting_probe_.emplace(std::move(request), std::move(body));
     return SendHalfCloseProbe();
   }
   PassToHandler(std::move(request), std::move(body));
@@ -38,16 +39,15 @@
 
 void ClientConnection::AnswerHealthCheck() {
   const DrainState& drain = context_->drain;
-  // A planned stop that another process takes over from keeps no client away.
-  const bool leaving = drain.handed_over ? drain.draining : drain.IsLeaving();
-  if (leaving) return Respond(PlainResponse(http::status::service_unavailable, "draining"), nullptr);
+  // In a planned stop after a handover to another process, clients need not be turned away.
+  const bool is_draining = drain.handed_over ? drain.draining : drain.IsDrainingOrStopping();
+  if (is_draining) return Respond(PlainResponse(http::status::service_unavailable, "draining"), nullptr);
   if (context_->is_ready()) return Respond(PlainResponse(http::status::ok, "up"), nullptr);
   Respond(PlainResponse(http::status::service_unavailable, "no upstream is known"), nullptr);
 }
 
 void ClientConnection::PassToHandler(HttpRequest request, Body body) {
-  // May come first: a close, which calls `on_disconnected`, or a fault in a streamed body, which calls it as
-  // well.
+  // Before the reply, a close of the connection or a fault in a streamed body may call `on_disconnected`.
   auto reply = [self = shared_from_this()](HttpResponse response, Body response_body) {
     self->HandleResponseReady(std::move(response), std::move(response_body));
   };
@@ -68,7 +68,7 @@
 
 void ClientConnection::Respond(HttpResponse response, Body body) {
   state_ = State::kWritingResponse;
-  activity_.since = Now();
+  activity_.state_since = Now();
   if (body_.IsStreaming()) {
     close_after_response_ = true;
     linger_.timeout = kLingerTimeoutWhileSending;
@@ -82,20 +82,20 @@
 }
 
 bool ClientConnection::ShouldCloseAfterResponse(const HttpResponse& response) {
-  // Whoever found the request unfit to be followed by another says so by the response.
+  // Whoever created the response clears its keep-alive flag if no other request may follow on the connection.
   if (!response.keep_alive()) return true;
-  if (context_->drain.IsLeaving() && !ServesPipelinedRequest()) return true;
+  if (context_->drain.IsDrainingOrStopping() && !ShouldServePipelinedRequest()) return true;
   return sending_ended_ && buffer_.size() == 0;
 }
 
-// While clients are asked to leave, a pipelined request is still served for a while, and all of them to a
-// client that has ended its sending: it can send no more.
-bool ClientConnection::ServesPipelinedRequest() {
+// During draining or a planned stop, pipelined requests are served for kServePipelinedTime. After a client
+// has ended its sending, all its pipelined requests are served, as it can't send more.
+bool ClientConnection::ShouldServePipelinedRequest() {
   if (buffer_.size() == 0 && !HasUnreadBytes()) return false;
   const TimePoint now = Now();
   if (sending_ended_ || probe_.state() == HalfCloseProbe::State::kClientConnected) return true;
   const DrainState& drain = context_->drain;
-  return now - drain.since < kServePipelinedTime && now < drain.stop_by;
+  return now - drain.changed_at < kServePipelinedTime && now < drain.stop_by;
 }
 
 void ClientConnection::HandleResponseWritten(ResponseWriter::Outcome outcome) {
@@ -116,22 +116,23 @@
   body_.DiscardHeld();
   body_.EndWaitForCapacity();
   activity_.body_bytes = 0;
-  activity_.since = Now();
-  // Most connections are idle most of the time.
+  activity_.state_since = Now();
+  // Idle connections give their buffer memory back, as most connections are idle most of the time.
   if (buffer_.size() == 0) buffer_.shrink_to_fit();
 }
 
 void ClientConnection::StartLinger() {
   state_ = State::kLingering;
-  activity_.since = Now();
+  activity_.state_since = Now();
   error_code ignored;
   socket_.shutdown(tcp::socket::shutdown_send, ignored);
 }
 
-// Nothing behind a malformed or unfinished request can be framed: the connection ends with the response.
+// The bytes after a malformed or incomplete request can't be framed, so the connection ends after the
+// response.
 void ClientConnection::Reject(const RequestFault& fault) {
   close_after_response_ = true;
-  unprobed_request_.reset();
+  request_awaiting_probe_.reset();
   NotifyDisconnected();
   Respond(PlainResponse(fault.status, fault.reason), nullptr);
 }
--- a/sidecar/connection_eviction.cpp
+++ b/sidecar/connection_eviction.cpp
@@ -10,29 +10,31 @@
 
 // Usual clients connect when they have a request, and send it at once.
 constexpr Duration kSilentAfter = std::chrono::seconds(1);
-// From a request's first byte, or the start of the connection that it is the first of.
+// Measured from the first byte of a request; for the first request of a connection, from the start of the
+// connection.
 constexpr Duration kSlowRequestAfter = std::chrono::seconds(1);
 
-// The candidate that goes first; null where there is none. Those in `excluded` are none.
-std::shared_ptr<ClientConnection> FindFirstToGo(const ClientConnections& connections,
-                                                const std::set<ClientConnection*>& excluded, TimePoint now) {
-  std::shared_ptr<ClientConnection> first;
-  std::pair<EvictionPriority, TimePoint> first_rank;
+// Returns the connection to close first, of those not in `excluded`; null if there is none.
+std::shared_ptr<ClientConnection> FindLowestPriority(const ClientConnections& connections,
+                                                     const std::set<ClientConnection*>& excluded,
+                                                     TimePoint now) {
+  std::shared_ptr<ClientConnection> lowest;
+  std::pair<EvictionPriority, TimePoint> lowest_rank;
   for (const auto& connection : connections) {
     const auto priority = PriorityOf(*connection, now);
     if (!priority || excluded.contains(connection.get())) continue;
-    const std::pair rank(*priority, connection->since());
-    if (first && rank >= first_rank) continue;
-    first = connection;
-    first_rank = rank;
+    const std::pair rank(*priority, connection->state_since());
+    if (lowest && rank >= lowest_rank) continue;
+    lowest = connection;
+    lowest_rank = rank;
   }
-  return first;
+  return lowest;
 }
 
 }  // namespace
 
 std::optional<EvictionPriority> PriorityOf(ClientConnection& connection, TimePoint now) {
-  const Duration age = now - connection.since();
+  const Duration age = now - connection.state_since();
   if (connection.state() == State::kLingering && !connection.HasUnsentBytes()) {
     return EvictionPriority::kLingering;
   }
@@ -49,10 +51,10 @@
 }
 
 bool EvictConnection(const ClientConnections& connections, TimePoint now) {
-  // Those of which more has come than was read: they look slow or idle only because this process is. There
-  // are few, so each is asked for only when it would be the next to go.
+  // Connections with bytes that were not read yet: they appear slow or idle only because this process is. Few
+  // are, so HasUnreadBytes() is called only for the connection that would be closed next.
   std::set<ClientConnection*> unread;
-  while (const auto candidate = FindFirstToGo(connections, unread, now)) {
+  while (const auto candidate = FindLowestPriority(connections, unread, now)) {
     if (candidate->state() == State::kReadingRequest && candidate->HasUnreadBytes()) {
       unread.insert(candidate.get());
       continue;
--- a/sidecar/connection_eviction.h
+++ b/sidecar/connection_eviction.h
@@ -1,4 +1,4 @@
-// Which client connection is closed first when descriptors run out.
+// Selects the client connection to close when the process runs out of descriptors.
 #pragma once
 
 #include <memory>
@@ -12,25 +12,28 @@
 
 using ClientConnections = std::set<std::shared_ptr<ClientConnection>>;
 
-// The lowest value goes first, and of equal ones the one that has been so longest. The order protects the
-// usual clients, which connect when they have a request, from those that hold connections and say nothing.
+// The connection with the lowest value is closed first; among equal values, the one that has been in its
+// state the longest. The order protects usual clients, which connect when they have a request to send, from
+// clients that hold connections open without sending.
 enum class EvictionPriority {
-  kLingering,         // its response has reached the client's machine: nothing is lost
-  kSilent,            // has said nothing for longer than a usual client takes
-  kIdle,              // has carried a request: its client asks on another connection
-  kSlowRequest,       // has not finished a request in a time that is enough for usual clients
-  kNew,               // has connected just now and is about to send its first request
-  kReceivingRequest,  // is about to be served
+  kLingering,         // the client's machine has received all of the response: nothing is lost
+  kSilent,            // has sent nothing for longer than a usual client takes
+  kIdle,              // has carried a request; the client can send the next one on another connection
+  kSlowRequest,       // has not completed a request within a time that suffices for usual clients
+  kNew,               // opened recently and expected to send its first request
+  kReceivingRequest,  // receives a request within the usual time; about to be served
 };
 
-// None where the connection must stay: a request is being served, or its response written.
+// Returns nothing if the connection must not be closed: its request is being served, its response is being
+// written, or part of the response has not reached the client's machine.
 std::optional<EvictionPriority> PriorityOf(ClientConnection& connection, TimePoint now);
 
-// Nothing of a further request has come, not even into the kernel's buffer.
+// Whether the connection is idle and no byte of a further request has arrived, in the kernel's receive buffer
+// either.
 bool IsSafeToClose(ClientConnection& connection);
 
-// Closes the connection with the lowest priority, which leaves `connections` by its own close. False where
-// none can be closed.
+// Closes the connection with the lowest priority, which removes it from `connections`
+// (ClientConnectionContext::on_closed). Returns false if none can be closed.
 bool EvictConnection(const ClientConnections& connections, TimePoint now);
 
 }  // namespace lb::sidecar
--- a/sidecar/connection_timeouts.cpp
+++ b/sidecar/connection_timeouts.cpp
@@ -3,9 +3,10 @@
 namespace lb::sidecar {
 namespace {
 
-// Bytes a second. A slow mobile client is faster; a client that trickles to hold a descriptor is slower.
-constexpr double kMinimumRate = 32 * 1024;
-// Within a body that comes fast enough on the whole.
+// In bytes per second. Slow mobile clients are faster; clients that trickle bytes to hold a descriptor are
+// slower.
+constexpr double kMinBytesPerSecond = 32 * 1024;
+// The longest pause within a body, even if its average rate is high enough.
 constexpr Duration kBodyPauseTimeout = std::chrono::seconds(1);
 
 double Seconds(Duration duration) { return std::chrono::duration<double>(duration).count(); }
@@ -13,21 +14,21 @@
 }  // namespace
 
 void Linger::RecordDiscarded(std::size_t bytes) {
-  // A client that was still sending its request may finish it.
+  // A client that was still sending its request may finish it, so its bytes do not count.
   if (timeout == kLingerTimeout) discarded += bytes;
 }
 
 bool IsRequestStalled(const ConnectionActivity& activity, TimePoint now) {
-  const Duration age = now - activity.since;
+  const Duration age = now - activity.state_since;
   if (age <= kFirstRequestTimeout) return false;
   if (activity.body_bytes == 0) return true;
   if (now - activity.last_body_byte_at > kBodyPauseTimeout) return true;
-  return static_cast<double>(activity.body_bytes) < Seconds(age - kFirstRequestTimeout) * kMinimumRate;
+  return static_cast<double>(activity.body_bytes) < Seconds(age - kFirstRequestTimeout) * kMinBytesPerSecond;
 }
 
 bool IsResponseStalled(const ConnectionActivity& activity, std::size_t body_bytes, TimePoint now) {
-  const Duration age = now - activity.since;
-  return Seconds(age - kFirstRequestTimeout) > static_cast<double>(body_bytes) / kMinimumRate;
+  const Duration age = now - activity.state_since;
+  return Seconds(age - kFirstRequestTimeout) > static_cast<double>(body_bytes) / kMinBytesPerSecond;
 }
 
 }  // namespace lb::sidecar
--- a/sidecar/connection_timeouts.h
+++ b/sidecar/connection_timeouts.h
@@ -1,14 +1,16 @@
-// How long a client connection may stay in a state, and the times that this is measured by.
+// The time limits of the states of a client connection, and the times from which they are measured.
 //
-// | the connection | may last | then |
-// | --- | --- | --- |
-// | waits for its first request | kFirstRequestTimeout | 408, linger |
-// | waits for a later request | without limit; eviction or draining ends it | |
-// | receives a request | see IsRequestStalled() | 408, linger |
-// | waits for a response | the request's own timeout | the request's handler answers |
-// | writes a whole response | see IsResponseStalled() | close |
-// | writes a streamed response | kStreamWriteTimeout for each piece | reset |
-// | lingers | Linger::timeout | close |
+// clang-format off
+// | the connection             | time limit                         | at the limit                        |
+// | -------------------------- | ---------------------------------- | ----------------------------------- |
+// | awaits its first request   | kFirstRequestTimeout               | 408, linger                         |
+// | awaits a later request     | none: eviction or draining ends it |                                     |
+// | receives a request         | see IsRequestStalled()             | 408, linger                         |
+// | awaits a response          | the timeout of the request         | a response of the request handler   |
+// | writes a whole response    | see IsResponseStalled()            | close                               |
+// | writes a streamed response | kStreamWriteTimeout for each piece | reset                               |
+// | lingers                    | Linger::timeout                    | close                               |
+// clang-format on
 #pragma once
 
 #include <chrono>
@@ -19,42 +21,47 @@
 
 namespace lb::sidecar {
 
-// The deployment wants silent and stalled clients gone within 3 s of connecting, which includes the sweep
-// that finds them. For a first request from the connection's start, for a later one from its first byte; not
-// renewed by bytes that trickle.
+// The deployment requires that clients that send nothing or stop sending are disconnected within 3 s of
+// connecting, including the interval between deadline checks. Measured from the start of the connection for a
+// first request, and from its first byte for a later one. Further bytes of the request's head do not extend
+// it.
 constexpr Duration kFirstRequestTimeout = std::chrono::milliseconds(2500);
-// A client that takes nothing of a streamed response for so long is gone; it may read slowly.
+// A client that accepts no byte of a streamed response for this long counts as disconnected. Reading slowly
+// is allowed.
 constexpr Duration kStreamWriteTimeout = std::chrono::seconds(10);
-// After a last response the client's close is waited for: a reset could overtake the response. Short, as a
-// planned stop waits for it too.
+// After the last response the client's close is awaited, as a reset sent earlier could overtake the response.
+// Short, because a planned stop waits for it too.
 constexpr Duration kLingerTimeout = std::chrono::milliseconds(250);
-// For a client that was still sending its request when its response came: it may look at it only afterwards.
+// For a client that was still sending its request when the response was sent: it may read the response only
+// after it has sent the whole request.
 constexpr Duration kLingerTimeoutWhileSending = std::chrono::seconds(2);
-// Bytes of a client that goes on sending after its last response are discarded up to here; then it gets a
-// reset.
+// Bytes received after the last response are discarded up to this number; then the connection is closed,
+// which resets it.
 constexpr std::size_t kLingerByteLimit = std::size_t{256} * 1024;
 
-// Times of a connection's current state.
+// Progress of a connection in its current state.
 struct ConnectionActivity {
-  TimePoint since;               // the state began, or the first byte of a later request came
-  std::uint64_t body_bytes = 0;  // of the request's body that have come
-  TimePoint last_body_byte_at;   // of that body, or of the last one before
+  TimePoint state_since;         // when the state began, or the first byte of a later request arrived
+  std::uint64_t body_bytes = 0;  // bytes received of the request's body
+  TimePoint last_body_byte_at;   // when the last byte arrived of this body, or of an earlier one
 };
 
-// A connection that waits for its client's close after the last response.
+// The state of a connection that waits for its client's close after the last response.
 struct Linger {
   Duration timeout = kLingerTimeout;
-  std::size_t discarded = 0;  // bytes
+  std::size_t discarded = 0;  // in bytes
 
   void RecordDiscarded(std::size_t bytes);
   bool IsOverLimit() const { return discarded > kLingerByteLimit; }
 };
 
-// A request that has begun to come is overdue after kFirstRequestTimeout where no byte of a body came, where
-// the body pauses for a second, or where it comes slower than 32 KiB/s.
+// Whether a request that has begun to arrive is overdue. After kFirstRequestTimeout it is if no byte of a
+// body has arrived, if no byte has arrived for the last second, or if it has received less than 32 KiB of the
+// body for each second since then.
 bool IsRequestStalled(const ConnectionActivity& activity, TimePoint now);
 
-// The client takes a whole response of `body_bytes` slower than 32 KiB/s, after kFirstRequestTimeout.
+// Whether a client takes longer to accept a whole response of `body_bytes` than kFirstRequestTimeout plus the
+// time that the body takes at 32 KiB/s.
 bool IsResponseStalled(const ConnectionActivity& activity, std::size_t body_bytes, TimePoint now);
 
 }  // namespace lb::sidecar
--- a/sidecar/descriptors.h
+++ b/sidecar/descriptors.h
@@ -1,23 +1,24 @@
-// Counts the open sockets of clients and upstreams against the deployment's limit on descriptors.
+// Counts the open sockets of clients and upstreams, and checks the counts against the deployment's limit on
+// descriptors.
 #pragma once
 
 #include <cstddef>
 
 namespace lb::sidecar {
 
-// Used on the event loop's thread only.
+// Not thread-safe: used on the event loop's thread only.
 class Descriptors {
  public:
-  // Descriptors that are always open: standard streams, event loop, timer, signals, listening socket,
-  // discovery and its next connection, with some left over.
+  // The number of descriptors reserved for what is always open: standard streams, event loop, timer, signals,
+  // listening socket, and the connection to discovery together with its successor; includes a few spare ones.
   static constexpr std::size_t kFixed = 16;
 
-  // `limit`: of the process, in descriptors. `fixed`: how many of them are always open.
+  // `limit`: the number of descriptors that the process may have. `fixed`: how many of them are reserved.
   explicit Descriptors(std::size_t limit, std::size_t fixed = kFixed) : limit_(limit), fixed_(fixed) {}
 
   enum class Side { kClient, kUpstream };
 
-  // One descriptor's place in the count; held as long as its socket is open.
+  // Counts one descriptor of the side for as long as the slot exists. Held while the socket is open.
   class Slot {
    public:
     Slot(Descriptors& owner, Side side) : used_(side == Side::kClient ? owner.clients_ : owner.upstreams_) {
@@ -31,16 +32,17 @@
     std::size_t& used_;
   };
 
-  // Whether one more socket of that side keeps to the limit. Each side has half for itself: clients that
-  // connect and stay must not take the descriptors to serve them with, nor make the pools close the
-  // connections that the next request needs. A request takes one descriptor on either side, and a hedged
-  // request one more.
+  // Whether one more socket of that side keeps within the limit. Each side has half of the descriptors for
+  // itself: clients that connect and stay must neither take the descriptors that are needed to serve them nor
+  // make the pools close connections that the next request needs. A request takes one descriptor on each
+  // side, and a hedged request one more.
   bool HasCapacity(Side side) const {
     const std::size_t limit = Limit();
     return side == Side::kClient ? clients_ < limit / 2 : upstreams_ < limit - limit / 2;
   }
 
-  // True while another process of the same sidecar runs (hot restart): each keeps to half of the limit.
+  // `shared` is true while another process of the same sidecar runs (hot restart). Each process then keeps to
+  // half of the limit.
   void SetShared(bool shared) { is_shared_ = shared; }
 
  private:
--- a/sidecar/drain_state.h
+++ b/sidecar/drain_state.h
@@ -1,5 +1,5 @@
-// Whether the listener's clients are asked to leave, by the operators (connection draining) or by a planned
-// stop.
+// Whether a listener is ending its connections, because operators drain it (connection draining) or for a
+// planned stop. Shared by all its connections.
 #pragma once
 
 #include "sidecar/clock.h"
@@ -7,13 +7,14 @@
 namespace lb::sidecar {
 
 struct DrainState {
-  bool draining = false;                 // by the operators; can be taken back
-  bool stopping = false;                 // a planned stop has begun; it is final
-  bool handed_over = false;              // another process accepts from the same listening socket
-  TimePoint since;                       // draining or stopping began
-  TimePoint stop_by = TimePoint::max();  // from here on no connection is left open for a first request
+  bool draining = false;     // set by operators; can be reset
+  bool stopping = false;     // a planned stop has begun; never reset
+  bool handed_over = false;  // another process accepts from the same listening socket
+  TimePoint changed_at;      // when draining or stopping last changed
+  // From this time on, no connection is kept open for its first request.
+  TimePoint stop_by = TimePoint::max();
 
-  bool IsLeaving() const { return draining || stopping; }
+  bool IsDrainingOrStopping() const { return draining || stopping; }
 };
 
 }  // namespace lb::sidecar
--- a/sidecar/half_close_probe.cpp
+++ b/sidecar/half_close_probe.cpp
@@ -12,14 +12,14 @@
 
 using std::chrono::milliseconds;
 
-// A reset comes back within a round trip, on a loopback or host network well within this time.
+// A reset arrives within one round trip; on a loopback or host network that is well below this time.
 constexpr Duration kHalfCloseProbeTimeout = milliseconds(5);
-// A client found to be connected is probed again ahead of an attempt that begins later than this.
+// A result that is older is not used: the client is probed again before the next attempt.
 constexpr Duration kResultLifetime = milliseconds(20);
 
 }  // namespace
 
-bool IsConnectionOver(boost::asio::ip::tcp::socket& socket) {
+bool IsClosedBothWays(boost::asio::ip::tcp::socket& socket) {
   return PollNow(socket.native_handle(), 0) != 0;
 }
 
@@ -28,13 +28,13 @@
   state_ = State::kOutstanding;
   if (!writer_.WriteProbe() || WasReset()) return false;
   timer_.expires_after(kHalfCloseProbeTimeout);
-  // May come first: a close of the connection, which cancels this, and the response, which is written all the
-  // same.
+  // Before the timer expires, the connection may be closed, which cancels the timer, or the response may be
+  // written, which does not affect the probe.
   timer_.async_wait([this, on_result = std::move(on_result)](boost::system::error_code stopped) {
     if (stopped || state_ != State::kOutstanding) return;
-    if (WasReset() || IsConnectionOver(socket_)) return on_result(Result::kConnectionOver);
+    if (WasReset() || IsClosedBothWays(socket_)) return on_result(Result::kConnectionClosed);
     state_ = State::kClientConnected;
-    connected_at_ = Now();
+    last_connected_at_ = Now();
     on_result(Result::kClientConnected);
   });
   return true;
@@ -42,7 +42,7 @@
 
 bool HalfCloseProbe::IsResultStale(TimePoint now) const {
   return state_ == State::kClientConnected && writer_.CanWriteProbe() &&
-         now - connected_at_ > kResultLifetime;
+         now - last_connected_at_ > kResultLifetime;
 }
 
 void HalfCloseProbe::Cancel() {
--- a/sidecar/half_close_probe.h
+++ b/sidecar/half_close_probe.h
@@ -1,7 +1,7 @@
-// Tells a half-close from a close. A client that has ended its sending may still wait for its response, as
-// HTTP allows (RFC 9112, 9.6), or it may have closed both ways; TCP shows the same FIN for both. The probe
-// sends it some bytes that it must ignore (ResponseWriter::WriteProbe): a client that has closed answers them
-// with a reset.
+// Distinguishes a half-close from a close. A client that has ended its sending may still wait for its
+// response, as HTTP allows (RFC 9112, 9.6), or it may have closed both directions; TCP sends the same FIN for
+// both. The probe sends the client bytes that it has to ignore (ResponseWriter::WriteProbe): a client that
+// has closed answers them with a reset.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -13,31 +13,32 @@
 
 namespace lb::sidecar {
 
-// The connection has ended both ways, not only the peer's sending, as the kernel has it now.
-bool IsConnectionOver(boost::asio::ip::tcp::socket& socket);
+// Whether the connection is closed in both directions, not only the peer's sending, according to the kernel's
+// current state.
+bool IsClosedBothWays(boost::asio::ip::tcp::socket& socket);
 
 class HalfCloseProbe {
  public:
   enum class State {
     kNotSent,
-    kOutstanding,      // sent; no reset yet
-    kClientConnected,  // no reset in time: the client waits for its response
+    kOutstanding,      // sent; no reset received yet
+    kClientConnected,  // no reset within the time limit: the client waits for its response
   };
-  enum class Result { kClientConnected, kConnectionOver };
+  enum class Result { kClientConnected, kConnectionClosed };
 
-  // Both outlive the probe.
+  // Both have to outlive the probe.
   HalfCloseProbe(boost::asio::ip::tcp::socket& socket, ResponseWriter& writer)
       : socket_(socket), writer_(writer), timer_(socket.get_executor()) {}
 
-  // Sends the probe, unless one is outstanding or has been answered. False: the connection is over, and
-  // `on_result` is not called. `on_result` is called from the event loop, and has to own the owner of the
-  // probe.
+  // Sends the probe, unless one is outstanding or has been answered; then nothing is sent and `on_result` is
+  // dropped. Returns false if the connection is closed, without calling `on_result`. Otherwise `on_result` is
+  // called from the event loop, unless the probe is cancelled. It has to keep the probe and its owner alive.
   [[nodiscard]] bool Send(std::function<void(Result)> on_result);
 
-  // The client may have closed since the last result, and another probe can be sent.
+  // Whether the last result is so old that the client may have closed since, and another probe can be sent.
   bool IsResultStale(TimePoint now) const;
   void DiscardResult() { state_ = State::kNotSent; }
-  // The connection is closed.
+  // To be called when the connection is closed: no result is reported any more.
   void Cancel();
 
   State state() const { return state_; }
@@ -49,7 +50,7 @@
   ResponseWriter& writer_;
   boost::asio::steady_timer timer_;
   State state_ = State::kNotSent;
-  TimePoint connected_at_;  // when the client was last found to be connected
+  TimePoint last_connected_at_;  // when a probe last found the client connected
 };
 
 }  // namespace lb::sidecar
--- a/sidecar/http.h
+++ b/sidecar/http.h
@@ -1,4 +1,4 @@
-// The HTTP messages that the parts of the sidecar hand each other, and the limits on them.
+// The HTTP message types that the parts of the sidecar exchange, and the limits on message sizes.
 #pragma once
 
 #include <boost/beast/http/fields.hpp>
@@ -16,24 +16,25 @@
 using HttpRequest = http::request<http::string_body>;
 using HttpResponse = http::response<http::string_body>;
 
-// Bytes up to which a body is held whole, so that it can be sent again; a larger one is streamed.
+// In bytes. A body up to this size is held in memory, so that it can be sent again; a larger one is streamed.
 constexpr std::uint64_t kMaxBufferedBody = std::uint64_t{64} * 1024;
-// Bytes of a streamed body.
+// The largest streamed body, in bytes.
 constexpr std::uint64_t kMaxStreamedBody = std::uint64_t{32} * 1024 * 1024;
-// Bytes of a body that are parsed at a time.
+// How many bytes of a body are parsed at a time.
 constexpr std::size_t kBodyPieceSize = std::size_t{8} * 1024;
 constexpr std::uint32_t kMaxHeaderSize = 16 * 1024;
-// Bytes that a connection reads ahead of its parser.
+// How many bytes a connection reads ahead of its parser.
 constexpr std::size_t kMaxReadAhead = std::size_t{32} * 1024;
 
-// Whether the end of a request's body is unambiguous: what one reader takes for a body may hold a request for
-// the next (request smuggling). Names the fault; null where there is none.
+// Checks that the end of a request's body is unambiguous: bytes that one reader takes for the body may
+// contain a request for another reader (request smuggling). Returns a description of the fault, or null if
+// there is none.
 const char* FramingFault(const http::request_header<>& header);
 
-// A response of the sidecar's own: one line of text.
+// Creates a response of the sidecar itself, whose body is one line of text.
 HttpResponse PlainResponse(http::status status, const std::string& text);
 
-// Removes the header fields that concern one connection only (RFC 9110, 7.6.1).
+// Removes the header fields that apply to a single connection only (RFC 9110, 7.6.1).
 void RemoveHopByHop(http::fields& fields);
 
 }  // namespace lb::sidecar
--- a/sidecar/listener.cpp
+++ b/sidecar/listener.cpp
@@ -17,19 +17,20 @@
 using boost::system::error_code;
 using std::chrono::milliseconds;
 
-// How often deadlines are looked at: they may be late by so much.
+// How often the deadlines of connections are checked: a deadline is enforced late by up to this.
 constexpr auto kSweepInterval = milliseconds(250);
-// While clients are asked to leave: a planned stop should not wait for the sweep.
-constexpr auto kLeavingSweepInterval = milliseconds(10);
-// Clients go on opening connections for a moment after a planned stop began, until they know of it.
+// While draining or stopping: a planned stop should not have to wait for the usual interval.
+constexpr auto kDrainSweepInterval = milliseconds(10);
+// Clients keep opening connections for a moment after a planned stop began, until they learn of it.
 constexpr Duration kAcceptWhileStopping = milliseconds(800);
-// Added to that where accepting fails just then; not longer, as the process may be killed soon after.
-constexpr Duration kEmptyBacklogWithin = milliseconds(500);
-// A connection opened within this time is about to carry a request.
-constexpr Duration kNewConnection = milliseconds(300);
+// Extends kAcceptWhileStopping if accept() is failing at its end. Short, as the process may be killed soon
+// after.
+constexpr Duration kBacklogRetryTime = milliseconds(500);
+// A connection younger than this is expected to send its first request shortly.
+constexpr Duration kNewConnectionAge = milliseconds(300);
 
 bool AwaitsFirstRequest(const ClientConnection& connection, TimePoint now) {
-  return !connection.HasAnyRequestBegun() && now - connection.since() < kNewConnection;
+  return !connection.HasAnyRequestBegun() && now - connection.state_since() < kNewConnectionAge;
 }
 
 }  // namespace
@@ -40,8 +41,8 @@
     : descriptors_(descriptors),
       log_(log),
       acceptor_(io),
-      // Capacity for the next connection is made only once it is there: else the one closed for it would be
-      // the newest, which has said nothing yet.
+      // Room for a connection is made only once it is in the backlog. If room were made in advance, the
+      // connection evicted for it could be the newest one, whose first request has not been read yet.
       accept_loop_(io, acceptor_, log, "clients", endpoint.protocol(),
                    {[this] { return EnsureCapacity(); },
                     [this] { return descriptors_.HasCapacity(Descriptors::Side::kClient); },
@@ -72,11 +73,13 @@
 
 void Listener::Bind(const Endpoint& endpoint, bool shared) {
   acceptor_.open(endpoint.protocol());
-  // A start after a kill must not wait until the former process's connections have left TIME_WAIT.
+  // Lets a process that replaces a killed one bind at once, while the killed one's connections are in
+  // TIME_WAIT.
   acceptor_.set_option(boost::asio::socket_base::reuse_address(true));
-  // Where it is refused the address is this process's alone, and the next one has to wait for it.
-  const int yes = 1;
-  if (shared) ::setsockopt(acceptor_.native_handle(), SOL_SOCKET, SO_REUSEPORT, &yes, sizeof yes);
+  // If the system refuses SO_REUSEPORT, only this process can bind the address, and its successor has to wait
+  // until the address is free.
+  const int enabled = 1;
+  if (shared) ::setsockopt(acceptor_.native_handle(), SOL_SOCKET, SO_REUSEPORT, &enabled, sizeof enabled);
   acceptor_.bind(endpoint);
   acceptor_.listen(boost::asio::socket_base::max_listen_connections);
 }
@@ -108,7 +111,7 @@
 void Listener::SetConnectionDraining(bool draining) {
   if (context_.drain.draining == draining) return;
   context_.drain.draining = draining;
-  BeginLeaving();
+  BeginDrain();
 }
 
 void Listener::ShutDown(bool handed_over, TimePoint stop_by, std::function<void()> done) {
@@ -118,21 +121,21 @@
   context_.drain.stop_by = stop_by;
   context_.drain.handed_over = handed_over;
   error_code ignored;
-  if (handed_over) acceptor_.close(ignored);  // the other process's handle keeps the backlog
-  stop_began_ = Now();
-  BeginLeaving();
+  if (handed_over) acceptor_.close(ignored);  // the other process's descriptor keeps the backlog
+  stopping_since_ = Now();
+  BeginDrain();
 }
 
-void Listener::BeginLeaving() {
-  context_.drain.since = Now();
+void Listener::BeginDrain() {
+  context_.drain.changed_at = Now();
   sweep_.cancel();
   Sweep();
   ScheduleSweep();
 }
 
 void Listener::ScheduleSweep() {
-  sweep_.expires_after(context_.drain.IsLeaving() ? kLeavingSweepInterval : kSweepInterval);
-  // May come first: a change of draining or a planned stop, which cancel this and sweep at once.
+  sweep_.expires_after(context_.drain.IsDrainingOrStopping() ? kDrainSweepInterval : kSweepInterval);
+  // Before the timer expires, SetConnectionDraining() or ShutDown() may cancel it; both sweep at once.
   sweep_.async_wait([this](error_code error) {
     if (error) return;
     Sweep();
@@ -146,20 +149,21 @@
   const DrainState& drain = context_.drain;
   const std::vector<std::shared_ptr<ClientConnection>> all(connections_.begin(), connections_.end());
   for (const auto& connection : all) {
-    const bool may_stay = AwaitsFirstRequest(*connection, now) && now < drain.stop_by;
-    if (drain.IsLeaving() && !may_stay && IsSafeToClose(*connection)) connection->EndIdle();
+    const bool awaits_first_request = AwaitsFirstRequest(*connection, now) && now < drain.stop_by;
+    if (drain.IsDrainingOrStopping() && !awaits_first_request && IsSafeToClose(*connection))
+      connection->DrainIdle();
     connection->HandleDeadline(now);
   }
-  const bool accepts = now - stop_began_ <= kAcceptWhileStopping && now < drain.stop_by;
-  if (drain.stopping && acceptor_.is_open() && !accepts) CloseAcceptorOnceEmpty();
+  const bool still_accepting = now - stopping_since_ <= kAcceptWhileStopping && now < drain.stop_by;
+  if (drain.stopping && acceptor_.is_open() && !still_accepting) CloseAcceptorOnceEmpty();
 }
 
-// What waits in the backlog counts as accepted: it is served before the socket closes. Errors put that off
-// for a while, from sweep to sweep.
+// Connections in the backlog count as accepted, so they are accepted before the socket is closed. If accept()
+// fails, the close is put off to the next sweep, for kBacklogRetryTime at most.
 void Listener::CloseAcceptorOnceEmpty() {
-  const bool emptied = accept_loop_.TakeWaiting();
-  if (!emptied && Now() - stop_began_ < kAcceptWhileStopping + kEmptyBacklogWithin) return;
-  if (!emptied) log_.Write(LogEvent(log_events::kAcceptBacklogAbandoned));
+  const bool is_empty = accept_loop_.AcceptBacklog();
+  if (!is_empty && Now() - stopping_since_ < kAcceptWhileStopping + kBacklogRetryTime) return;
+  if (!is_empty) log_.Write(LogEvent(log_events::kAcceptBacklogAbandoned));
   error_code ignored;
   acceptor_.close(ignored);
 }
--- a/sidecar/listener.h
+++ b/sidecar/listener.h
@@ -1,5 +1,6 @@
-// The clients' side of the sidecar: accepts connections, holds the set of them, and ends them by eviction,
-// draining or a planned stop. What happens on one connection is ClientConnection's.
+// The side of the sidecar that faces clients: accepts their connections, holds the set of open ones, and
+// closes connections by eviction, draining or a planned stop. ClientConnection handles the traffic of a
+// single connection.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -28,9 +29,10 @@
   using CheckClient = lb::sidecar::CheckClient;
   using OnRequest = lb::sidecar::OnRequest;
 
-  // Binds and listens on `endpoint`, together with other processes where it is `shared`, or takes over
-  // `listening`, a socket that listens already. `body_capacity`: bytes of a streamed body that are held.
-  // `is_ready`: GET /up answers 503 until it is true. Throws boost::system::system_error.
+  // Binds and listens on `endpoint`, or takes over `listening`, the descriptor of a socket that is listening
+  // already. `shared`: other processes may bind the same address (SO_REUSEPORT). `body_capacity`: how many
+  // bytes of a streamed request body a connection buffers. `is_ready`: GET /up answers 503 until this returns
+  // true. Throws boost::system::system_error.
   Listener(boost::asio::io_context& io, const Endpoint& endpoint, bool shared, std::optional<int> listening,
            std::size_t body_capacity, Descriptors& descriptors, Logger& log, OnRequest on_request,
            std::function<bool()> is_ready);
@@ -38,17 +40,19 @@
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
 
-  void Start();  // accepts from now on; once is enough
+  // Starts accepting connections. Further calls have no effect.
+  void Start();
   int native_handle() { return acceptor_.native_handle(); }
   Endpoint local() const { return acceptor_.local_endpoint(); }
 
-  // While draining, GET /up answers 503, each response ends its connection and idle connections are closed;
-  // requests are still served, also on new connections.
+  // While draining, GET /up answers 503, each response closes its connection, and idle connections are
+  // closed. Requests are still served, on open and on new connections.
   void SetConnectionDraining(bool draining);
 
-  // A planned stop, once: as draining, and accepting ends after a while; calls `done` when all connections
-  // are closed. `handed_over`: another process accepts from the same socket by now, so this one stops at
-  // once. From `stop_by` on no connection is accepted, or left open for a first request.
+  // Begins a planned stop; further calls have no effect. As in draining, and the socket also stops accepting
+  // after a short time. Calls `done` from the event loop when all connections are closed. `handed_over`:
+  // another process accepts from the same socket already, so this one stops accepting at once. `stop_by`:
+  // from this time on, no connection is accepted or kept open for its first request.
   void ShutDown(bool handed_over, TimePoint stop_by, std::function<void()> done);
 
  private:
@@ -56,7 +60,7 @@
   bool EnsureCapacity();
   void AddConnection(boost::asio::ip::tcp::socket socket);
   bool Evict();
-  void BeginLeaving();
+  void BeginDrain();
   void ScheduleSweep();
   void Sweep();
   void CloseAcceptorOnceEmpty();
@@ -69,8 +73,8 @@
   ClientConnectionContext context_;
   ClientConnections connections_;
   bool started_ = false;
-  TimePoint stop_began_;              // of a planned stop
-  std::function<void()> on_stopped_;  // likewise
+  TimePoint stopping_since_;          // when the planned stop began
+  std::function<void()> on_stopped_;  // called when the planned stop is complete
 };
 
 }  // namespace lb::sidecar
--- a/sidecar/local_responses.h
+++ b/sidecar/local_responses.h
@@ -1,4 +1,5 @@
-// The responses to clients that the sidecar makes itself. Their texts are of the first release.
+// The responses to clients that the sidecar creates itself. Clients may depend on their texts, which have not
+// changed since the first release.
 #pragma once
 
 #include "sidecar/clock.h"
@@ -7,13 +8,14 @@
 
 namespace lb::sidecar {
 
-// 400; closes the client's connection.
+// 400. The client's connection is closed after it.
 HttpResponse BadRequestResponse(RequestError error);
 
-// 503: nothing was done, so a further attempt is harmless. `retry_after`: zero for no advice.
+// 503: the request was not processed, so it is safe to send it again. Zero `retry_after`: no Retry-After
+// header.
 HttpResponse RejectedResponse(Duration retry_after);
 
-// The request may have taken effect.
+// The upstream may have processed the request.
 HttpResponse DeadlineExceededResponse();  // 504
 HttpResponse UpstreamFailedResponse();    // 502
 
--- a/sidecar/request_body.h
+++ b/sidecar/request_body.h
@@ -1,5 +1,5 @@
-// The body of a client's request while it comes: held whole up to kMaxBufferedBody, so that it can be sent to
-// a further upstream, and streamed to the upstream beyond that.
+// The body of a client's request while it arrives. A body of up to kMaxBufferedBody is held in memory, so
+// that it can be sent to another upstream; a larger one is streamed to the upstream.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -21,40 +21,41 @@
 class RequestBody {
  public:
   struct Owner {
-    // Is more of the body still to come than has reached this machine? False where that can't be told.
+    // Whether some of the body has not reached this machine yet. False if that is unknown.
     std::function<bool()> is_more_incoming;
-    // The stream can take more, or its reader has left.
+    // The stream has capacity again, or its reader has left.
     std::function<void()> on_capacity;
   };
 
   explicit RequestBody(Owner owner) : owner_(std::move(owner)) {}
 
-  // ---- Held ----
+  // ---- A body that is held in memory ----
 
   void Append(boost::beast::string_view bytes);
   bool IsTooLargeToHold() const { return !stream_ && held_.size() > kMaxBufferedBody; }
   std::string TakeHeld() { return std::move(held_); }
-  // Gives its memory back: most connections are idle most of the time.
+  // Frees the memory, as most connections are idle most of the time.
   void DiscardHeld();
 
-  // ---- Streamed, until the last byte has come ----
+  // ---- A body that is streamed, until its last byte has been received ----
 
-  // Begins with what is held, which stays until DiscardHeld(). `last_byte_at`: the last byte so far has come
-  // then. Calls Owner's functions only while `owner` lives.
+  // Starts a stream with a copy of the bytes held, which are kept until DiscardHeld(). `length`: of the whole
+  // body, if known. `last_byte_at`: when the last byte so far was received. The functions of Owner are called
+  // only while `owner` is alive.
   Body StartStream(boost::asio::io_context& io, std::size_t capacity, boost::optional<std::uint64_t> length,
                    TimePoint last_byte_at, const std::weak_ptr<void>& owner);
   bool IsStreaming() const { return stream_ != nullptr; }
   bool HasCapacity() const { return stream_->HasCapacity(); }
-  // Bytes that have come wait for capacity: the upstream is slow, not the client.
+  // Records that bytes received wait for capacity: the upstream is slow, not the client.
   void WaitForCapacity() { waits_for_capacity_ = true; }
   bool IsWaitingForCapacity() const { return waits_for_capacity_; }
   void EndWaitForCapacity() { waits_for_capacity_ = false; }
   bool IsKnownToBeSent() const { return stream_->sent_at().has_value(); }
-  // Notes when the client sent its last byte, also where that byte waits for capacity: its response time runs
-  // from there. `is_end_known`: the end of the body can be told without parsing it.
+  // Records when the client sent the last byte, also if that byte waits for capacity: the time for the
+  // response runs from there. `is_end_known`: the end of the body can be recognized without parsing it.
   void RecordLastByteTime(bool is_end_known);
   void Finish();
-  // The rest will not come, or is no longer wanted.
+  // The rest of the body will not arrive, or is not needed any more.
   void Abort();
 
  private:
--- a/sidecar/request_framing.cpp
+++ b/sidecar/request_framing.cpp
@@ -23,7 +23,7 @@
 
 HeadScan ScanHead(string_view bytes, std::size_t& scanned) {
   if (!MayBeginWith(bytes, "GET ") && !MayBeginWith(bytes, "POST ")) return HeadScan::kMalformed;
-  // Each line end is judged with the byte behind it, so the last byte waits for the next scan.
+  // A line end is checked together with the byte after it, so the last byte is left for the next scan.
   for (; scanned + 1 < bytes.size(); ++scanned) {
     const char byte = bytes[scanned];
     const char next = bytes[scanned + 1];
@@ -33,7 +33,7 @@
     if (folded) return HeadScan::kMalformed;
     if (next != '\r') continue;
     if (scanned + 2 >= bytes.size()) return HeadScan::kPartial;
-    return bytes[scanned + 2] == '\n' ? HeadScan::kWhole : HeadScan::kMalformed;
+    return bytes[scanned + 2] == '\n' ? HeadScan::kComplete : HeadScan::kMalformed;
   }
   return bytes.size() < kMaxHeaderSize ? HeadScan::kPartial : HeadScan::kMalformed;
 }
@@ -63,7 +63,7 @@
 RequestFraming::Step RequestFraming::Next(boost::beast::flat_buffer& buffer, Piece& piece) {
   Step step;
   if (!parser_->is_header_done()) {
-    if (SkipsEmptyLine(buffer, step)) return step;
+    if (SkipEmptyLine(buffer, step)) return step;
     step.request_began = !request_began_;
     request_began_ = true;
     any_request_began_ = true;
@@ -73,9 +73,9 @@
   return step;
 }
 
-// One empty line ahead of a request is passed over (RFC 9112, 2.2). On its own it does not begin a request:
-// the connection stays idle.
-bool RequestFraming::SkipsEmptyLine(boost::beast::flat_buffer& buffer, Step& step) {
+// Skips one empty line before a request (RFC 9112, 2.2). An empty line alone does not begin a request: the
+// connection stays idle.
+bool RequestFraming::SkipEmptyLine(boost::beast::flat_buffer& buffer, Step& step) {
   if (scanned_ > 0 || skipped_empty_line_) return false;
   const std::size_t length = EmptyLineLength(Bytes(buffer));
   const bool partial = length == 1 && buffer.size() == 1;
@@ -83,7 +83,7 @@
   if (length < 2) return false;
   skipped_empty_line_ = true;
   buffer.consume(length);
-  step.outcome = Outcome::kMoved;
+  step.outcome = Outcome::kProgress;
   return true;
 }
 
@@ -93,12 +93,12 @@
     step.outcome = Outcome::kFault;
     step.fault = {http::status::bad_request, "bad request head"};
   }
-  return scan == HeadScan::kWhole;
+  return scan == HeadScan::kComplete;
 }
 
 void RequestFraming::Parse(boost::beast::flat_buffer& buffer, Piece& piece, Step& step) {
-  // The head on its own first: Beast 1.74 forgets that a body is beyond the limit where the first of the body
-  // is parsed along with the head.
+  // The head is parsed in a call of its own: Beast 1.74 does not report that a body exceeds the limit if the
+  // start of the body is parsed together with the head.
   parser_->eager(parser_->is_header_done());
   parser_->get().body() = {piece, sizeof piece, true};
   error_code error;
@@ -124,7 +124,7 @@
   if (parser_->is_done()) {
     step.outcome = Outcome::kRequestComplete;
   } else if (used > 0) {
-    step.outcome = Outcome::kMoved;
+    step.outcome = Outcome::kProgress;
   }
 }
 
--- a/sidecar/request_framing.h
+++ b/sidecar/request_framing.h
@@ -1,5 +1,6 @@
-// Finds where a client's requests begin and end (RFC 9112), in bytes alone: no socket, no clock. Stricter
-// than its parser wherever two readers of the same bytes could disagree (request smuggling).
+// Finds where a client's requests begin and end (RFC 9112). Works on bytes only, without sockets and clocks.
+// Stricter than the Beast parser that it uses wherever two parsers could disagree on the same bytes (request
+// smuggling).
 #pragma once
 
 #include <boost/beast/core/flat_buffer.hpp>
@@ -16,79 +17,81 @@
 
 namespace lb::sidecar {
 
-// What has come of a request's head.
-enum class HeadScan { kPartial, kWhole, kMalformed };
+// How much of a request's head has been received.
+enum class HeadScan { kPartial, kComplete, kMalformed };
 
-// Scans the head at the start of `bytes`; `scanned` is where the last scan of the same bytes ended. Malformed
-// is what other readers may take for something else than the parser does: bare line ends, folded headers, and
-// all that begins with no method that is served here.
+// Scans the head at the start of `bytes`. `scanned`: where the last scan of the same bytes ended; updated. A
+// head is malformed if other parsers may read it differently than Beast does: bare CR or LF, zero bytes,
+// folded headers, a method other than GET and POST, or no end within kMaxHeaderSize.
 HeadScan ScanHead(boost::beast::string_view bytes, std::size_t& scanned);
 
-// Bytes at the start that belong to an empty line, 0 to 2; 1 is a CR whose LF has not come, or never will.
+// Returns how many bytes at the start belong to an empty line: 0, 1 or 2. 1 stands for a CR without an LF
+// after it, which may not have been received yet.
 std::size_t EmptyLineLength(boost::beast::string_view bytes);
 
-// The path and query of a target that may be in absolute form (RFC 9112, 3.2.2). A view into `target`.
+// Returns the path and query of a target that may be in absolute form (RFC 9112, 3.2.2), as a view into
+// `target`, or "/" if an absolute target has no path.
 boost::beast::string_view OriginForm(boost::beast::string_view target);
 
-// Why a request is rejected: the status to answer with, and a reason for people.
+// Why a request is rejected: the status of the response, and its human-readable reason.
 struct RequestFault {
   http::status status = http::status::bad_request;
   std::string reason;
 };
 
-// Frames the requests of one connection, one after the other.
+// Frames the successive requests of one connection.
 class RequestFraming {
  public:
-  // A piece of a body at a time is copied out of the buffer; the caller lends the memory.
+  // Memory that the caller provides, into which one piece of a body at a time is copied.
   using Piece = char[kBodyPieceSize];
 
   enum class Outcome {
-    kNeedsBytes,       // nothing more to be had from these bytes
-    kMoved,            // call again
-    kRequestComplete,  // the last byte of the request was consumed; `body` may hold the last of it
-    kFault,            // `fault` says why; nothing that follows can be framed
+    kNeedsBytes,       // more bytes have to be received first
+    kProgress,         // some bytes were consumed; call Next() again
+    kRequestComplete,  // the request's last byte was consumed; `body` may hold the end of its body
+    kFault,            // described by `fault`; the bytes that follow can't be framed
   };
   struct Step {
     Outcome outcome = Outcome::kNeedsBytes;
-    bool request_began = false;      // the first byte of a request has come
-    bool head_complete = false;      // head() is valid and well framed
-    boost::beast::string_view body;  // the next bytes of the body, in the caller's piece
+    bool request_began = false;      // the first byte of a request was received
+    bool head_complete = false;      // the head was parsed; it is valid unless the outcome is kFault
+    boost::beast::string_view body;  // the next bytes of the body, a view into the caller's piece
     RequestFault fault{};
   };
 
   RequestFraming() { StartRequest(); }
 
-  // Makes ready for the next request of the connection.
+  // Resets the state for the next request of the connection.
   void StartRequest();
 
   // Consumes the next part of the request from `buffer`, which must not be empty.
   Step Next(boost::beast::flat_buffer& buffer, Piece& piece);
 
-  // Checks a complete request: trailers have joined its head, and what follows it, `next_bytes`, must begin
-  // like a request, or its length was wrong.
+  // Checks a complete request: its head, which now includes the trailers, and `next_bytes`, the bytes
+  // received after it. If these do not begin like a request, the length of the body was wrong.
   std::optional<RequestFault> CheckComplete(boost::beast::string_view next_bytes) const;
 
   const http::request_header<>& head() const { return parser_->get().base(); }
   http::request_header<> TakeHead() { return std::move(parser_->get().base()); }
   boost::optional<std::uint64_t> content_length() const { return parser_->content_length(); }
-  // Bytes of the body that were not consumed; none where the length is not known ahead.
+  // Number of bytes of the body not consumed yet; nothing if the length is not known in advance.
   boost::optional<std::uint64_t> content_length_remaining() const {
     return parser_->content_length_remaining();
   }
 
   bool HasRequestBegun() const { return request_began_; }
-  // Some of a first request has come on this connection.
+  // Whether the first byte of any request has been received on this connection.
   bool HasAnyRequestBegun() const { return any_request_began_; }
 
  private:
-  bool SkipsEmptyLine(boost::beast::flat_buffer& buffer, Step& step);
+  bool SkipEmptyLine(boost::beast::flat_buffer& buffer, Step& step);
   bool CheckHeadBytes(boost::beast::string_view bytes, Step& step);
   void Parse(boost::beast::flat_buffer& buffer, Piece& piece, Step& step);
   std::optional<RequestFault> CheckParsedHead();
 
-  // Replaced for each request: a Beast parser can't be used twice.
+  // Created anew for each request: a Beast parser can't be reused.
   std::optional<http::request_parser<http::buffer_body>> parser_;
-  std::size_t scanned_ = 0;  // of a head that is not whole
+  std::size_t scanned_ = 0;  // number of bytes scanned of an incomplete head
   bool request_began_ = false;
   bool any_request_began_ = false;
   bool skipped_empty_line_ = false;
--- a/sidecar/request_handler.h
+++ b/sidecar/request_handler.h
@@ -1,4 +1,4 @@
-// What passes between a client's connection and the handler of its requests.
+// The interface between a client connection and the handler of its requests.
 #pragma once
 
 #include <functional>
@@ -8,22 +8,23 @@
 
 namespace lb::sidecar {
 
-// kUnknown: the client has ended its sending. It may have closed, or it may wait for its response (a
-// half-close); HalfCloseProbe finds out within some milliseconds.
+// kUnknown: the client has ended its sending. It may have closed the connection, or it may wait for its
+// response (a half-close); HalfCloseProbe finds out within some milliseconds.
 enum class ClientPresence { kConnected, kUnknown, kGone };
 
-// Answers one request. `body`: of a response that is streamed; null where `response` is whole.
+// Responds to one request. `body`: of a streamed response; null if `response` contains the whole body.
 using SendResponse = std::function<void(HttpResponse response, Body body)>;
 
-// Called at most once, where the client disconnects, or its request turns out malformed, before its response.
+// Called at most once, and only before the response: when the client disconnects or the rest of its request
+// is malformed or overdue.
 using OnDisconnected = std::function<void()>;
 
-// Looks at the client's connection as the kernel has it now. To be called right before anything is begun for
-// the request.
+// Checks the current state of the client's connection in the kernel. To be called right before any work for
+// the request begins.
 using CheckClient = std::function<ClientPresence()>;
 
-// Handles one request and calls `reply` once, perhaps before it returns. `body`: of a request that is
-// streamed; null where `request` is whole.
+// Handles one request and calls `reply` once, possibly before it returns. `body`: of a streamed request; null
+// if `request` contains the whole body.
 using OnRequest = std::function<OnDisconnected(HttpRequest request, Body body, SendResponse reply,
                                                CheckClient check_client)>;
 
--- a/sidecar/request_intake.cpp
+++ b/sidecar/request_intake.cpp
@@ -13,8 +13,9 @@
 
 using std::chrono::milliseconds;
 
-// The client's clock started when it sent the request, at least this much before the request was read here.
-constexpr Duration kClientHop = milliseconds(2);
+// The client's timeout runs from when it sent the request, at least this long before the request was read
+// here.
+constexpr Duration kMinClientDelay = milliseconds(2);
 constexpr Duration kMinTimeout = milliseconds(1);
 
 }  // namespace
@@ -27,20 +28,21 @@
                                                       Listener::SendResponse send_response,
                                                       Listener::CheckClient check_client) {
   const TimePoint now = Now();
-  const auto refuse = [&send_response](RequestError error) {
+  const auto reject = [&send_response](RequestError error) {
     send_response(BadRequestResponse(error), nullptr);
     return nullptr;
   };
   RemoveHopByHop(message);
-  const auto verdict = validator_.Validate(message, body ? BodyDelivery::kStreamed : BodyDelivery::kComplete);
-  if (const auto* error = std::get_if<RequestError>(&verdict)) return refuse(*error);
-  const auto& valid = std::get<ValidRequest>(verdict);
-  if (!requests_.ReserveWireId(valid.wire_id, now)) return refuse(RequestError::kDuplicateRequestId);
+  const auto validation =
+      validator_.Validate(message, body ? BodyDelivery::kStreamed : BodyDelivery::kComplete);
+  if (const auto* error = std::get_if<RequestError>(&validation)) return reject(*error);
+  const auto& valid = std::get<ValidRequest>(validation);
+  if (!requests_.ReserveWireId(valid.wire_id, now)) return reject(RequestError::kDuplicateRequestId);
 
   lb::RequestArrived event;
   event.request = requests_.NextId();
   event.request_class = valid.request_class;
-  event.deadline = DeadlineOf(now, std::max<Duration>(valid.timeout - kClientHop, kMinTimeout));
+  event.deadline = ComputeDeadline(now, std::max<Duration>(valid.timeout - kMinClientDelay, kMinTimeout));
   event.tenant = valid.tenant;
   event.work = valid.work;
   event.client_retry = valid.client_retry;
@@ -64,14 +66,14 @@
   return [this, id] { HandleClientDisconnected(id); };
 }
 
-TimePoint RequestIntake::DeadlineOf(TimePoint complete, Duration timeout) const {
-  return std::max(complete, std::min(complete + timeout, latest_deadline_));
+TimePoint RequestIntake::ComputeDeadline(TimePoint completed_at, Duration timeout) const {
+  return std::max(completed_at, std::min(completed_at + timeout, latest_deadline_));
 }
 
 void RequestIntake::HandleBodySent(RequestId id) {
   InFlightRequest* request = requests_.Find(id);
   if (!request || !request->AwaitsResponse()) return;
-  request->deadline = DeadlineOf(*request->body->sent_at(), request->timeout);
+  request->deadline = ComputeDeadline(*request->body->sent_at(), request->timeout);
   host_.Deliver(lb::RequestCompleted{id, request->deadline});
 }
 
--- a/sidecar/request_intake.h
+++ b/sidecar/request_intake.h
@@ -1,6 +1,6 @@
-// Takes requests from the listener to the balancer: validates them, works out their deadline, and tells the
-// balancer when a streamed body is complete or a client disconnects. Gives the responses that the balancer
-// decides on without an upstream.
+// Passes requests from the listener to the balancer: validates them, computes their deadlines, and notifies
+// the balancer when a streamed body is complete or a client disconnects. Also sends the responses that the
+// balancer decides on without an upstream.
 #pragma once
 
 #include "balancer/balancer.h"
@@ -16,25 +16,26 @@
 
 class RequestIntake {
  public:
-  // All have to outlive the intake.
+  // All parameters have to outlive the intake.
   RequestIntake(const Settings& settings, BalancerHost& host, RequestTable& requests,
                 AttemptLauncher& launcher);
 
-  // As Listener::OnRequest. `body`: of a streamed request, else null.
+  // Handles one request, as specified for OnRequest in request_handler.h. `body`: of a streamed request,
+  // otherwise null.
   Listener::OnDisconnected AcceptRequest(HttpRequest message, Body body, Listener::SendResponse send_response,
                                          Listener::CheckClient check_client);
 
   void RejectRequest(const lb::RejectRequest& action);
   void FailRequest(const lb::FailRequest& action);
 
-  // No request that is complete from now on gets a later deadline.
+  // From now on no request gets a deadline later than `latest`; deadlines that are already set stay.
   void LimitDeadlines(TimePoint latest) { latest_deadline_ = latest; }
 
  private:
-  // When a request that was complete at `complete` has to have its response: within `timeout`, and by the
-  // limit on deadlines. At `complete` itself where that has passed.
-  TimePoint DeadlineOf(TimePoint complete, Duration timeout) const;
-  // The last byte of a streamed request has been sent to its upstream.
+  // Returns the deadline for the response to a request that was complete at `completed_at`: `timeout` later,
+  // but not after the limit on deadlines, and never before `completed_at`.
+  TimePoint ComputeDeadline(TimePoint completed_at, Duration timeout) const;
+  // The client has sent the last byte of a streamed request; its deadline runs from then.
   void HandleBodySent(RequestId id);
   void HandleClientDisconnected(RequestId id);
 
--- a/sidecar/request_validation.cpp
+++ b/sidecar/request_validation.cpp
@@ -11,7 +11,7 @@
 using boost::beast::string_view;
 using std::chrono::milliseconds;
 
-// The one value of a header; nothing where it is missing or given twice.
+// Returns the value of a header; nothing if the header is missing or repeated.
 std::optional<string_view> SingleValue(const HttpRequest& request, string_view name) {
   const auto range = request.equal_range(name);
   if (range.first == range.second || std::next(range.first) != range.second) return std::nullopt;
@@ -26,7 +26,8 @@
   return !id.empty() && id.size() <= RequestValidator::kMaxRequestIdLength && IsVisibleAscii(id);
 }
 
-// A request whose method contradicts its class could be repeated though its class forbids that.
+// Whether the method, the body and Idempotency-Key match the idempotency of the class. If they did not, a
+// request could be repeated although its class forbids that.
 bool MatchesIdempotency(const HttpRequest& request, BodyDelivery body, Idempotency idempotency) {
   if (idempotency == Idempotency::kIdempotent) {
     return request.method() == http::verb::get && request.body().empty() && body == BodyDelivery::kComplete;
@@ -91,7 +92,7 @@
   const auto timeout_text = SingleValue(request, "X-Timeout-Ms");
   const auto timeout_ms = timeout_text ? ParseNumber(*timeout_text) : std::nullopt;
   if (!timeout_ms || *timeout_ms == 0 ||
-      milliseconds(*timeout_ms) > kMaxDeadlines * class_settings.deadline) {
+      milliseconds(*timeout_ms) > kMaxTimeoutInDeadlines * class_settings.deadline) {
     return RequestError::kBadTimeout;
   }
 
--- a/sidecar/request_validation.h
+++ b/sidecar/request_validation.h
@@ -1,5 +1,5 @@
-// What makes a request of this protocol (PROTOCOL): its class, method, Idempotency-Key, X-Request-ID and
-// X-Timeout-Ms. No sockets and no state: the same request and settings give the same verdict.
+// Checks whether a request conforms to the client protocol (PROTOCOL): its class, method, Idempotency-Key,
+// X-Request-ID and X-Timeout-Ms. Stateless: the result depends on the request and the settings only.
 #pragma once
 
 #include <chrono>
@@ -17,41 +17,42 @@
 namespace lb::sidecar {
 
 enum class RequestError {
-  kBadTarget,           // characters that are not visible ASCII
-  kUnknownClass,        // the first part of the path names no class of the settings
-  kMethodMismatch,      // method, body or Idempotency-Key contradict the class
-  kBadRequestId,        // X-Request-ID is missing, given twice, too long or not visible ASCII
-  kBadTimeout,          // X-Timeout-Ms likewise, or no whole number of milliseconds within bounds
-  kDuplicateRequestId,  // another request has this X-Request-ID
+  kBadTarget,       // contains characters that are not visible ASCII
+  kUnknownClass,    // the first segment of the path is not a class of the settings
+  kMethodMismatch,  // method, body or Idempotency-Key do not match the class
+  kBadRequestId,    // X-Request-ID is missing, repeated, too long or not visible ASCII
+  kBadTimeout,      // X-Timeout-Ms is missing, repeated, or not a whole number of milliseconds within bounds
+  kDuplicateRequestId,  // another request uses this X-Request-ID
 };
 
-// The text of the 400 that the client gets.
+// The body of the 400 response.
 std::string_view ToString(RequestError error);
 
-// Whether all of the request's body is in the message, or the rest of it is streamed.
+// Whether the message contains the whole body of the request, or the body is streamed.
 enum class BodyDelivery { kComplete, kStreamed };
 
-// What the headers of a request of this protocol say.
+// The values of a valid request's target and headers.
 struct ValidRequest {
   ClassId request_class{};
   std::string wire_id;                  // X-Request-ID
-  std::chrono::milliseconds timeout{};  // X-Timeout-Ms, as the client gives it
-  std::optional<TenantId> tenant;       // X-Tenant-Id, of a tenant that the settings name
-  std::optional<Duration> work;         // X-Cost
-  bool client_retry = false;            // X-Retried
+  std::chrono::milliseconds timeout{};  // X-Timeout-Ms, unchanged
+  std::optional<TenantId> tenant;       // X-Tenant-Id; empty if missing or not a tenant of the settings
+  std::optional<Duration> work;         // X-Cost; empty if missing or not a number
+  bool client_retry = false;            // X-Retried is "1"
 };
 
 class RequestValidator {
  public:
-  // A client that says it waits for longer than this many deadlines of its class is in error.
-  static constexpr int kMaxDeadlines = 2;
-  // Bounds X-Request-ID and Idempotency-Key, in bytes.
+  // The largest X-Timeout-Ms that is accepted, as a multiple of the deadline of the request's class.
+  static constexpr int kMaxTimeoutInDeadlines = 2;
+  // The largest length of X-Request-ID and Idempotency-Key, in bytes.
   static constexpr std::size_t kMaxRequestIdLength = 128;
 
   // `settings` has to outlive the validator.
   explicit RequestValidator(const Settings& settings);
 
-  // `request`: without its hop-by-hop headers, as `Connection` may name one that is checked here.
+  // Returns the values of a valid request, or the first error found. The hop-by-hop headers of `request` have
+  // to be removed before, as `Connection` may name a header that is checked here.
   std::variant<ValidRequest, RequestError> Validate(const HttpRequest& request, BodyDelivery body) const;
 
  private:
--- a/sidecar/response_writer.cpp
+++ b/sidecar/response_writer.cpp
@@ -17,10 +17,10 @@
 
 constexpr string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
 constexpr string_view kProcessing = "HTTP/1.1 102 Processing\r\n\r\n";
-// What each response to an HTTP/1.0 client begins with.
+// The start of every response to an HTTP/1.0 client.
 constexpr string_view kStatusLineStart = "HTTP/1.0 ";
-// Bounds the kernel's send buffer, in bytes. With the default, several megabytes to a stalled reader look
-// delivered.
+// The size of the kernel's send buffer, in bytes. With the default, several megabytes of a response to a
+// stalled reader would count as delivered.
 constexpr int kStreamSendBuffer = 64 * 1024;
 
 }  // namespace
@@ -42,24 +42,24 @@
 
 void ResponseWriter::WriteContinue() {
   const std::size_t written = WriteNow(kContinue).value_or(kContinue.size());
-  owed_interim_ = std::string(kContinue.substr(written));
+  pending_interim_ = std::string(kContinue.substr(written));
 }
 
 bool ResponseWriter::WriteProbe() {
   const bool has_interim = version_ >= 11;
-  const string_view probe = has_interim ? kProcessing : kStatusLineStart.substr(sent_ahead_, 1);
+  const string_view probe = has_interim ? kProcessing : kStatusLineStart.substr(status_line_bytes_sent_, 1);
   const auto written = WriteNow(probe);
   if (!written) return false;
   if (!has_interim) {
-    sent_ahead_ += *written;
+    status_line_bytes_sent_ += *written;
   } else if (*written > 0) {
-    owed_interim_ = std::string(probe.substr(*written));
+    pending_interim_ = std::string(probe.substr(*written));
   }
   return true;
 }
 
 bool ResponseWriter::CanWriteProbe() const {
-  return version_ >= 11 ? owed_interim_.empty() : sent_ahead_ < kStatusLineStart.size();
+  return version_ >= 11 ? pending_interim_.empty() : status_line_bytes_sent_ < kStatusLineStart.size();
 }
 
 bool ResponseWriter::IsDelimited(const BodyStream& body) const { return body.length() || version_ >= 11; }
@@ -70,8 +70,8 @@
   response_.keep_alive(keep_alive);
   response_.prepare_payload();
   serializer_.emplace(response_);
-  // May come first: a close of the connection, which abandons the response.
-  AfterInterim([this] {
+  // A close of the connection before the write completes abandons the response.
+  WriteAfterInterim([this] {
     http::async_write(stream_, *serializer_,
                       [this, owner = owner_.lock()](error_code error, std::size_t) { HandleWritten(error); });
   });
@@ -86,8 +86,8 @@
   if (body_->length()) response_.content_length(body_->length());
   error_code ignored;
   socket_.set_option(boost::asio::socket_base::send_buffer_size(kStreamSendBuffer), ignored);
-  // May come at any time while there is a body: during a write, which then goes on by itself, and after the
-  // connection was closed, which has taken the body away.
+  // Called at any time while there is a body: also during a write, whose completion then continues with the
+  // new data, and after the connection was closed, when `body_` is null.
   body_->on_data = [this, weak = owner_] {
     const auto owner = weak.lock();
     if (owner && body_ && !writing_piece_) WritePiece();
@@ -96,8 +96,9 @@
   serializer_->split(true);
   writing_piece_ = true;
   piece_began_at_ = Now();
-  // May come first: more of the body, its end or its abort, which are seen once the head is written; a close.
-  AfterInterim([this] {
+  // While the head is being written, more of the body, its end or its abort may arrive; they are handled when
+  // the write completes. The connection may also be closed.
+  WriteAfterInterim([this] {
     http::async_write_header(
         stream_, *serializer_,
         [this, owner = owner_.lock()](error_code error, std::size_t) { ContinueStream(error); });
@@ -108,33 +109,34 @@
   abandoned_ = true;
   if (!body_) return;
   body_->on_data = nullptr;
-  const Body left = std::move(body_);
+  const Body abandoned_body = std::move(body_);
   body_ = nullptr;
-  left->AbandonByReader();
+  abandoned_body->AbandonByReader();
 }
 
-// The rest of an interim response goes ahead of the response, and the response's own first bytes may have
-// gone out as probes.
-void ResponseWriter::AfterInterim(std::function<void()> write) {
-  SkipBytesSentAhead();
-  if (owed_interim_.empty()) return write();
-  // May come first: a close of the connection, or events of the body, which wait for the response's head.
+// Calls `write` after the rest of a pending interim response was sent. Bytes of the response that were
+// already sent as probes are skipped.
+void ResponseWriter::WriteAfterInterim(std::function<void()> write) {
+  SkipSentStatusLineBytes();
+  if (pending_interim_.empty()) return write();
+  // Before the write completes, the connection may be closed, and events of the body may arrive; these are
+  // handled after the response's head was written.
   boost::asio::async_write(
-      stream_, boost::asio::buffer(owed_interim_),
+      stream_, boost::asio::buffer(pending_interim_),
       [this, owner = owner_.lock(), write = std::move(write)](error_code error, std::size_t) {
         if (abandoned_) return;
         if (error) return Finish(Outcome::kConnectionBroken);
-        owed_interim_.clear();
+        pending_interim_.clear();
         write();
       });
 }
 
-void ResponseWriter::SkipBytesSentAhead() {
-  if (sent_ahead_ == 0) return;
+void ResponseWriter::SkipSentStatusLineBytes() {
+  if (status_line_bytes_sent_ == 0) return;
   error_code ignored;
   serializer_->next(ignored, [](error_code&, const auto&) {});
-  serializer_->consume(sent_ahead_);
-  sent_ahead_ = 0;
+  serializer_->consume(status_line_bytes_sent_);
+  status_line_bytes_sent_ = 0;
 }
 
 void ResponseWriter::ContinueStream(error_code error) {
@@ -148,11 +150,11 @@
   if (body_->broken()) return Finish(Outcome::kBodyAborted);
   if (body_->ended()) return WriteEnd();
   piece_ = body_->Read();
-  if (piece_.empty()) return;  // on_data tells of more
+  if (piece_.empty()) return;  // on_data is called when there is more
   writing_piece_ = true;
   piece_began_at_ = Now();
-  // May come first: more of the body, its end or its abort, which are seen once this piece is written; a
-  // close.
+  // While this piece is being written, more of the body, its end or its abort may arrive; they are handled
+  // when the write completes. The connection may also be closed.
   const auto written = [this, owner = owner_.lock()](error_code error, std::size_t) {
     ContinueStream(error);
   };
@@ -165,7 +167,7 @@
   if (!IsChunked()) return Finish(Outcome::kWritten);
   writing_piece_ = true;
   piece_began_at_ = Now();
-  // May come first: a close of the connection.
+  // The connection may be closed before the write completes.
   boost::asio::async_write(
       stream_, http::make_chunk_last(),
       [this, owner = owner_.lock()](error_code error, std::size_t) { HandleWritten(error); });
@@ -176,7 +178,7 @@
   Finish(error ? Outcome::kConnectionBroken : Outcome::kWritten);
 }
 
-// Whatever broke leaves the body to Abandon(), which the close of the connection calls.
+// On a failure the body is kept: the close of the connection calls Abandon(), which abandons it.
 void ResponseWriter::Finish(Outcome outcome) {
   if (outcome == Outcome::kWritten) {
     if (body_) body_->on_data = nullptr;
--- a/sidecar/response_writer.h
+++ b/sidecar/response_writer.h
@@ -1,4 +1,4 @@
-// Writes what a client is sent: interim responses, then one response a request, whole or streamed.
+// Writes to a client: interim responses and, for each request, one response, whole or streamed.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -24,54 +24,59 @@
   enum class Outcome {
     kWritten,
     kConnectionBroken,
-    kBodyAborted,  // the streamed body broke off: the client must not take what it has for the whole response
+    kBodyAborted,  // the streamed body was aborted; the client must not take the part sent for the whole
+                   // response
   };
   using OnFinished = std::function<void(Outcome)>;
 
-  // `socket` is open, not blocking and outlives the writer. `on_finished` is called once a response, perhaps
-  // before the call that begins it returns, and not after Abandon().
+  // `socket` is open and non-blocking, and has to outlive the writer. `on_finished` is called once for each
+  // response, possibly before the call that starts it returns, but not after Abandon().
   ResponseWriter(Socket& socket, OnFinished on_finished);
 
-  // Each pending write owns `owner`, which owns the writer and the socket.
+  // Sets the object that owns the writer and the socket. Each pending write shares its ownership.
   void SetOwner(std::weak_ptr<void> owner) { owner_ = std::move(owner); }
 
-  // Of the request that is answered: 10 or 11.
+  // The HTTP version of the request that is answered: 10 or 11.
   void set_version(unsigned version) { version_ = version; }
   unsigned version() const { return version_; }
 
   // ---- Interim responses, while no response is being written ----
 
-  // Writes what the kernel takes at once. The number of bytes; none where the connection is broken.
+  // Writes as much of `text` as the kernel accepts at once. Returns the number of bytes written, or nothing
+  // if the connection is broken.
   std::optional<std::size_t> WriteNow(boost::beast::string_view text);
-  // "100 Continue". What the kernel does not take is sent ahead of the response.
+  // Sends "100 Continue". Bytes that the kernel does not accept at once are sent before the response.
   void WriteContinue();
-  // Bytes that a client which has closed answers with a reset, and one that waits for its response ignores:
-  // "102 Processing", or, as HTTP/1.0 knows no interim responses, the next byte that each response to it
-  // begins with. False where the connection is broken.
+  // Sends bytes that a client ignores if it waits for its response, and answers with a reset if it has
+  // closed: "102 Processing" or, as HTTP/1.0 has no interim responses, the next byte of "HTTP/1.0 ", the
+  // start of every response to such a client. Returns false if the connection is broken.
   [[nodiscard]] bool WriteProbe();
-  // Bounds the probes: few clients bear many interim responses, and an HTTP/1.0 status line begins in one way
-  // only up to its version's end.
+  // Whether another probe may be sent. The number of probes is limited: an interim response has to be written
+  // in full before the next one, as few clients accept many of them, and an HTTP/1.0 client can only be sent
+  // the part of the status line that is the same in all responses.
   bool CanWriteProbe() const;
 
   // ---- The response ----
 
-  // Can the client tell where a streamed response ends, other than by the end of the connection?
+  // Whether the client can recognize the end of a streamed response without the connection being closed.
   bool IsDelimited(const BodyStream& body) const;
   void WriteWhole(HttpResponse response, bool keep_alive);
   void WriteStreamed(HttpResponse head, Body body, bool keep_alive);
-  // The connection is closed: leaves a streamed body to its writer. Pending writes end without a call.
+  // To be called when the connection is closed: abandons a streamed body as its reader. Pending writes then
+  // end without calling `on_finished`.
   void Abandon();
 
   bool IsStreaming() const { return body_ != nullptr; }
-  // A piece of a streamed response was handed to the kernel at `piece_began_at()` and is not taken yet.
+  // Whether a piece of a streamed response, or its head or end, was passed to the kernel at
+  // `piece_began_at()` and not all of it was accepted yet.
   bool IsPieceBeingWritten() const { return writing_piece_; }
   TimePoint piece_began_at() const { return piece_began_at_; }
   std::size_t whole_body_size() const { return response_.body().size(); }
 
  private:
   bool IsChunked() const { return !body_->length() && version_ >= 11; }
-  void AfterInterim(std::function<void()> write);
-  void SkipBytesSentAhead();
+  void WriteAfterInterim(std::function<void()> write);
+  void SkipSentStatusLineBytes();
   void ContinueStream(boost::system::error_code error);
   void WritePiece();
   void WriteEnd();
@@ -83,12 +88,12 @@
   const OnFinished on_finished_;
   std::weak_ptr<void> owner_;
   unsigned version_ = 11;
-  std::string owed_interim_;    // the rest of an interim response, due ahead of the response
-  std::size_t sent_ahead_ = 0;  // bytes of a response to an HTTP/1.0 client that went out as probes
+  std::string pending_interim_;             // rest of an interim response, to be sent before the response
+  std::size_t status_line_bytes_sent_ = 0;  // to an HTTP/1.0 client, as probes
   HttpResponse response_;
   std::optional<http::response_serializer<http::string_body>> serializer_;
-  Body body_;          // of a streamed response
-  std::string piece_;  // of `body_`, being written
+  Body body_;          // the body of a streamed response
+  std::string piece_;  // the part of `body_` that is being written
   bool writing_piece_ = false;
   TimePoint piece_began_at_;
   bool abandoned_ = false;
--- a/tests/accept_faults_test.cpp
+++ b/tests/accept_faults_test.cpp
@@ -1,4 +1,4 @@
-// accept() that fails, in the real program: the fault is forced by a preloaded library (fault_injection.h).
+// Failures of accept() in the real program. A preloaded library forces the errors (fault_injection.h).
 #include <cerrno>
 #include <chrono>
 #include <csignal>
@@ -13,44 +13,45 @@
 
 using std::chrono::milliseconds;
 
-// The program takes new connections for 0.8 s after SIGTERM, and for 0.5 s more where accepting fails just
-// then.
-constexpr auto kPastDrainAccepting = milliseconds(950);
+// After SIGTERM the program accepts connections for 0.8 s, and for 0.5 s more if accepting fails at that
+// moment. This lies between the two.
+constexpr auto kPastAcceptWhileStopping = milliseconds(950);
 
-struct AcceptRow {
+struct AcceptCase {
   int error;
-  bool loses;  // the connection that waited, as Linux has it
+  bool loses_connection;  // whether the waiting connection is lost, as on Linux
 };
 
-std::string AcceptName(const ::testing::TestParamInfo<AcceptRow>& row) {
+std::string AcceptName(const ::testing::TestParamInfo<AcceptCase>& row) {
   return ::strerrorname_np(row.param.error);
 }
 
-class FailingAccept : public SystemCallFaults, public ::testing::WithParamInterface<AcceptRow> {
+class FailingAccept : public SystemCallFaults, public ::testing::WithParamInterface<AcceptCase> {
  protected:
   Fault AcceptFault(std::uint16_t port, int times = -1) const {
     return {.call = SystemCall::kAccept,
             .error = GetParam().error,
-            .loses_connection = GetParam().loses,
+            .loses_connection = GetParam().loses_connection,
             .times = times,
             .on = Descriptor::kListening,
             .port = port};
   }
 };
 
-// Once: requests on open connections are answered at once, and so is who connects next, at either door.
+// A single failure: requests on open connections are answered without delay, and so is the next client to
+// connect, both to the client port and to the admin port.
 TEST_P(FailingAccept, OnceDelaysNoRequest) {
   Start();
   for (const std::uint16_t port : {sidecar_->admin_port(), sidecar_->port()}) {
     const auto fault = faults_.Force(AcceptFault(port, 1));
-    Client unlucky(port);
+    Client delayed(port);
     ASSERT_TRUE(faults_.WaitUntilForced(fault));
-    // One that rests may be closed where this process itself has no descriptor left.
+    // An idle connection may be closed if this process itself has no descriptor left.
     if (GetParam().error != EMFILE) {
       EXPECT_EQ(Ask(*client_, "open" + std::to_string(port)), 200u);
     }
-    if (!GetParam().loses && port == sidecar_->port()) {
-      EXPECT_EQ(Ask(unlucky, "waited"), 200u);
+    if (!GetParam().loses_connection && port == sidecar_->port()) {
+      EXPECT_EQ(Ask(delayed, "waited"), 200u);
     }
   }
   Client next(sidecar_->port());
@@ -58,13 +59,14 @@
   EXPECT_NE(sidecar_->Status("GET", "/ready"), 0u);
 }
 
-// For a while: what is open is served, what waits is served behind it, and no core is spent on trying again.
+// A lasting failure: open connections are served, waiting ones are served after it, and retrying accept()
+// does not busy a CPU core.
 TEST_P(FailingAccept, ForAWhileDelaysOnlyNewConnections) {
   Start();
-  Fault lasting = AcceptFault(sidecar_->port());
-  lasting.loses_connection = false;
-  const auto fault = faults_.Force(lasting);
-  Client waits(sidecar_->port());
+  Fault persistent = AcceptFault(sidecar_->port());
+  persistent.loses_connection = false;
+  const auto fault = faults_.Force(persistent);
+  Client waiting_client(sidecar_->port());
   for (int i = 1; i <= 8; ++i) {
     ASSERT_TRUE(faults_.WaitUntilForced(fault, i));
     if (GetParam().error != EMFILE) {
@@ -72,11 +74,11 @@
     }
   }
   faults_.Stop(fault);
-  EXPECT_EQ(Ask(waits, "waits"), 200u);
+  EXPECT_EQ(Ask(waiting_client, "waits"), 200u);
   EXPECT_LT(faults_.forced(fault), 1000);
 }
 
-// A shortage is no reason to close what has something to say or to hear.
+// Running out of descriptors must not close a connection that is in use.
 TEST_P(FailingAccept, ClosesNoConnectionInUse) {
   Gate gate;
   Start(1, [&gate](Wire& wire, const Request& request, int) {
@@ -85,10 +87,10 @@
   });
   ASSERT_TRUE(client_->Send(GetText("/page/held", "held", kDeadlineMs)));
   ASSERT_TRUE(Eventually([this] { return upstreams_[0]->requests().size() == 2; }));
-  Fault lasting = AcceptFault(sidecar_->port());
-  lasting.loses_connection = false;
-  const auto fault = faults_.Force(lasting);
-  Client waits(sidecar_->port());
+  Fault persistent = AcceptFault(sidecar_->port());
+  persistent.loses_connection = false;
+  const auto fault = faults_.Force(persistent);
+  Client waiting_client(sidecar_->port());
   ASSERT_TRUE(faults_.WaitUntilForced(fault, 4));
   gate.Open();
   const auto answer = AnswerAtOnce(*client_);
@@ -96,7 +98,8 @@
   EXPECT_EQ(answer->result_int(), 200u);
 }
 
-// The last look into the backlog meets it once: the rest of it is taken all the same, and the stop ends.
+// The error occurs once, while the backlog is emptied at the end of the stop: the rest of the backlog is
+// still accepted, and the stop ends.
 TEST_P(FailingAccept, OnceDoesNotDelayShutdown) {
   Start();
   Fault once = AcceptFault(sidecar_->port(), 1);
@@ -107,40 +110,40 @@
   EXPECT_EQ(sidecar_->Wait(), 0);
 }
 
-// It lasts into the moment in which the backlog is emptied: what waits there is served once it is over.
+// The error persists until the backlog is emptied: connections in the backlog are served once it is over.
 TEST_P(FailingAccept, DuringShutdownExtendsAccepting) {
   Start();
-  Fault lasting = AcceptFault(sidecar_->port());
-  lasting.loses_connection = false;
-  lasting.lasting = kPastDrainAccepting;
-  const auto fault = faults_.Force(lasting);
-  Client waits(sidecar_->port());
-  ASSERT_TRUE(waits.Send(GetText("/page/waits", "waits", kDeadlineMs)));
+  Fault persistent = AcceptFault(sidecar_->port());
+  persistent.loses_connection = false;
+  persistent.lasting = kPastAcceptWhileStopping;
+  const auto fault = faults_.Force(persistent);
+  Client waiting_client(sidecar_->port());
+  ASSERT_TRUE(waiting_client.Send(GetText("/page/waits", "waits", kDeadlineMs)));
   sidecar_->Signal(SIGTERM);
   ASSERT_TRUE(faults_.WaitUntilForced(fault, 2));
-  const auto answer = AnswerAtOnce(waits);
+  const auto answer = AnswerAtOnce(waiting_client);
   ASSERT_TRUE(answer.has_value());
   EXPECT_EQ(answer->result_int(), 200u);
   EXPECT_EQ(sidecar_->Wait(), 0);
 }
 
-// One that never ends does not keep the process.
+// An error that never ends does not keep the process running.
 TEST_P(FailingAccept, ForeverDoesNotPreventShutdown) {
   Start();
-  Fault lasting = AcceptFault(sidecar_->port());
-  lasting.loses_connection = false;
-  faults_.Force(lasting);
-  Client waits(sidecar_->port());
+  Fault persistent = AcceptFault(sidecar_->port());
+  persistent.loses_connection = false;
+  faults_.Force(persistent);
+  Client waiting_client(sidecar_->port());
   sidecar_->Signal(SIGTERM);
   EXPECT_EQ(sidecar_->Wait(), 0);
 }
 
 INSTANTIATE_TEST_SUITE_P(Errors, FailingAccept,
-                         ::testing::Values(AcceptRow{ECONNABORTED, true}, AcceptRow{EPROTO, true},
-                                           AcceptRow{ENETDOWN, true}, AcceptRow{EPERM, true},
-                                           AcceptRow{EHOSTUNREACH, true}, AcceptRow{EINTR, false},
-                                           AcceptRow{EMFILE, false}, AcceptRow{ENFILE, false},
-                                           AcceptRow{ENOBUFS, false}, AcceptRow{ENOMEM, false}),
+                         ::testing::Values(AcceptCase{ECONNABORTED, true}, AcceptCase{EPROTO, true},
+                                           AcceptCase{ENETDOWN, true}, AcceptCase{EPERM, true},
+                                           AcceptCase{EHOSTUNREACH, true}, AcceptCase{EINTR, false},
+                                           AcceptCase{EMFILE, false}, AcceptCase{ENFILE, false},
+                                           AcceptCase{ENOBUFS, false}, AcceptCase{ENOMEM, false}),
                          AcceptName);
 
 }  // namespace
--- a/tests/client_connection_test.cpp
+++ b/tests/client_connection_test.cpp
@@ -1,5 +1,5 @@
-// What a client's connection goes through besides its requests: half-close, close, eviction and a planned
-// stop. The real program between scripted peers.
+// Events of a client connection other than its requests: half-close, close, eviction and a planned stop. Runs
+// the real program between scripted peers.
 #include <sys/resource.h>
 
 #include <array>
@@ -31,9 +31,9 @@
 
 // ---- Half-close ----
 
-// The connection to the upstream comes up after the client has ended its sending: the sidecar meets the
-// half-close while the rest of the body waits for capacity in the sidecar, in the system's buffer, or still
-// at the client.
+// The connection to the upstream is established after the client has ended its sending. The sidecar has to
+// handle the half-close while the rest of the body is waiting: for capacity in the sidecar, in the kernel's
+// buffer, or still at the client.
 TEST(ClientHalfClose, BehindABufferedBodyIsServed) {
   json settings = Settings();
   settings["Limits"]["ConnectTimeout"] = 15000000;
@@ -44,7 +44,7 @@
     Client client(sidecar.port());
     ASSERT_TRUE(client.Send(PostText("/submit/k", "a1", std::string(size, 'x'), 15000)));
     ShutDownSending(client);
-    if (size < 200000U) {  // the half-close probe: the sidecar met the half-close
+    if (size < 200000U) {  // the half-close probe: the sidecar has read the half-close
       const auto interim = client.Read();
       ASSERT_TRUE(interim) << size;
       ASSERT_EQ(interim->result_int(), 102U) << size;
@@ -60,7 +60,7 @@
   }
 }
 
-// The body will never be complete: the sidecar must not respond as if it were.
+// The body will never be complete, so the sidecar must not respond as if it were.
 TEST(ClientHalfClose, InTheMiddleOfABodyEndsTheConnection) {
   Upstream upstream(Upstream::Echo("u"));
   SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
@@ -79,7 +79,7 @@
   return text.replace(text.find("HTTP/1.1\r\n"), 10, "HTTP/1.0\r\n" + headers);
 }
 
-// What comes until the end of the connection.
+// Returns all bytes until the connection ends.
 std::string ReadToEnd(Client& client) {
   std::string bytes;
   std::array<char, 4096> piece{};
@@ -90,8 +90,8 @@
   return bytes;
 }
 
-// While an attempt is in flight, while a retry is due, with a streamed response, and with a half-close that
-// is there already when the request is read.
+// Cases: an attempt in flight, a pending retry, a streamed response, and a half-close that has already
+// arrived when the request is read.
 TEST(Http10Client, IsServedAfterAHalfClose) {
   const std::string large(200000, 'x');
   GatedUpstream upstream([&](Wire& wire, const Request& request, int number) {
@@ -116,10 +116,10 @@
     ASSERT_TRUE(client.Send(ToHttp10(GetText("/page/retried", "a0", 15000))));
     upstream.WaitForHeldRequest();
     ShutDownSending(client);
-    char begin = 0;  // the half-close probe of HTTP/1.0: the response's first byte
-    boost::asio::read(client.wire.socket, boost::asio::buffer(&begin, 1));
+    char first_byte = 0;  // the half-close probe of HTTP/1.0: the response's first byte
+    boost::asio::read(client.wire.socket, boost::asio::buffer(&first_byte, 1));
     upstream.Release();
-    EXPECT_EQ(body(begin + ReadToEnd(client)), "small");
+    EXPECT_EQ(body(first_byte + ReadToEnd(client)), "small");
   }
   const std::vector<std::pair<std::string, std::string>> cases = {
       {"/page/small", "small"}, {"/page/large", large}, {"/page/endless", large}};
@@ -133,22 +133,22 @@
     EXPECT_EQ(body(ReadToEnd(client)), expected) << target;
   }
   Client client(sidecar.port());
-  const std::string kept = "Connection: keep-alive\r\n";
-  ASSERT_TRUE(
-      client.Send(ToHttp10(GetText("/page/1", "c1"), kept) + ToHttp10(GetText("/page/2", "c2"), kept)));
+  const std::string keep_alive = "Connection: keep-alive\r\n";
+  ASSERT_TRUE(client.Send(ToHttp10(GetText("/page/1", "c1"), keep_alive) +
+                          ToHttp10(GetText("/page/2", "c2"), keep_alive)));
   ShutDownSending(client);
   const std::string both = ReadToEnd(client);
   EXPECT_EQ(both.find("HTTP/1.0 200"), 0U);
   EXPECT_NE(both.find("HTTP/1.0 200", 1), std::string::npos) << both;
 }
 
-// A client that has closed is not taken for one that waits: no attempt begins for it.
+// A client that has closed must not be taken for one that waits: no attempt begins for it.
 TEST(Http10Client, StartsNoRetryAfterItDisconnects) {
-  Gate asked;
+  Gate request_received;
   std::promise<bool> ended;
   Upstream upstream([&](Wire& wire, const Request& request, int number) {
     if (number > 0) return void(wire.Answer(200, std::string(request.target())));
-    asked.Open();
+    request_received.Open();
     ended.set_value(wire.ReadsEnd());
   });
   SidecarProcess sidecar(With(List({Target("u1", upstream.address()), Target("u2", upstream.address())})));
@@ -156,7 +156,7 @@
   {
     Client client(sidecar.port());
     ASSERT_TRUE(client.Send(ToHttp10(GetText("/page/left", "a1", 15000))));
-    asked.Pass();
+    request_received.Pass();
   }
   EXPECT_TRUE(ended.get_future().get());
   Client other(sidecar.port());
@@ -164,8 +164,8 @@
   EXPECT_EQ(upstream.requests().size(), 2U);
 }
 
-// Reads, polls and writes on its connection that fail for the moment, or transfer a byte at a time, neither
-// end it nor damage its response.
+// System calls on the client's connection (read, poll, write) that fail temporarily, or transfer one byte at
+// a time, neither end the connection nor damage the response.
 TEST(ClientHalfClose, IsHandledDespiteFailingSystemCalls) {
   const auto on = Descriptor::kAccepted;
   const std::vector<Fault> faults = {{.call = SystemCall::kRead, .error = EINTR, .times = 3, .on = on},
@@ -177,7 +177,7 @@
                                      {.call = SystemCall::kRead, .at_most = 1, .times = 3, .on = on}};
   for (const Fault& fault : faults) {
     for (const bool is_http10 : {false, true}) {
-      const std::string what =
+      const std::string fault_name =
           std::to_string(static_cast<int>(fault.call)) + " " + std::to_string(fault.error);
       GatedUpstream upstream;
       FaultInjector injector;
@@ -191,19 +191,19 @@
       ASSERT_TRUE(client.Send(is_http10 ? ToHttp10(request) : request));
       upstream.WaitForHeldRequest();
       ShutDownSending(client);
-      char begin = 0;
-      boost::asio::read(client.wire.socket, boost::asio::buffer(&begin, 1));
+      char first_byte = 0;
+      boost::asio::read(client.wire.socket, boost::asio::buffer(&first_byte, 1));
       upstream.Release();
-      const std::string bytes = begin + ReadToEnd(client);
-      EXPECT_NE(bytes.find(" 200 x\r\n"), std::string::npos) << what << bytes;
-      EXPECT_TRUE(bytes.ends_with("\r\n\r\n/page/k")) << what << bytes;
-      EXPECT_GT(injector.forced(forced), 0) << what;
+      const std::string bytes = first_byte + ReadToEnd(client);
+      EXPECT_NE(bytes.find(" 200 x\r\n"), std::string::npos) << fault_name << bytes;
+      EXPECT_TRUE(bytes.ends_with("\r\n\r\n/page/k")) << fault_name << bytes;
+      EXPECT_GT(injector.forced(forced), 0) << fault_name;
     }
   }
 }
 
-// A client that half-closed and has closed since is probed again ahead of a retry. Its system does not report
-// the close until then.
+// A client that half-closed and then closed is probed again before a retry. Its kernel reports the close only
+// in reply to the probe.
 TEST(ClientHalfClose, FollowedByACloseStartsNoRetry) {
   for (const bool is_http10 : {false, true}) {
     GatedUpstream upstream([](Wire& wire, const Request& request, int number) {
@@ -219,8 +219,8 @@
       upstream.WaitForHeldRequest();
       ShutDownSending(client);
       if (is_http10) {
-        char begin = 0;
-        boost::asio::read(client.wire.socket, boost::asio::buffer(&begin, 1));
+        char first_byte = 0;
+        boost::asio::read(client.wire.socket, boost::asio::buffer(&first_byte, 1));
       } else {
         ASSERT_TRUE(client.Read());
       }
@@ -229,7 +229,7 @@
     upstream.Release();
     Client other(sidecar.port());
     ASSERT_TRUE(other.Get("/page/k", "a2"));
-    std::this_thread::sleep_for(milliseconds(100));  // for one that would still come
+    std::this_thread::sleep_for(milliseconds(100));  // in case another attempt would follow
     int attempts = 0;
     for (const auto& request : upstream.requests()) attempts += request.target() == "/page/left";
     EXPECT_EQ(attempts, 1) << (is_http10 ? "HTTP/1.0" : "HTTP/1.1");
@@ -243,19 +243,21 @@
   return response ? response->result_int() : 0;
 }
 
-// A client that stops before its first request is complete and stays connected gets an error within 3 s.
+// A client that stays connected but does not complete its first request gets an error within 3 s.
 TEST(ClientConnection, AnswersAnIncompleteRequestWith408) {
   SidecarProcess sidecar(With(json::array()));
   ASSERT_TRUE(sidecar.Listening());
   const std::string upload = PostText("/submit/k", "a1", std::string(100000, 'x'), 15000);
-  for (const std::string& begin : std::vector<std::string>{"", "\r\n", "\r", "GET /page/k HTTP/1.1\r\nX-"}) {
+  for (const std::string& request_start :
+       std::vector<std::string>{"", "\r\n", "\r", "GET /page/k HTTP/1.1\r\nX-"}) {
     Client client(sidecar.port());
-    ASSERT_TRUE(client.Send(begin));
-    EXPECT_EQ(Status(client), 408U) << begin;
+    ASSERT_TRUE(client.Send(request_start));
+    EXPECT_EQ(Status(client), 408U) << request_start;
   }
 }
 
-// A streamed body that comes a byte at a time has a time limit, too, though its upstream reads all of it.
+// A streamed body that arrives one byte at a time has a time limit too, although its upstream reads all of
+// it.
 TEST(ClientConnection, AnswersATricklingBodyWith408) {
   Peer upstream([](Wire& wire, int) { wire.ReadsEnd(); });
   SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
@@ -265,7 +267,7 @@
   std::atomic<bool> over{false};
   std::thread trickling([&] {
     for (int i = 0; i < 75 && !over && client.Send("x"); ++i) std::this_thread::sleep_for(milliseconds(200));
-    over = true;  // far longer than it is owed
+    over = true;  // 15 s: far longer than the limit
   });
   const unsigned status = Status(client);
   EXPECT_FALSE(over);
@@ -274,11 +276,11 @@
   EXPECT_EQ(status, 408U);
 }
 
-// When descriptors run out, connections of clients whose request is incomplete are evicted, each with a 503.
-// Clients whose request is complete, read or not, are served.
+// When descriptors run out, clients whose request is incomplete are evicted, each with a 503. Clients whose
+// request is complete, whether read yet or not, are served.
 TEST(ClientConnection, AnswersAnEvictedClientWith503) {
   Upstream upstream(Upstream::Echo("u"));
-  json settings = Settings();  // a busy machine may take its time to connect
+  json settings = Settings();  // connecting may be slow on a busy machine
   settings["Limits"]["ConnectTimeout"] = 15000000;
   settings["Classes"][0]["Aim"] = 15000000;
   SidecarProcess::Options options = With(List({Target("u1", upstream.address())}), settings);
@@ -299,39 +301,39 @@
     ASSERT_TRUE(response);
     EXPECT_EQ(response->result_int(), 200U) << response->body();
   }
-  int told = 0;
+  int evicted_count = 0;
   for (const auto& client : clients) {
     const unsigned status = Status(*client);
     EXPECT_TRUE(status == 503U || status == 408U) << status;
-    told += status == 503U;
+    evicted_count += status == 503U;
   }
-  EXPECT_GT(told, 0);
+  EXPECT_GT(evicted_count, 0);
 }
 
 // ---- A planned stop ----
 
-// Pipelined requests are served, whether their client has half-closed or not.
+// Pipelined requests are served whether the client has half-closed or not.
 TEST(PlannedStop, ServesPipelinedRequests) {
-  for (const bool ends : {false, true}) {
+  for (const bool half_closes : {false, true}) {
     GatedUpstream upstream;
     SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
     ASSERT_TRUE(sidecar.Listening());
-    Client resting(sidecar.port());
-    ASSERT_TRUE(resting.Send("GET /up HTTP/1.1\r\nHost: x\r\n\r\n"));
-    ASSERT_TRUE(resting.Read());
+    Client idle_client(sidecar.port());
+    ASSERT_TRUE(idle_client.Send("GET /up HTTP/1.1\r\nHost: x\r\n\r\n"));
+    ASSERT_TRUE(idle_client.Read());
     Client client(sidecar.port());
-    std::string ahead;
+    std::string requests;
     for (int i = 0; i < 3; ++i)
-      ahead += GetText("/page/" + std::to_string(i), "a" + std::to_string(i), 15000);
-    ASSERT_TRUE(client.Send(ahead));
-    if (ends) ShutDownSending(client);
+      requests += GetText("/page/" + std::to_string(i), "a" + std::to_string(i), 15000);
+    ASSERT_TRUE(client.Send(requests));
+    if (half_closes) ShutDownSending(client);
     upstream.WaitForHeldRequest();
     sidecar.Signal(SIGTERM);
-    EXPECT_TRUE(resting.wire.ReadsEnd());  // it has begun
+    EXPECT_TRUE(idle_client.wire.ReadsEnd());  // the planned stop has begun
     upstream.Release();
     for (int i = 0; i < 3; ++i) {
       const auto response = ReadFinalResponse(client);
-      ASSERT_TRUE(response) << i << (ends ? " of one that ended its sending" : "");
+      ASSERT_TRUE(response) << i << (half_closes ? " of a client that half-closed" : "");
       EXPECT_EQ(response->body(), "/page/" + std::to_string(i));
       EXPECT_EQ(response->keep_alive(), i < 2);
     }
@@ -340,7 +342,7 @@
   }
 }
 
-// A client that goes on pipelining keeps neither its connection open nor the process running.
+// A client that keeps pipelining can keep neither its connection open nor the process running.
 TEST(PlannedStop, EndsThoughAClientPipelinesWithoutEnd) {
   Upstream upstream(Upstream::Echo("u"));
   SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
@@ -360,18 +362,18 @@
   sending.join();
 }
 
-// The first request of a connection may cross its close: the client finds a response there.
+// The first request of a connection may cross the close by the sidecar: the client then finds a response.
 TEST(PlannedStop, AnswersAConnectionThatHadNoRequestWith503) {
   Upstream upstream(Upstream::Echo("u"));
   SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
   ASSERT_TRUE(sidecar.Listening());
-  Client resting(sidecar.port());
+  Client idle_client(sidecar.port());
   Client held(sidecar.port());
-  ASSERT_TRUE(held.Get("/page/k", "a1"));  // the one before it was accepted
+  ASSERT_TRUE(held.Get("/page/k", "a1"));  // `idle_client`, which connected before, was accepted
   sidecar.Signal(SIGTERM);
-  EXPECT_EQ(Status(resting), 503U);
-  ASSERT_TRUE(resting.Send(PostText("/submit/crossing", "c1", "x")));
-  EXPECT_FALSE(resting.Read());
+  EXPECT_EQ(Status(idle_client), 503U);
+  ASSERT_TRUE(idle_client.Send(PostText("/submit/crossing", "c1", "x")));
+  EXPECT_FALSE(idle_client.Read());
   EXPECT_EQ(sidecar.Wait(), 0);
   EXPECT_EQ(upstream.requests().size(), 1U);
 }
--- a/tests/client_deadline_test.cpp
+++ b/tests/client_deadline_test.cpp
@@ -1,6 +1,6 @@
-// The client's deadline as an upstream sees it (X-Timeout-Ms), and the rule that no attempt begins for a
-// client that has disconnected by the moment in which the first byte would be written. The real program
-// between scripted peers, and its parts in this process where that moment has to be forced.
+// The client's deadline as upstreams receive it (X-Timeout-Ms), and the rule that no attempt begins for a
+// client that has disconnected by the time its first byte would be written. Runs the real program between
+// scripted peers; the timing that can't be forced there is tested on the components in this process.
 #include <array>
 #include <atomic>
 #include <boost/asio/io_context.hpp>
@@ -24,12 +24,12 @@
 namespace lb::sidecar::testing {
 namespace {
 
-constexpr std::size_t kStreamCapacity = 32768;  // bytes held of a streamed body
+constexpr std::size_t kStreamCapacity = 32768;  // bytes of a streamed body that are buffered
 
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
-json PatientSettings() {
+json SettingsWithLongTimeouts() {
   json settings = Settings();
   for (auto& cls : settings["Classes"]) cls["Aim"] = 15000000;
   settings["Limits"]["ConnectTimeout"] = 15000000;
@@ -42,7 +42,7 @@
 
 int TimeoutInHeader(const Request& request) { return std::stoi(std::string(request["X-Timeout-Ms"])); }
 
-// Sends a request, and waits until the connect of its first attempt hangs at `upstream`.
+// Sends a request and waits until the connect of its first attempt is pending at `upstream`.
 void SendAndConnect(Client& client, const std::string& text, const BlackHole& upstream) {
   ASSERT_TRUE(client.Send(text));
   ASSERT_TRUE(Eventually([&] { return upstream.HasHangingConnect(); }));
@@ -50,9 +50,9 @@
 
 // ---- The timeout in a forwarded request ----
 
-// The connection comes up late; the client's deadline runs from the last byte it sent. Bodies that are
-// buffered or streamed, with and without a length, read whole by then or in part still in the system's
-// buffer.
+// The connection is established late, while the client's deadline runs from the last byte it sent. The bodies
+// are buffered or streamed, with or without a length, and read in full by then or partly still in the
+// kernel's buffer.
 TEST(UpstreamTimeout, IsReducedByTheTimeToConnect) {
   constexpr int kTimeout = 15000;
   const auto chunked = [](std::size_t size) {
@@ -66,7 +66,7 @@
   };
   for (const std::string& text : {post(10), post(80000), post(120000), chunked(70000), chunked(100000)}) {
     BlackHole late;
-    SidecarProcess sidecar(With(List({Target("u1", late.address())}), PatientSettings()));
+    SidecarProcess sidecar(With(List({Target("u1", late.address())}), SettingsWithLongTimeouts()));
     ASSERT_TRUE(sidecar.Listening());
     Client client(sidecar.port());
     ASSERT_TRUE(client.Send(text));
@@ -83,24 +83,24 @@
   }
 }
 
-// The first attempt's connection does not come up in time.
+// The connection of the first attempt is not established in time.
 TEST(UpstreamTimeout, IsReducedByTheFirstAttempt) {
   constexpr int kConnect = 400, kTimeout = 15000;
-  json settings = PatientSettings();
+  json settings = SettingsWithLongTimeouts();
   settings["Limits"]["ConnectTimeout"] = 1000 * kConnect;
   for (const std::size_t size : {10U, 80000U, 120000U}) {
-    BlackHole never;
+    BlackHole unreachable;
     Upstream upstream([](Wire& wire, const Request&, int) { wire.Answer(200, "x"); });
-    Discovery discovery(List({Target("u1", never.address())}));
-    SidecarProcess::Options options = With(List({Target("u1", never.address())}), settings);
+    Discovery discovery(List({Target("u1", unreachable.address())}));
+    SidecarProcess::Options options = With(List({Target("u1", unreachable.address())}), settings);
     options.discovery = discovery.address();
     SidecarProcess sidecar(options);
     ASSERT_TRUE(sidecar.Listening());
     Client client(sidecar.port());
     const std::string text = PostText("/submit/k", "a1", std::string(size, 'x'), kTimeout);
-    ASSERT_TRUE(Eventually([&] { return discovery.calls() > 1; }));  // it watches the list
-    ASSERT_NO_FATAL_FAILURE(SendAndConnect(client, text, never));
-    discovery.Tell(List({Target("u1", never.address()), Target("u2", upstream.address())}));
+    ASSERT_TRUE(Eventually([&] { return discovery.calls() > 1; }));  // the sidecar watches the list
+    ASSERT_NO_FATAL_FAILURE(SendAndConnect(client, text, unreachable));
+    discovery.Tell(List({Target("u1", unreachable.address()), Target("u2", upstream.address())}));
     const auto answer = client.Read();
     ASSERT_TRUE(answer);
     ASSERT_EQ(answer->result_int(), 200U);
@@ -108,27 +108,29 @@
   }
 }
 
-// A body waits for an upstream that reads nothing: the client's deadline runs all the same, and its response
-// comes long before the connection would be given up.
+// A body waits for an upstream that reads nothing. The client's deadline still runs, and the response comes
+// long before the connection would be given up.
 TEST(UpstreamTimeout, EndsARequestWhoseBodyIsNotRead) {
-  BlackHole never;
-  Peer deaf([](Wire& wire, int) { wire.ReadsEnd(); }, true);
+  BlackHole unreachable;
+  Peer silent_upstream([](Wire& wire, int) { wire.ReadsEnd(); }, true);
   Gate over;
-  Peer hung([&](Wire&, int) { over.Pass(); }, true);
+  Peer hanging_upstream([&](Wire&, int) { over.Pass(); }, true);
   struct Case {
     std::string address;
     std::size_t size;
   };
-  for (const Case& one : {Case{never.address(), 80000}, Case{never.address(), 95000},
-                          Case{never.address(), 120000}, Case{hung.address(), 30000000}}) {
-    SidecarProcess sidecar(With(List({Target("u1", one.address)}), PatientSettings()));
+  for (const Case& test_case :
+       {Case{unreachable.address(), 80000}, Case{unreachable.address(), 95000},
+        Case{unreachable.address(), 120000}, Case{hanging_upstream.address(), 30000000}}) {
+    SidecarProcess sidecar(With(List({Target("u1", test_case.address)}), SettingsWithLongTimeouts()));
     ASSERT_TRUE(sidecar.Listening());
     Client client(sidecar.port());
     const auto begun = steady_clock::now();
-    std::thread sending([&] { client.Send(PostText("/submit/k", "a1", std::string(one.size, 'x'), 500)); });
+    std::thread sending(
+        [&] { client.Send(PostText("/submit/k", "a1", std::string(test_case.size, 'x'), 500)); });
     const auto answer = client.Read();
-    EXPECT_LT(MillisecondsSince(begun), 7000) << one.size << " of " << one.address;
-    ASSERT_TRUE(answer) << one.size;
+    EXPECT_LT(MillisecondsSince(begun), 7000) << test_case.size << " of " << test_case.address;
+    ASSERT_TRUE(answer) << test_case.size;
     EXPECT_GE(answer->result_int(), 500U);
     client.wire.Reset();
     sending.join();
@@ -136,9 +138,9 @@
   over.Open();
 }
 
-// ---- Attempts for a client that has gone ----
+// ---- Attempts for a client that has disconnected ----
 
-// The result is never cached: the client disconnects right after it was found connected.
+// The result must not be cached: the client disconnects right after it was found connected.
 TEST(ClientPresence, IsCheckedEachTime) {
   boost::asio::io_context io;
   Descriptors descriptors(64);
@@ -149,10 +151,10 @@
       io, Endpoint(boost::asio::ip::make_address("127.0.0.1"), 0), false, std::nullopt, kStreamCapacity,
       descriptors, log,
       [&](const HttpRequest&, const Body&, const Listener::SendResponse&,
-          const Listener::CheckClient& look) -> Listener::OnDisconnected {
-        EXPECT_EQ(look(), Listener::ClientPresence::kConnected);
+          const Listener::CheckClient& check_client) -> Listener::OnDisconnected {
+        EXPECT_EQ(check_client(), Listener::ClientPresence::kConnected);
         client.reset();
-        EXPECT_NE(look(), Listener::ClientPresence::kConnected);
+        EXPECT_NE(check_client(), Listener::ClientPresence::kConnected);
         asked = true;
         return nullptr;
       },
@@ -163,8 +165,8 @@
   while (!asked) io.run_one();
 }
 
-// On a new connection as on an idle one, the client's presence is checked right before the first byte. If it
-// has disconnected, nothing is written, and the connection serves the next request.
+// On new and on idle connections, the client's presence is checked right before the first byte is written. If
+// it has disconnected, nothing is written, and the connection serves the next request.
 TEST(ClientPresence, IsCheckedBeforeTheFirstByteIsWritten) {
   Upstream upstream(Upstream::Echo("u"));
   boost::asio::io_context io;
@@ -177,22 +179,22 @@
                                static_cast<std::uint16_t>(std::stoi(upstream.address().substr(colon + 1))));
   upstreams.Update("u1", location);
   std::uint64_t exchange = 0;
-  std::string steps;
-  const auto send = [&](bool here) {
+  std::string calls;
+  const auto send = [&](bool is_connected) {
     auto request = std::make_shared<HttpRequest>(http::verb::get, "/page/k", 11);
     request->set("X-Request-ID", std::to_string(exchange));
     std::optional<ExchangeResult> ended;
     Upstreams::ExchangeRequest call;
     call.request = request;
     call.timeout = call.max_connection_idle = std::chrono::seconds(15);
-    call.client_is_waiting = [&, here] { return steps += "look ", here; };
-    call.time_left = [&](TimePoint) { return steps += "clock ", std::chrono::seconds(15); };
+    call.client_is_waiting = [&, is_connected] { return calls += "check_client ", is_connected; };
+    call.time_left = [&](TimePoint) { return calls += "time_left ", std::chrono::seconds(15); };
     call.on_finished = [&](ExchangeResult result) { ended = std::move(result); };
     upstreams.StartExchange(Upstreams::ExchangeId{++exchange}, "u1", std::move(call));
     while (!ended) io.run_one();
     return ended->outcome;
   };
-  const auto pause = [&] {  // until an idle connection may be used again
+  const auto pause = [&] {  // until the idle connection may be used again
     boost::asio::steady_timer timer(io, kReuseDelay);
     bool over = false;
     timer.async_wait([&](boost::system::error_code) { over = true; });
@@ -203,19 +205,21 @@
   pause();
   EXPECT_EQ(send(false), lb::Outcome::kNotSent) << "idle";
   EXPECT_EQ(send(true), lb::Outcome::kServed);
-  EXPECT_EQ(steps, "clock look clock look clock look clock look ");
+  EXPECT_EQ(calls,
+            "time_left check_client time_left check_client time_left check_client time_left check_client ");
   EXPECT_EQ(upstream.requests().size(), 2U);
   EXPECT_EQ(upstream.connections(), 1);
 }
 
-// Every way in which an attempt begins. What makes it begin and the client's close reach the process
-// together, as when the process was not scheduled for a while; and the same with a client that stays, for
-// which the attempt must begin.
+// All ways in which an attempt begins. The event that triggers it and the client's close reach the process at
+// the same time, as when the process was not scheduled for a while. The same is tested with a client that
+// stays connected, for which the attempt must begin.
 class AttemptStart : public ::testing::TestWithParam<bool> {
  protected:
   bool disconnects() const { return GetParam(); }
 
-  // Stops the process while `event` happens and, after it, the client disconnects (unless it stays).
+  // Suspends the process for `time` while `event` happens and, after it, the client disconnects (if it is
+  // meant to).
   void DisconnectDuringPause(SidecarProcess& sidecar, Client& client, const std::function<void()>& event,
                              milliseconds time = milliseconds(120)) {
     sidecar.Pause();
@@ -232,8 +236,8 @@
     return count;
   }
 
-  // Expects that no further attempt for request "a" reaches the upstream for a client that disconnected, and
-  // one more for one that stays. `before`: the attempts so far.
+  // Expects that no further attempt for request "a" reaches the upstream if the client disconnected, and one
+  // more if it stayed. `before`: the number of attempts so far.
   template <typename AnyUpstream>
   void ExpectAttempts(SidecarProcess& sidecar, const AnyUpstream& upstream, int before) {
     if (!disconnects()) {
@@ -242,7 +246,7 @@
     }
     Client other(sidecar.port());
     ASSERT_TRUE(other.Get("/page/k", "b"));
-    std::this_thread::sleep_for(milliseconds(100));  // for one that would still come
+    std::this_thread::sleep_for(milliseconds(100));  // in case another attempt would follow
     EXPECT_EQ(Count(upstream, "a"), before);
   }
 };
@@ -266,12 +270,12 @@
 TEST_P(AttemptStart, AfterAConnect) {
   for (const std::size_t size : {10U, 80000U}) {
     BlackHole late;
-    SidecarProcess sidecar(With(List({Target("u1", late.address())}), PatientSettings()));
+    SidecarProcess sidecar(With(List({Target("u1", late.address())}), SettingsWithLongTimeouts()));
     ASSERT_TRUE(sidecar.Listening());
     Client client(sidecar.port());
     Client marker(sidecar.port());
     ASSERT_TRUE(marker.Send("GET /up HTTP/1.1\r\nHost: x\r\n\r\n"));
-    ASSERT_TRUE(marker.Read());  // both were accepted
+    ASSERT_TRUE(marker.Read());  // now both connections are accepted
     const std::string text = PostText("/submit/k", "a", std::string(size, 'x'), 15000);
     ASSERT_NO_FATAL_FAILURE(SendAndConnect(client, text, late));
     std::unique_ptr<Wire> wire;
@@ -290,8 +294,8 @@
     wire.Answer(503, "", "X-Not-Processed: 1\r\n");
     answered = true;
   });
-  SidecarProcess sidecar(
-      With(List({Target("u1", upstream.address()), Target("u2", upstream.address())}), PatientSettings()));
+  SidecarProcess sidecar(With(List({Target("u1", upstream.address()), Target("u2", upstream.address())}),
+                              SettingsWithLongTimeouts()));
   ASSERT_TRUE(sidecar.Listening());
   Client client(sidecar.port());
   ASSERT_TRUE(client.Send(PostText("/submit/k", "a", "x", 15000)));
@@ -304,20 +308,20 @@
 }
 
 TEST_P(AttemptStart, RetryAfterAConnectThatTimedOut) {
-  BlackHole never;
+  BlackHole unreachable;
   Upstream upstream(Upstream::Echo("u"));
-  Discovery discovery(List({Target("u1", never.address())}));
-  json settings = PatientSettings();
+  Discovery discovery(List({Target("u1", unreachable.address())}));
+  json settings = SettingsWithLongTimeouts();
   settings["Limits"]["ConnectTimeout"] = 1500000;
-  SidecarProcess::Options options = With(List({Target("u1", never.address())}), settings);
+  SidecarProcess::Options options = With(List({Target("u1", unreachable.address())}), settings);
   options.discovery = discovery.address();
   SidecarProcess sidecar(options);
   ASSERT_TRUE(sidecar.Listening());
   Client client(sidecar.port());
   const std::string text = PostText("/submit/k", "a", "x", 15000);
-  ASSERT_TRUE(Eventually([&] { return discovery.calls() > 1; }));  // it watches the list
-  ASSERT_NO_FATAL_FAILURE(SendAndConnect(client, text, never));
-  discovery.Tell(List({Target("u1", never.address()), Target("u2", upstream.address())}));
+  ASSERT_TRUE(Eventually([&] { return discovery.calls() > 1; }));  // the sidecar watches the list
+  ASSERT_NO_FATAL_FAILURE(SendAndConnect(client, text, unreachable));
+  discovery.Tell(List({Target("u1", unreachable.address()), Target("u2", upstream.address())}));
   const int calls = discovery.calls();
   ASSERT_TRUE(Eventually([&] { return discovery.calls() > calls; }));
   DisconnectDuringPause(
@@ -343,14 +347,14 @@
 
 TEST_P(AttemptStart, AfterALoadProbe) {
   std::atomic<int> probed{0};
-  Gate go;
+  Gate release_probes;
   Upstream upstream([&](Wire& wire, const Request& request, int) {
     if (request.target() != "/metrics/load") return void(wire.Answer(200, std::string(request.target())));
     ++probed;
-    go.Pass();
+    release_probes.Pass();
     wire.Answer(200, "inflight=1");
   });
-  json settings = PatientSettings();
+  json settings = SettingsWithLongTimeouts();
   settings["Report"] = {{"How", "probe"}};
   settings["Limits"]["MayProbe"] = true;
   settings["Prices"]["Probe"] = 0.001;
@@ -360,7 +364,7 @@
   Client client(sidecar.port());
   ASSERT_TRUE(client.Send(GetText("/page/k", "a", 15000)));
   ASSERT_TRUE(Eventually([&] { return probed == 2; }));
-  DisconnectDuringPause(sidecar, client, [&] { go.Open(); });
+  DisconnectDuringPause(sidecar, client, [&] { release_probes.Open(); });
   ExpectAttempts(sidecar, upstream, 0);
 }
 
--- a/tests/descriptor_limit_test.cpp
+++ b/tests/descriptor_limit_test.cpp
@@ -1,4 +1,4 @@
-// Client connections under the limit on descriptors: which are evicted, and that the others are served.
+// Client connections when descriptors are limited: which are evicted, and that the others are served.
 #include <sys/resource.h>
 
 #include <chrono>
@@ -18,7 +18,7 @@
 
 using std::chrono::milliseconds;
 
-// A sidecar that may have 64 descriptors, and its upstream.
+// A sidecar that is limited to 64 descriptors, with one upstream.
 class DescriptorLimitTest : public ::testing::Test {
  protected:
   static constexpr int kLimit = 64;
@@ -37,7 +37,7 @@
 };
 
 TEST_F(DescriptorLimitTest, IsKeptAndClientsAreServed) {
-  // More clients than there are descriptors; each asks once and stays.
+  // More clients than descriptors; each sends one request and stays connected.
   std::vector<std::unique_ptr<Client>> clients;
   for (int i = 0; i < 150; ++i) {
     clients.push_back(std::make_unique<Client>(sidecar_.port()));
@@ -48,7 +48,8 @@
   }
 }
 
-// Guards against making room for a client that is not there at the cost of the last one that came.
+// Guards against evicting a connection in advance, before the next client connects: the evicted one would be
+// the newest.
 TEST_F(DescriptorLimitTest, LastClientThatFitsIsServedAfterAPause) {
   std::vector<std::unique_ptr<Client>> clients;
   for (int i = 0; i < 30; ++i) {
@@ -60,18 +61,20 @@
   }
 }
 
-// A request counts as taken with its last byte, read or not: a process short of time must not close on it.
+// A request is accepted once its last byte has arrived, read or not: a process that is not scheduled in time
+// must not close its connection.
 TEST_F(DescriptorLimitTest, CompleteUnreadRequestIsNotEvicted) {
   const int idle = sidecar_.descriptors();
   std::vector<std::unique_ptr<Client>> clients;
   const auto text = [](std::size_t i) { return GetText("/page/k", "p" + std::to_string(i), 15000); };
-  // As many as fit: of the next one nothing is taken without closing another.
+  // As many as fit. The sidecar accepts the next connection only if it closes another one.
   for (std::size_t i = 0; i < 24; ++i) {
     clients.push_back(std::make_unique<Client>(sidecar_.port()));
     ASSERT_TRUE(clients[i]->Send(text(i).substr(0, 20)));
   }
   ASSERT_TRUE(Eventually([&] { return sidecar_.descriptors() >= idle + 24; }));
-  std::this_thread::sleep_for(milliseconds(200));  // to read them; where it has not, there is less to see
+  std::this_thread::sleep_for(
+      milliseconds(200));  // time to read them; the test is less strict if that is too short
   sidecar_.Pause();
   Client next(sidecar_.port());
   ASSERT_TRUE(next.Send(text(99)));
@@ -87,22 +90,22 @@
   EXPECT_EQ(response->result_int(), 200U);
 }
 
-// Many clients connect and say nothing: usual clients are served all the same.
+// Many clients connect and send nothing: usual clients are still served.
 TEST_F(DescriptorLimitTest, SilentClientsAreEvicted) {
   std::vector<std::unique_ptr<Client>> silent;
   silent.reserve(100);
   for (int i = 0; i < 100; ++i) silent.push_back(std::make_unique<Client>(sidecar_.port()));
   for (int i = 0; i < 5; ++i) {
-    Client usual(sidecar_.port());
-    const auto response = usual.Get("/page/k", "v" + std::to_string(i));
+    Client usual_client(sidecar_.port());
+    const auto response = usual_client.Get("/page/k", "v" + std::to_string(i));
     ASSERT_TRUE(response) << i;
     EXPECT_EQ(response->result_int(), 200U);
   }
   for (const auto& client : silent) EXPECT_TRUE(client->wire.ReadsEnd());
 }
 
-// Idle clients take every descriptor that clients may have, while discovery is down. Discovery's next
-// connection, those to upstreams and the admin interface's need none of these.
+// Idle clients take all descriptors meant for clients while discovery is down. The connections to discovery,
+// to upstreams and of the admin interface use other descriptors.
 TEST(DescriptorLimit, IdleClientsLeaveCapacityForDiscoveryUpstreamsAndAdmin) {
   for (const int limit : {64, 256, 1024}) {
     rlimit files{};
@@ -128,8 +131,8 @@
     EXPECT_EQ(sidecar.Status("GET", "/ready"), 503U);
     discovery.Set(Discovery::Mood::kAnswers);
     EXPECT_TRUE(Eventually([&] { return sidecar.Status("GET", "/ready") == 200U; }));
-    Client usual(sidecar.port());
-    const auto response = usual.Get("/page/k", "a");
+    Client usual_client(sidecar.port());
+    const auto response = usual_client.Get("/page/k", "a");
     ASSERT_TRUE(response);
     EXPECT_EQ(response->body(), "u1 /page/k");
     EXPECT_LE(sidecar.descriptors(), limit);
@@ -140,7 +143,7 @@
   Upstream upstream(Upstream::Echo("u"));
   SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
   ASSERT_TRUE(sidecar.Listening());
-  // The system allows less than the deployment said.
+  // The kernel's limit is lower than the configured one.
   const rlim_t limit = static_cast<rlim_t>(sidecar.descriptors()) + 6;
   const rlimit lower{limit, limit};
   ASSERT_EQ(::prlimit(sidecar.pid(), RLIMIT_NOFILE, &lower, nullptr), 0);
--- a/tests/half_close_test.cpp
+++ b/tests/half_close_test.cpp
@@ -1,4 +1,5 @@
-// A client that ends its sending still gets its responses; one that closes the connection ends its request.
+// A client that ends its sending still gets its responses; the request of a client that closes the connection
+// is cancelled.
 #include <chrono>
 #include <csignal>
 #include <cstddef>
@@ -17,9 +18,9 @@
 
 TEST(ClientDisconnect, CancelsTheAttempt) {
   std::promise<bool> ended;
-  Gate asked;
+  Gate request_received;
   Upstream upstream([&](Wire& wire, const Request&, int) {
-    asked.Open();
+    request_received.Open();
     ended.set_value(wire.ReadsEnd());
   });
   SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
@@ -27,13 +28,13 @@
   {
     Client client(sidecar.port());
     ASSERT_TRUE(client.Send(GetText("/page/k", "a1", 15000)));
-    asked.Pass();
+    request_received.Pass();
   }
   EXPECT_TRUE(ended.get_future().get());
 }
 
-// Whoever only ends its sending waits for the answer, also for one that takes an attempt after that end was
-// seen.
+// A client that only ends its sending waits for its response, also if that takes a further attempt after the
+// half-close was noticed.
 TEST(HalfClose, WaitingClientIsServedAfterAProbe) {
   GatedUpstream upstream([](Wire& wire, const Request& request, int number) {
     if (GatedUpstream::IsFirst(request, number)) {
@@ -47,14 +48,14 @@
   SidecarProcess sidecar(
       With(List({Target("u1", upstream.address()), Target("u2", upstream.address())}), settings));
   ASSERT_TRUE(sidecar.Listening());
-  for (const char* id : {"in work", "at once"}) {
+  for (const char* id : {"in flight", "at once"}) {
     Client client(sidecar.port());
     const std::string target = std::string("/submit/") + id[0];
     ASSERT_TRUE(client.Send(PostText(target, id[0] == 'i' ? "a1" : "a2", "x", 15000)));
     if (id[0] == 'i') upstream.WaitForHeldRequest();
     client.wire.socket.shutdown(tcp::socket::shutdown_send);
     if (id[0] == 'i') {
-      // It has been asked whether it is there, and did not say no.
+      // The probe was sent, and the client did not answer it with a reset.
       const auto interim = client.Read();
       ASSERT_TRUE(interim);
       EXPECT_EQ(interim->result_int(), 102U);
@@ -68,20 +69,20 @@
   }
 }
 
-// The bodies of the answers that come until the connection ends; the status where it isn't 200. Nothing comes
-// behind one that says it is the last.
+// Returns the bodies of all responses until the connection ends, or the status for other statuses than 200.
+// No response may follow one that announces the close.
 std::vector<std::string> ReadResponsesUntilClose(Client& client) {
   std::vector<std::string> bodies;
-  bool goes_on = true;
+  bool keep_alive = true;
   while (const auto answer = ReadFinalResponse(client)) {
-    EXPECT_TRUE(goes_on);
-    goes_on = answer->keep_alive();
+    EXPECT_TRUE(keep_alive);
+    keep_alive = answer->keep_alive();
     bodies.push_back(answer->result_int() == 200U ? answer->body() : std::to_string(answer->result_int()));
   }
   return bodies;
 }
 
-// Requests sent ahead of the end of sending are all served, in their order.
+// All requests sent before the end of sending are served, in order.
 TEST(HalfClose, AllPipelinedRequestsAreServed) {
   Upstream upstream([](Wire& wire, const Request& request, int) {
     wire.Answer(200, std::string(request.target()) + " " + std::to_string(request.body().size()));
@@ -97,7 +98,7 @@
       {get("b1") + get("b2") + get("b3"), {"/page/b1 0", "/page/b2 0", "/page/b3 0"}},
       {post("c1", 10) + post("c2", 20), {"/submit/c1 10", "/submit/c2 20"}},
       {post("d1", 1) + get("d2") + post("d3", 60000), {"/submit/d1 1", "/page/d2 0", "/submit/d3 60000"}},
-      // Held whole, more than is read ahead, passed through.
+      // Cases: held in memory, larger than the read-ahead, streamed.
       {post("e1", 60000) + post("e2", 60000) + get("e3"),
        {"/submit/e1 60000", "/submit/e2 60000", "/page/e3 0"}},
       {get("f1") + post("f2", 300000) + get("f3"), {"/page/f1 0", "/submit/f2 300000", "/page/f3 0"}},
@@ -110,8 +111,8 @@
   }
 }
 
-// Likewise where they and the end are there together, as for a process that was short of time; and where the
-// last of them isn't whole, which ends the connection behind the answers to the others.
+// The same if requests and the end of sending arrive together, as for a process that was not scheduled for a
+// while. If the last request is incomplete, the connection ends after the responses to the others.
 TEST(HalfClose, RequestsReadTogetherWithTheEndAreServed) {
   Upstream upstream(Upstream::Echo("u"));
   SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
@@ -148,7 +149,7 @@
   }
 }
 
-// It stayed neither for the answer to its first request nor for the one to the next, which isn't begun.
+// The client closed before the response to its first request, so its next request must not begin.
 TEST(ClientDisconnect, AfterAHalfCloseStartsNoFurtherRequest) {
   GatedUpstream upstream;
   SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
@@ -170,7 +171,7 @@
   for (const auto& request : upstream.requests()) EXPECT_NE(request.target(), "/page/2");
 }
 
-// An answer that fills the connection leaves no room to ask its client whether it is there.
+// A response that fills the connection leaves no room to send a half-close probe.
 TEST(HalfClose, SlowReaderIsServed) {
   const std::string large(2000000, 'x');
   Upstream upstream([&](Wire& wire, const Request& request, int) {
@@ -189,7 +190,7 @@
   EXPECT_EQ(second->body(), "small");
 }
 
-// The end of sending is read while the rest of the body still waits for an upstream that takes it slowly.
+// The end of sending is read while the rest of the body still waits for a slow upstream.
 TEST(HalfClose, EndBehindALargeBodyIsServed) {
   Peer upstream(
       [](Wire& wire, int) {
@@ -204,13 +205,13 @@
   EXPECT_EQ(ReadResponsesUntilClose(client), std::vector<std::string>{"300000"});
 }
 
-// The client's end is behind bytes that there is no room for: its request must not begin when a connection
-// for it comes up at last.
+// The client's close is behind bytes that the read buffer has no room for. It must still be noticed, and
+// cancel the attempt.
 TEST(ClientDisconnect, BehindMoreThanTheReadBufferIsNoticed) {
   std::promise<bool> ended;
-  Gate asked;
+  Gate request_received;
   Upstream upstream([&](Wire& wire, const Request&, int) {
-    asked.Open();
+    request_received.Open();
     ended.set_value(wire.ReadsEnd());
   });
   json settings = Settings();
@@ -221,14 +222,14 @@
     Client client(sidecar.port());
     ASSERT_TRUE(
         client.Send(GetText("/page/k", "a1", 40000) + PostText("/submit/k", "a2", std::string(60000, 'x'))));
-    asked.Pass();
+    request_received.Pass();
   }
   EXPECT_EQ(ended.get_future().wait_for(std::chrono::seconds(20)), std::future_status::ready)
-      << "the time of the request is twice that";
+      << "not noticed within half of the timeout of the request";
 }
 
-// A request and its client's close are there together, as for a process that was short of time: nothing
-// begins.
+// A request and the close of its client arrive together, as for a process that was not scheduled for a while:
+// no attempt begins.
 TEST(ClientDisconnect, BeforeItsRequestIsReadStartsNothing) {
   Upstream upstream(Upstream::Echo("u"));
   SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
@@ -237,14 +238,14 @@
   ASSERT_TRUE(before.Get("/page/k", "a0"));
   sidecar.Pause();
   for (int i = 1; i <= 20; ++i) {
-    Client leaves(sidecar.port());
-    ASSERT_TRUE(leaves.Send(GetText("/page/k", "a" + std::to_string(i))));
+    Client disconnecting(sidecar.port());
+    ASSERT_TRUE(disconnecting.Send(GetText("/page/k", "a" + std::to_string(i))));
   }
   sidecar.Signal(SIGCONT);
-  // They are ahead of this one in the listener's queue.
-  Client stays(sidecar.port());
-  ASSERT_TRUE(stays.Get("/page/k", "b"));
-  ASSERT_TRUE(stays.Get("/page/k", "c"));
+  // The listener's queue holds those connections ahead of this one.
+  Client connected(sidecar.port());
+  ASSERT_TRUE(connected.Get("/page/k", "b"));
+  ASSERT_TRUE(connected.Get("/page/k", "c"));
   EXPECT_EQ(upstream.requests().size(), 3u);
 }
 
--- a/tests/request_framing_test.cpp
+++ b/tests/request_framing_test.cpp
@@ -1,4 +1,4 @@
-// Requests that the sidecar rejects itself, and the forms of HTTP/1.1 that it accepts.
+// Requests that the sidecar rejects itself, and the forms of HTTP/1.1 that it accepts. Runs the real program.
 #include <atomic>
 #include <chrono>
 #include <string>
@@ -61,8 +61,8 @@
   EXPECT_EQ(response->result_int(), 200U);
 }
 
-// Sends these bytes on a connection of its own; the status it is answered with, 0 where it is closed without
-// one. What is behind the answer is the end of the connection.
+// Sends `bytes` on a connection of their own and returns the status of the response, or 0 if the connection
+// is closed without one. Expects that the connection ends after the response.
 unsigned StatusBeforeClose(SidecarProcess& sidecar, const std::string& bytes) {
   Client client(sidecar.port());
   client.Send(bytes);
@@ -71,8 +71,8 @@
   return response ? response->result_int() : 0;
 }
 
-// Guards against a request hidden in another's body, and one that is repeated against its class: each of
-// these is turned away, and what follows on its connection is not looked at.
+// Guards against a request hidden in the body of another (request smuggling), and against one that would be
+// repeated although its class forbids that: each is rejected, and the bytes after it are not parsed.
 TEST(RequestFraming, RejectsAmbiguousRequestsAndClosesTheConnection) {
   Upstream upstream(Upstream::Echo("u"));
   SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
@@ -142,15 +142,15 @@
   EXPECT_TRUE(upstream.requests().empty());
 }
 
-// The deployment's limit is 3 s from connecting, whatever trickles in the meantime.
+// The deployment's limit is 3 s from connecting, also if bytes keep trickling in.
 TEST(RequestFraming, ClosesSilentAndStalledClientsAtTheTimeLimit) {
   SidecarProcess sidecar(With(json::array()));
   ASSERT_TRUE(sidecar.Listening());
   Client silent(sidecar.port());
-  Client half(sidecar.port());
-  ASSERT_TRUE(half.Send("GET /page/k HTTP/1.1\r\nX-"));
-  Client body(sidecar.port());
-  ASSERT_TRUE(body.Send("POST /submit/k HTTP/1.1\r\nX-Request-ID: b1\r\nContent-Length: 9\r\n\r\nx"));
+  Client partial_head(sidecar.port());
+  ASSERT_TRUE(partial_head.Send("GET /page/k HTTP/1.1\r\nX-"));
+  Client partial_body(sidecar.port());
+  ASSERT_TRUE(partial_body.Send("POST /submit/k HTTP/1.1\r\nX-Request-ID: b1\r\nContent-Length: 9\r\n\r\nx"));
   Client trickling(sidecar.port());
   ASSERT_TRUE(trickling.Send("GET /page/k HTTP/1.1\r\nX-Slow: "));
   std::atomic<bool> ended{false};
@@ -158,7 +158,7 @@
     while (!ended && trickling.Send("a")) std::this_thread::sleep_for(milliseconds(20));
   });
   EXPECT_TRUE(silent.wire.ReadsEnd());
-  for (Client* client : {&half, &body, &trickling}) {
+  for (Client* client : {&partial_head, &partial_body, &trickling}) {
     const auto response = client->Read();
     EXPECT_EQ(response ? response->result_int() : 0, 408U);
   }
@@ -176,7 +176,7 @@
   ASSERT_TRUE(first);
   EXPECT_EQ(first->body(), "u /submit/k?a=http://b/");
   for (const char c : "\r\n" + GetText("/page/k", "a2")) ASSERT_TRUE(client.Send(std::string(1, c)));
-  // The empty line behind the first request and the one ahead of this one are two: that is no request.
+  // The empty line after the first request and the one before the second are two, and only one is accepted.
   const auto second = client.Read();
   ASSERT_TRUE(second);
   EXPECT_EQ(second->result_int(), 400U);
--- a/tests/sidecar/connection_timeouts_test.cpp
+++ b/tests/sidecar/connection_timeouts_test.cpp
@@ -1,4 +1,4 @@
-// How long a client may take for its request and its response, by times alone.
+// Time limits for the request and the response of a client, tested with given times.
 #include "sidecar/connection_timeouts.h"
 
 #include <chrono>
@@ -20,27 +20,27 @@
   return {kStart, bytes, kStart + last_byte_after};
 }
 
-TEST(RequestTimeout, SparesARequestWithinItsFirstTime) {
+TEST(RequestTimeout, AllowsARequestWithinTheFirstRequestTimeout) {
   EXPECT_FALSE(IsRequestStalled(Received(0, {}), kStart + kFirstRequestTimeout));
 }
 
-TEST(RequestTimeout, EndsARequestWithoutABody) {
+TEST(RequestTimeout, ReportsARequestWithoutABody) {
   EXPECT_TRUE(IsRequestStalled(Received(0, {}), kStart + kFirstRequestTimeout + milliseconds(1)));
 }
 
-TEST(RequestTimeout, SparesABodyThatComesFastEnough) {
+TEST(RequestTimeout, AllowsABodyThatArrivesFastEnough) {
   const auto activity = Received(40 * kKibibyte, milliseconds(3500));
 
   EXPECT_FALSE(IsRequestStalled(activity, kStart + kFirstRequestTimeout + milliseconds(1000)));
 }
 
-TEST(RequestTimeout, EndsABodyThatTrickles) {
+TEST(RequestTimeout, ReportsABodyThatTrickles) {
   const auto activity = Received(30 * kKibibyte, milliseconds(3500));
 
   EXPECT_TRUE(IsRequestStalled(activity, kStart + kFirstRequestTimeout + milliseconds(1000)));
 }
 
-TEST(RequestTimeout, EndsABodyThatPauses) {
+TEST(RequestTimeout, ReportsABodyThatPauses) {
   const auto activity = Received(10 * kKibibyte * kKibibyte, milliseconds(2000));
 
   EXPECT_FALSE(IsRequestStalled(activity, kStart + milliseconds(3000)));
--- a/tests/sidecar/half_close_probe_test.cpp
+++ b/tests/sidecar/half_close_probe_test.cpp
@@ -1,3 +1,4 @@
+// HalfCloseProbe on a connected pair of sockets: how it recognizes a half-close and a close.
 #include "sidecar/half_close_probe.h"
 
 #include <chrono>
@@ -29,7 +30,7 @@
   HalfCloseProbe probe_{socket_, writer_};
 };
 
-TEST_F(HalfCloseProbeTest, FindsAClientConnectedThatOnlyEndedItsSending) {
+TEST_F(HalfCloseProbeTest, FindsAHalfClosedClientConnected) {
   peer_.shutdown(tcp::socket::shutdown_send);
 
   ASSERT_TRUE(Send());
@@ -40,12 +41,12 @@
   EXPECT_EQ(ReceiveAtPeer(12), "HTTP/1.1 102");
 }
 
-TEST_F(HalfCloseProbeTest, FindsTheConnectionOverIfTheClientHasClosed) {
+TEST_F(HalfCloseProbeTest, FindsTheConnectionClosedIfTheClientHasClosed) {
   peer_.close();
 
-  // The reset may be there at once, or soon after.
+  // The reset may arrive at once, or soon after.
   if (Send()) {
-    EXPECT_EQ(WaitForResult(), Result::kConnectionOver);
+    EXPECT_EQ(WaitForResult(), Result::kConnectionClosed);
   }
 }
 
@@ -60,7 +61,7 @@
   EXPECT_EQ(peer_.available(), 0U);
 }
 
-TEST_F(HalfCloseProbeTest, HasAResultThatGrowsStale) {
+TEST_F(HalfCloseProbeTest, HasAResultThatBecomesStale) {
   ASSERT_TRUE(Send());
   ASSERT_EQ(WaitForResult(), Result::kClientConnected);
 
--- a/tests/sidecar/request_body_test.cpp
+++ b/tests/sidecar/request_body_test.cpp
@@ -1,3 +1,4 @@
+// RequestBody: a body held in memory, and one that is streamed.
 #include "sidecar/request_body.h"
 
 #include <boost/asio/io_context.hpp>
@@ -9,7 +10,7 @@
 namespace lb::sidecar {
 namespace {
 
-constexpr std::size_t kCapacity = 8;  // bytes, of a stream
+constexpr std::size_t kCapacity = 8;  // of a stream, in bytes
 
 class RequestBodyTest : public ::testing::Test {
  protected:
@@ -34,7 +35,7 @@
   EXPECT_EQ(body_.TakeHeld().size(), kMaxBufferedBody + 1);
 }
 
-TEST_F(RequestBodyTest, StreamBeginsWithWhatIsHeld) {
+TEST_F(RequestBodyTest, StreamBeginsWithTheHeldBytes) {
   body_.Append("abc");
   const Body stream = StartStream();
   body_.Append("de");
@@ -66,9 +67,9 @@
   EXPECT_FALSE(body_.IsStreaming());
 }
 
-// The last byte may wait in the kernel while the stream has no capacity: the response time runs from when it
-// came.
-TEST_F(RequestBodyTest, KnowsTheTimeOfALastByteThatWaitsForCapacity) {
+// The last byte may wait in the kernel while the stream has no capacity. The time for the response runs from
+// when that byte arrived.
+TEST_F(RequestBodyTest, RecordsTheTimeOfALastByteThatWaitsForCapacity) {
   const Body stream = StartStream();
   body_.Append(std::string(kCapacity, 'x'));
 
--- a/tests/sidecar/request_framing_test.cpp
+++ b/tests/sidecar/request_framing_test.cpp
@@ -1,4 +1,4 @@
-// Request framing by bytes alone: where requests begin and end, and what is refused.
+// Request framing without a socket: where requests begin and end, and which are rejected.
 #include "sidecar/request_framing.h"
 
 #include <boost/asio/buffer.hpp>
@@ -12,7 +12,7 @@
 
 using Outcome = RequestFraming::Outcome;
 
-// Feeds bytes to the framing as a connection would, up to the end of one request, a fault, or the end of the
+// Passes bytes to the framing as a connection does, up to the end of one request, a fault, or the end of the
 // bytes.
 class RequestFramingTest : public ::testing::Test {
  protected:
@@ -28,7 +28,7 @@
       body_.append(step.body.data(), step.body.size());
       fault_ = step.fault;
       outcome_ = step.outcome;
-      if (outcome_ != Outcome::kMoved) break;
+      if (outcome_ != Outcome::kProgress) break;
     }
     return outcome_;
   }
@@ -66,7 +66,7 @@
   EXPECT_EQ(Frame(), Outcome::kRequestComplete);
 }
 
-TEST_F(RequestFramingTest, TakesAHeadThatComesByteByByte) {
+TEST_F(RequestFramingTest, AcceptsAHeadReceivedByteByByte) {
   for (std::size_t i = 0; i + 1 < kGet.size(); ++i) {
     ASSERT_EQ(Frame(kGet.substr(i, 1)), Outcome::kNeedsBytes) << i;
   }
@@ -74,40 +74,40 @@
   EXPECT_EQ(Frame(kGet.substr(kGet.size() - 1)), Outcome::kRequestComplete);
 }
 
-TEST_F(RequestFramingTest, TakesABodyByItsLength) {
+TEST_F(RequestFramingTest, AcceptsABodyWithALength) {
   EXPECT_EQ(Frame(Post("Content-Length: 5\r\n", "hello")), Outcome::kRequestComplete);
   EXPECT_EQ(body_, "hello");
 }
 
-TEST_F(RequestFramingTest, TellsWhatOfABodyIsStillToCome) {
-  EXPECT_EQ(Frame(Post("Content-Length: 5\r\n", "he")), Outcome::kMoved);
+TEST_F(RequestFramingTest, ReportsTheRemainingLengthOfABody) {
+  EXPECT_EQ(Frame(Post("Content-Length: 5\r\n", "he")), Outcome::kProgress);
   EXPECT_EQ(framing_.content_length_remaining().value_or(0), 3U);
 }
 
-TEST_F(RequestFramingTest, TakesAChunkedBodyAndItsTrailers) {
+TEST_F(RequestFramingTest, AcceptsAChunkedBodyAndItsTrailers) {
   EXPECT_EQ(Frame(Post("Transfer-Encoding: chunked\r\n", "3\r\nabc\r\n2\r\nde\r\n0\r\nX-T: 1\r\n\r\n")),
             Outcome::kRequestComplete);
   EXPECT_EQ(body_, "abcde");
   EXPECT_FALSE(framing_.CheckComplete({}));
 }
 
-TEST_F(RequestFramingTest, PassesOverOneEmptyLineAheadOfARequest) {
-  EXPECT_EQ(Frame("\r\n"), Outcome::kMoved);
+TEST_F(RequestFramingTest, SkipsOneEmptyLineBeforeARequest) {
+  EXPECT_EQ(Frame("\r\n"), Outcome::kProgress);
   EXPECT_FALSE(framing_.HasRequestBegun());
   EXPECT_EQ(Frame(kGet), Outcome::kRequestComplete);
 }
 
-TEST_F(RequestFramingTest, PassesOverAnEmptyLineThatComesInTwoParts) {
+TEST_F(RequestFramingTest, SkipsAnEmptyLineReceivedInTwoParts) {
   EXPECT_EQ(Frame("\r"), Outcome::kNeedsBytes);
   EXPECT_EQ(Frame("\n" + kGet), Outcome::kRequestComplete);
 }
 
-TEST_F(RequestFramingTest, RefusesASecondEmptyLine) {
+TEST_F(RequestFramingTest, RejectsASecondEmptyLine) {
   EXPECT_EQ(Frame("\r\n\r\n" + kGet), Outcome::kFault);
   EXPECT_EQ(fault_.reason, "bad request head");
 }
 
-TEST_F(RequestFramingTest, NotesThatARequestHasBegun) {
+TEST_F(RequestFramingTest, ReportsThatARequestHasBegun) {
   EXPECT_FALSE(framing_.HasAnyRequestBegun());
 
   Frame("GE");
@@ -118,19 +118,19 @@
   EXPECT_TRUE(framing_.HasAnyRequestBegun());
 }
 
-TEST_F(RequestFramingTest, RefusesAnAnnouncedBodyBeyondTheLimit) {
+TEST_F(RequestFramingTest, RejectsAnAnnouncedBodyBeyondTheLimit) {
   const std::string length = std::to_string(kMaxStreamedBody + 1);
 
   EXPECT_EQ(Frame(Post("Content-Length: " + length + "\r\n", "")), Outcome::kFault);
   EXPECT_EQ(fault_.status, http::status::payload_too_large);
 }
 
-TEST_F(RequestFramingTest, RefusesAHeadBeyondTheLimit) {
+TEST_F(RequestFramingTest, RejectsAHeadBeyondTheLimit) {
   EXPECT_EQ(Frame("GET /page/k HTTP/1.1\r\nX: " + std::string(kMaxHeaderSize, 'x')), Outcome::kFault);
   EXPECT_EQ(fault_.status, http::status::bad_request);
 }
 
-TEST_F(RequestFramingTest, RefusesBytesBehindABodyThatBeginNoRequest) {
+TEST_F(RequestFramingTest, RejectsBytesAfterABodyThatBeginNoRequest) {
   Frame(Post("Content-Length: 2\r\n", "hello"));
 
   const auto fault = framing_.CheckComplete("llo");
@@ -139,35 +139,35 @@
   EXPECT_EQ(fault->reason, "no request behind the body");
 }
 
-struct RefusedRequest {
+struct RejectedRequest {
   std::string name;
   std::string bytes;
 };
 
-class RefusedFraming : public RequestFramingTest, public ::testing::WithParamInterface<RefusedRequest> {};
+class RejectedFraming : public RequestFramingTest, public ::testing::WithParamInterface<RejectedRequest> {};
 
-TEST_P(RefusedFraming, EndsAsABadRequest) {
+TEST_P(RejectedFraming, IsABadRequest) {
   EXPECT_EQ(Frame(GetParam().bytes), Outcome::kFault);
   EXPECT_EQ(fault_.status, http::status::bad_request);
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    RequestFraming, RefusedFraming,
+    RequestFraming, RejectedFraming,
     ::testing::Values(
-        RefusedRequest{"UnservedMethod", "PUT /k HTTP/1.1\r\nHost: x\r\n\r\n"},
-        RefusedRequest{"BareLineFeed", "GET /k HTTP/1.1\nHost: x\r\n\r\n"},
-        RefusedRequest{"BareCarriageReturn", "GET /k HTTP/1.1\rHost: x\r\n\r\n"},
-        RefusedRequest{"FoldedHeader", "GET /k HTTP/1.1\r\nX: a\r\n b\r\n\r\n"},
-        RefusedRequest{"ZeroByte", std::string("GET /k HTTP/1.1\r\nX: \0a\r\n\r\n", 26)},
-        RefusedRequest{"LengthAndCoding",
-                       Post("Content-Length: 1\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n")},
-        RefusedRequest{"TwoLengths", Post("Content-Length: 1\r\nContent-Length: 1\r\n", "x")},
-        RefusedRequest{"SignedLength", Post("Content-Length: +1\r\n", "x")},
-        RefusedRequest{"UnknownCoding", Post("Transfer-Encoding: gzip\r\n", "x")},
-        RefusedRequest{"CodingInHttp10", "POST /k HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"}),
-    [](const auto& refused) { return refused.param.name; });
-
-TEST(OriginForm, LeavesOutSchemeAndServer) {
+        RejectedRequest{"UnservedMethod", "PUT /k HTTP/1.1\r\nHost: x\r\n\r\n"},
+        RejectedRequest{"BareLineFeed", "GET /k HTTP/1.1\nHost: x\r\n\r\n"},
+        RejectedRequest{"BareCarriageReturn", "GET /k HTTP/1.1\rHost: x\r\n\r\n"},
+        RejectedRequest{"FoldedHeader", "GET /k HTTP/1.1\r\nX: a\r\n b\r\n\r\n"},
+        RejectedRequest{"ZeroByte", std::string("GET /k HTTP/1.1\r\nX: \0a\r\n\r\n", 26)},
+        RejectedRequest{"LengthAndCoding",
+                        Post("Content-Length: 1\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n")},
+        RejectedRequest{"TwoLengths", Post("Content-Length: 1\r\nContent-Length: 1\r\n", "x")},
+        RejectedRequest{"SignedLength", Post("Content-Length: +1\r\n", "x")},
+        RejectedRequest{"UnknownCoding", Post("Transfer-Encoding: gzip\r\n", "x")},
+        RejectedRequest{"CodingInHttp10", "POST /k HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"}),
+    [](const auto& rejected) { return rejected.param.name; });
+
+TEST(OriginForm, RemovesSchemeAndServer) {
   EXPECT_EQ(OriginForm("http://host:80/page/k?q=1"), "/page/k?q=1");
   EXPECT_EQ(OriginForm("HTTP://host"), "/");
   EXPECT_EQ(OriginForm("/page/k"), "/page/k");
--- a/tests/sidecar/request_validation_test.cpp
+++ b/tests/sidecar/request_validation_test.cpp
@@ -1,4 +1,4 @@
-// Which requests are of the protocol, by values alone.
+// Which requests conform to the client protocol, tested without a connection.
 #include "sidecar/request_validation.h"
 
 #include <chrono>
@@ -42,10 +42,10 @@
 
 class RequestValidation : public ::testing::Test {
  protected:
-  // The text of the error; empty for a valid request.
+  // Returns the text of the error; empty for a valid request.
   std::string Error(const HttpRequest& request, BodyDelivery body = BodyDelivery::kComplete) const {
-    const auto verdict = validator_.Validate(request, body);
-    const auto* error = std::get_if<RequestError>(&verdict);
+    const auto result = validator_.Validate(request, body);
+    const auto* error = std::get_if<RequestError>(&result);
     return error ? std::string(ToString(*error)) : "";
   }
 
@@ -53,16 +53,16 @@
   const RequestValidator validator_{settings_};
 };
 
-TEST_F(RequestValidation, ReadsWhatTheHeadersSay) {
+TEST_F(RequestValidation, ReadsTheHeaders) {
   HttpRequest request = Get("/read/a?b=c");
   request.set("X-Tenant-Id", "acme");
   request.set("X-Cost", "1500");
   request.set("X-Retried", "1");
 
-  const auto verdict = validator_.Validate(request, BodyDelivery::kComplete);
+  const auto result = validator_.Validate(request, BodyDelivery::kComplete);
 
-  ASSERT_TRUE(std::holds_alternative<ValidRequest>(verdict));
-  const auto& valid = std::get<ValidRequest>(verdict);
+  ASSERT_TRUE(std::holds_alternative<ValidRequest>(result));
+  const auto& valid = std::get<ValidRequest>(result);
   EXPECT_EQ(valid.request_class, ClassId{0});
   EXPECT_EQ(valid.wire_id, "r1");
   EXPECT_EQ(valid.timeout, milliseconds(200));
@@ -71,31 +71,31 @@
   EXPECT_TRUE(valid.client_retry);
 }
 
-TEST_F(RequestValidation, LeavesOutWhatIsUnknownOrUnreadable) {
+TEST_F(RequestValidation, IgnoresUnknownOrUnreadableValues) {
   HttpRequest request = Get("/read");
   request.set("X-Tenant-Id", "nobody");
   request.set("X-Cost", "much");
 
-  const auto verdict = validator_.Validate(request, BodyDelivery::kComplete);
+  const auto result = validator_.Validate(request, BodyDelivery::kComplete);
 
-  const auto& valid = std::get<ValidRequest>(verdict);
+  const auto& valid = std::get<ValidRequest>(result);
   EXPECT_FALSE(valid.tenant);
   EXPECT_FALSE(valid.work);
   EXPECT_FALSE(valid.client_retry);
 }
 
-TEST_F(RequestValidation, RefusesTargetsThatAreNotVisibleAscii) {
+TEST_F(RequestValidation, RejectsTargetsThatAreNotVisibleAscii) {
   EXPECT_EQ(Error(Get("/read/a b")), "bad target");
   EXPECT_EQ(Error(Get("/read/\x7f")), "bad target");
 }
 
-TEST_F(RequestValidation, RefusesUnknownClasses) {
+TEST_F(RequestValidation, RejectsUnknownClasses) {
   EXPECT_EQ(Error(Get("/")), "unknown class");
   EXPECT_EQ(Error(Get("read")), "unknown class");
   EXPECT_EQ(Error(Get("/reads/a")), "unknown class");
 }
 
-TEST_F(RequestValidation, DemandsTheMethodOfTheClass) {
+TEST_F(RequestValidation, RequiresTheMethodOfTheClass) {
   const std::string mismatch = "method or Idempotency-Key does not fit the class";
   HttpRequest get_with_body = Get("/read");
   get_with_body.body() = "x";
@@ -107,7 +107,7 @@
   EXPECT_EQ(Error(Post("/send"), BodyDelivery::kStreamed), "");
 }
 
-TEST_F(RequestValidation, DemandsAnIdempotencyKeyWhereTheClassHasOneAndOnlyThere) {
+TEST_F(RequestValidation, RequiresAnIdempotencyKeyOnlyIfTheClassHasOne) {
   const std::string mismatch = "method or Idempotency-Key does not fit the class";
   const auto with_key = [](const std::string& target, const std::string& key) {
     HttpRequest request = Post(target);
@@ -121,7 +121,7 @@
   EXPECT_EQ(Error(with_key("/send", "k1")), mismatch);
 }
 
-TEST_F(RequestValidation, DemandsOneVisibleRequestId) {
+TEST_F(RequestValidation, RequiresOneVisibleRequestId) {
   HttpRequest missing = Get("/read");
   missing.erase("X-Request-ID");
   HttpRequest twice = Get("/read");
@@ -134,7 +134,7 @@
   }
 }
 
-TEST_F(RequestValidation, DemandsATimeoutOfAtMostTwoDeadlines) {
+TEST_F(RequestValidation, RequiresATimeoutOfAtMostTwoDeadlines) {
   const auto with_timeout = [](const std::string& text) {
     HttpRequest request = Get("/read");
     request.set("X-Timeout-Ms", text);
--- a/tests/sidecar/response_writer_test.cpp
+++ b/tests/sidecar/response_writer_test.cpp
@@ -1,3 +1,4 @@
+// ResponseWriter on a connected pair of sockets: the bytes that a client receives, and the outcome reported.
 #include "sidecar/response_writer.h"
 
 #include <boost/optional.hpp>
@@ -12,7 +13,7 @@
 
 using Outcome = ResponseWriter::Outcome;
 
-constexpr std::size_t kCapacity = 1024;  // bytes, of a stream
+constexpr std::size_t kCapacity = 1024;  // of a stream, in bytes
 
 class ResponseWriterTest : public testing::SocketPairTest {
  protected:
@@ -99,7 +100,7 @@
   EXPECT_TRUE(CloseAndReceive().ends_with("\r\n\r\n3\r\nabc\r\n0\r\n\r\n"));
 }
 
-TEST_F(ResponseWriterTest, DelimitsAStreamToAnHttp10ClientByTheConnectionsEnd) {
+TEST_F(ResponseWriterTest, EndsAStreamToAnHttp10ClientByClosingTheConnection) {
   writer_.set_version(10);
   const Body stream = MakeStream(boost::none);
   EXPECT_FALSE(writer_.IsDelimited(*stream));
@@ -113,7 +114,7 @@
   EXPECT_TRUE(CloseAndReceive().ends_with("\r\n\r\nabc"));
 }
 
-TEST_F(ResponseWriterTest, ReportsABodyThatBreaksOff) {
+TEST_F(ResponseWriterTest, ReportsAnAbortedBody) {
   const Body stream = MakeStream(10);
   HttpResponse head(http::status::ok, 11);
   writer_.WriteStreamed(std::move(head), stream, true);
@@ -129,7 +130,7 @@
   HttpResponse head(http::status::ok, 11);
   writer_.WriteStreamed(std::move(head), stream, true);
   peer_.set_option(boost::asio::socket_base::linger(true, 0));
-  peer_.close();  // with a reset
+  peer_.close();  // closes with a reset
 
   RunUntil([&] {
     if (!outcome_) stream->Write("x", 1);
--- a/tests/streamed_bodies_test.cpp
+++ b/tests/streamed_bodies_test.cpp
@@ -1,4 +1,4 @@
-// Bodies over 64 KiB, which the real program streams between its two connections.
+// Bodies over 64 KiB, which the sidecar streams between its connections. Runs the real program.
 #include <atomic>
 #include <chrono>
 #include <cstddef>
@@ -17,7 +17,7 @@
 
 using std::chrono::milliseconds;
 
-// Bytes; more than the buffers of all sockets hold.
+// In bytes; more than the buffers of all sockets hold.
 constexpr std::size_t kLargeBody = std::size_t{32} * 1024 * 1024;
 
 std::string TextOfSize(std::size_t size) {
@@ -45,7 +45,7 @@
   return Eventually([&] { return client.wire.socket.available() > 0; });
 }
 
-// The peak of its resident memory, in MB.
+// Returns the peak of the process's resident memory, in MB.
 std::size_t PeakMemory(const SidecarProcess& sidecar) {
   std::ifstream status("/proc/" + std::to_string(sidecar.pid()) + "/status");
   std::string word;
@@ -57,15 +57,15 @@
 }
 
 #ifdef __SANITIZE_ADDRESS__
-// MB. The sanitizer keeps freed memory to find late uses.
+// In MB. The sanitizer retains freed memory to detect its use.
 constexpr std::size_t kMaxGrowth = 1024;
 #else
-constexpr std::size_t kMaxGrowth = 16;  // MB
+constexpr std::size_t kMaxGrowth = 16;  // in MB
 #endif
 
 TEST(StreamedResponse, ReachesSlowReadersWholeInBoundedMemory) {
   const std::string body = TextOfSize(kLargeBody);
-  // Made before the requests: on a busy machine that takes longer than a response may.
+  // Built before the requests, as on a busy machine that takes longer than a response may.
   const std::string chunked =
       "HTTP/1.1 200 OK\r\ntransfer-encoding: Chunked\r\n\r\n" + ToChunks(body, 100000);
   const std::string closed = "HTTP/1.0 200 OK\r\n\r\n" + body;
@@ -154,7 +154,7 @@
   }
 }
 
-// Once a hedged request's response has begun, the end of the first attempt does not end the request.
+// After the response to a hedged request has begun, the end of the first attempt must not end the request.
 TEST(StreamedResponse, GoesOnWhenAnotherAttemptEnds) {
   const std::string body = TextOfSize(4000000);
   Gate first_cancelled;
@@ -182,9 +182,9 @@
 
 TEST(StreamedRequest, ReachesTheUpstreamWholeInBoundedMemory) {
   const std::string body = TextOfSize(kLargeBody);
-  std::atomic<int> whole{0};
+  std::atomic<int> complete_bodies{0};
   Upstream upstream([&](Wire& wire, const Request& request, int) {
-    whole += request.body() == body;
+    complete_bodies += request.body() == body;
     wire.Answer(200, "done");
   });
   SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
@@ -192,10 +192,10 @@
   Client client(sidecar.port());
   ASSERT_TRUE(client.Post("/submit/k", "s", "x"));
   const std::size_t before = PeakMemory(sidecar);
-  const std::string expecting =
+  const std::string expect_headers =
       "Content-Length: " + std::to_string(kLargeBody) + "\r\nExpect: 100-continue\r\n";
   for (const std::string& text :
-       {PostHead("/submit/k", "a", expecting) + body,
+       {PostHead("/submit/k", "a", expect_headers) + body,
         PostHead("/submit/k", "b", "Transfer-Encoding: chunked\r\n") + ToChunks(body, 50000)}) {
     ASSERT_TRUE(client.Send(text));
     auto response = client.Read();
@@ -203,7 +203,7 @@
     ASSERT_TRUE(response);
     EXPECT_EQ(response->result_int(), 200U);
   }
-  EXPECT_EQ(whole, 2);
+  EXPECT_EQ(complete_bodies, 2);
   EXPECT_LT(PeakMemory(sidecar), before + kMaxGrowth);
 }
 
@@ -269,7 +269,8 @@
   ASSERT_TRUE(slow.Send(PostHead("/submit/k", "b", "Content-Length: 200000\r\n")));
   const std::string body = TextOfSize(200000);
   for (std::size_t i = 0; i < body.size(); i += 10000) {
-    std::this_thread::sleep_for(milliseconds(150));  // 3 s in all: longer than the header may take
+    std::this_thread::sleep_for(
+        milliseconds(150));  // 3 s in total: longer than the head of a request may take
     ASSERT_TRUE(slow.Send(body.substr(i, 10000)));
   }
   const auto response = slow.Read();
