--- a/balancer/load_prober.cpp
+++ b/balancer/load_prober.cpp
@@ -35,7 +35,7 @@
       slow_start_(slow_start),
       locality_(locality),
       requests_(requests) {
-  if (!settings.load_by_probe || !settings.limits.load_probes_allowed) return;
+  if (!settings.load_probes_report_load || !settings.limits.load_probes_allowed) return;
   cost_ = std::max(settings.decision_costs.probe, kMinProbeCost);
   probes_ = static_cast<std::size_t>(std::clamp(kMaxProbeCost / cost_, 1.0, kMaxProbes));
 }
--- a/balancer/poll_schedule.cpp
+++ b/balancer/poll_schedule.cpp
@@ -13,7 +13,7 @@
 // The pause is up to twice the backoff because of the jitter, plus the time until the next housekeeping.
 Duration MaxBackoff(const Settings& settings, Duration resolution) {
   return std::min(settings.fleet_limits.poll_interval_limit / kPollsWithinLimit,
-                  (kMaxPollPause - resolution) / 2);
+                  (kMaxPollRetryDelay - resolution) / 2);
 }
 
 }  // namespace
--- a/balancer/settings.h
+++ b/balancer/settings.h
@@ -54,7 +54,7 @@
 };
 
 // Polled membership: the maximum time from a failed poll to the next Subscribe.
-constexpr Duration kMaxPollPause = std::chrono::milliseconds(1750);
+constexpr Duration kMaxPollRetryDelay = std::chrono::milliseconds(1750);
 
 // The limits that the fleet as a whole must respect.
 struct FleetLimits {
@@ -92,7 +92,7 @@
   std::size_t sidecar_index = 0;          // this sidecar's number in the fleet, from 0
   bool polled_membership = false;         // membership updates arrive only after a Subscribe
   bool live_weights = false;              // listed weights follow the load and change with each list
-  bool load_by_probe = false;             // responses to load probes carry a LoadReport
+  bool load_probes_report_load = false;   // responses to load probes carry a LoadReport
   Limits limits;
   FleetLimits fleet_limits;
   DecisionCosts decision_costs;
--- a/lab/real/sidecar_config.cpp
+++ b/lab/real/sidecar_config.cpp
@@ -158,7 +158,7 @@
                  {"Limits", ToJson(settings.limits)},
                  {"Rules", ToJson(settings.fleet_limits)},
                  {"Prices", ToJson(settings.decision_costs)}};
-  if (settings.load_by_probe) params["Report"] = {{"How", "probe"}};
+  if (settings.load_probes_report_load) params["Report"] = {{"How", "probe"}};
   if (settings.live_weights) params["Weights"] = "live";
   return params;
 }
--- a/lab/spec/deployment.cpp
+++ b/lab/spec/deployment.cpp
@@ -287,7 +287,7 @@
   settings.sidecar_count = deployment.sidecars.size();
   settings.sidecar_index = self.index;
   settings.polled_membership = experiment.discovery.on_request;
-  settings.load_by_probe = experiment.sidecars.probes;
+  settings.load_probes_report_load = experiment.sidecars.probes;
   settings.limits.max_attempts = static_cast<std::size_t>(experiment.sidecars.max_attempts);
   settings.limits.hedging_allowed = experiment.sidecars.hedging_allowed;
   settings.limits.load_probes_allowed = experiment.sidecars.probes;
--- a/lab/virtual/hollow_sidecar_exchange.cpp
+++ b/lab/virtual/hollow_sidecar_exchange.cpp
@@ -120,7 +120,7 @@
 void HollowSidecar::Answered(ExchangeId id, ServeResult result, const LoadReport& load) {
   switch (result) {
     case ServeResult::kServed:
-      return EndExchange(id, Outcome::kServed, true, settings_.load_by_probe ? load : LoadReport{});
+      return EndExchange(id, Outcome::kServed, true, settings_.load_probes_report_load ? load : LoadReport{});
     case ServeResult::kTurnedAway:
       return EndExchange(id, Outcome::kRejected, true);
     case ServeResult::kReset:
--- a/settings/config.cpp
+++ b/settings/config.cpp
@@ -15,8 +15,8 @@
 
 using nlohmann::json;
 
-// With a lower limit, too few descriptors remain beside the fixed ones (Descriptors::kFixed) and those of the
-// admin interface.
+// With a lower limit, too few descriptors remain beside the fixed ones (Descriptors::kReservedDescriptors)
+// and those of the admin interface.
 constexpr std::size_t kMinSockets = 64;
 // Limits of the bytes buffered of one streamed body: the minimum is one memory page, the maximum is what a
 // connection reads at once.
--- a/settings/settings_reader.cpp
+++ b/settings/settings_reader.cpp
@@ -54,7 +54,7 @@
   if (GetOptional<std::string>(params, "MembershipMode")) {
     s.polled_membership = GetEnum(params, "MembershipMode", kModes);
   }
-  s.load_by_probe = GetOptional<std::string>(GetSection(params, "Report"), "How") == "probe";
+  s.load_probes_report_load = GetOptional<std::string>(GetSection(params, "Report"), "How") == "probe";
   s.live_weights = GetOptional<std::string>(params, "Weights") == "live";
 
   const json& limits = GetSection(params, "Limits");
--- a/sidecar/acceptor.h
+++ b/sidecar/acceptor.h
@@ -60,9 +60,9 @@
     // connection is in the backlog before it calls `ensure_capacity`. Null: there is always room.
     std::function<bool()> has_capacity;
     // Receives an accepted, non-blocking socket.
-    std::function<void(Socket)> on_taken;
+    std::function<void(Socket)> on_accepted;
     // The process is out of descriptors: the owner may close a connection. Null: the owner has none to close.
-    std::function<void()> on_process_shortage;
+    std::function<void()> on_out_of_descriptors;
   };
 
   // `listener`: the name of the socket in the log. `protocol`: of the acceptor. `acceptor` has to outlive the
@@ -150,7 +150,7 @@
       if (!result.error) {
         socket.non_blocking(true, result.error);
         next_pause_ = kFirstPause;
-        owner_.on_taken(std::move(socket));
+        owner_.on_accepted(std::move(socket));
         return result.status;
       }
       unregistered_descriptor_ = result.descriptor;
@@ -161,8 +161,8 @@
       return result.status;
     }
     HandleAcceptError(result.error);
-    if (result.status == AcceptStatus::kProcessOutOfDescriptors && owner_.on_process_shortage) {
-      owner_.on_process_shortage();
+    if (result.status == AcceptStatus::kProcessOutOfDescriptors && owner_.on_out_of_descriptors) {
+      owner_.on_out_of_descriptors();
     }
     return result.status;
   }
--- a/sidecar/body_stream.h
+++ b/sidecar/body_stream.h
@@ -54,10 +54,10 @@
   }
   // Ends the body as incomplete, unless it is finished.
   void AbortByWriter() {
-    broken_ = !finished_;
+    aborted_ = !finished_;
     PostHook(&BodyStream::on_data);
   }
-  bool left() const { return abandoned_; }
+  bool abandoned_by_reader() const { return abandoned_; }
 
   // ---- The reader's side ----
 
@@ -78,8 +78,8 @@
     PostHook(&BodyStream::on_capacity);
     return std::exchange(buffered_, {});
   }
-  bool ended() const { return finished_ && buffered_.empty(); }
-  bool broken() const { return broken_; }
+  bool fully_read() const { return finished_ && buffered_.empty(); }
+  bool aborted() const { return aborted_; }
   bool finished() const { return finished_; }
   // Some of the body has been read, so it can't be sent to another upstream.
   bool consumed() const { return consumed_; }
@@ -105,7 +105,7 @@
   const boost::optional<std::uint64_t> length_;
   std::string buffered_;
   bool finished_ = false;
-  bool broken_ = false;
+  bool aborted_ = false;
   bool abandoned_ = false;
   bool consumed_ = false;
 };
--- a/sidecar/descriptors.h
+++ b/sidecar/descriptors.h
@@ -11,10 +11,11 @@
  public:
   // The number of descriptors reserved for what is always open: standard streams, event loop, timer, signals,
   // listening socket, and the connection to discovery together with its successor; includes a few spare ones.
-  static constexpr std::size_t kFixed = 16;
+  static constexpr std::size_t kReservedDescriptors = 16;
 
   // `limit`: the number of descriptors that the process may have. `fixed`: how many of them are reserved.
-  explicit Descriptors(std::size_t limit, std::size_t fixed = kFixed) : limit_(limit), fixed_(fixed) {}
+  explicit Descriptors(std::size_t limit, std::size_t fixed = kReservedDescriptors)
+      : limit_(limit), fixed_(fixed) {}
 
   enum class Side { kClient, kUpstream };
 
--- a/sidecar/discovery_client.h
+++ b/sidecar/discovery_client.h
@@ -48,7 +48,7 @@
 constexpr Duration kServiceCallTimeout = std::chrono::milliseconds(2000);
 static_assert(kServiceWatch + kServiceWatchTimeout + kServiceRetryDelay + kServiceCallTimeout <=
               kNotificationLimit);
-static_assert(kServiceCallTimeout + kMaxPollPause + kServiceCallTimeout <= kNotificationLimit);
+static_assert(kServiceCallTimeout + kMaxPollRetryDelay + kServiceCallTimeout <= kNotificationLimit);
 
 // Returns the backoff after `failures` consecutive failures. The backoff grows up to `longest` and is
 // multiplied by a factor between 0.5 and 1, because other sidecars may have lost discovery at the same time.
@@ -82,7 +82,7 @@
   // force until the response arrives.
   void MoveTo(Endpoint endpoint);
   // Requests the whole list immediately instead of changes.
-  void AskForAll() { MoveTo(endpoint_); }
+  void RequestFullList() { MoveTo(endpoint_); }
 
  private:
   void HandleResponse(DiscoveryCall& call, const std::string& body) override;
--- a/sidecar/hot_restart.cpp
+++ b/sidecar/hot_restart.cpp
@@ -180,8 +180,8 @@
         io_, acceptor_, log_, "hot_restart", Local(),
         AcceptLoop<Local>::Owner{.ensure_capacity = nullptr,
                                  .has_capacity = nullptr,
-                                 .on_taken = [this](Socket next) { HandleNextConnected(std::move(next)); },
-                                 .on_process_shortage = nullptr});
+                                 .on_accepted = [this](Socket next) { HandleNextConnected(std::move(next)); },
+                                 .on_out_of_descriptors = nullptr});
     return accept_loop_->Start();
   }
   if (listen_backoff_ == Duration::zero()) {
--- a/sidecar/request_writer.cpp
+++ b/sidecar/request_writer.cpp
@@ -52,10 +52,10 @@
 }
 
 RequestWriter::NextPiece RequestWriter::TakeNextPiece() {
-  if (body_->broken()) return NextPiece::kAbandoned;
+  if (body_->aborted()) return NextPiece::kAbandoned;
   piece_ = body_->Read();
   const bool is_chunked = !body_->length();
-  const bool is_last = body_->ended() && (piece_.empty() || !is_chunked);
+  const bool is_last = body_->fully_read() && (piece_.empty() || !is_chunked);
   piece_end_ = is_last ? LastByte::kIncluded : LastByte::kFollows;
   if (!piece_.empty()) return NextPiece::kTaken;
   if (!is_last) return NextPiece::kAwaited;
--- a/sidecar/response_body.h
+++ b/sidecar/response_body.h
@@ -32,7 +32,7 @@
                       boost::optional<std::uint64_t> length, BodyStream::Hook on_capacity);
   bool is_streaming() const { return stream_ != nullptr; }
   bool HasCapacity() const { return !stream_ || stream_->HasCapacity(); }
-  bool IsAbandonedByReader() const { return stream_ && stream_->left(); }
+  bool IsAbandonedByReader() const { return stream_ && stream_->abandoned_by_reader(); }
   // The body is complete. Finishes the stream, if there is one.
   void Finish();
   // The body will never be complete. Aborts the stream, if there is one.
--- a/sidecar/response_writer.cpp
+++ b/sidecar/response_writer.cpp
@@ -147,8 +147,8 @@
 
 void ResponseWriter::WritePiece() {
   writing_piece_ = false;
-  if (body_->broken()) return Finish(Outcome::kBodyAborted);
-  if (body_->ended()) return WriteEnd();
+  if (body_->aborted()) return Finish(Outcome::kBodyAborted);
+  if (body_->fully_read()) return WriteEnd();
   piece_ = body_->Read();
   if (piece_.empty()) return;  // on_data is called when there is more
   writing_piece_ = true;
--- a/sidecar/sidecar.cpp
+++ b/sidecar/sidecar.cpp
@@ -52,7 +52,7 @@
 }
 
 std::size_t FixedDescriptors(const Config& config) {
-  return Descriptors::kFixed + (config.admin ? AdminInterface::kDescriptors : 0);
+  return Descriptors::kReservedDescriptors + (config.admin ? AdminInterface::kDescriptors : 0);
 }
 
 }  // namespace
@@ -74,7 +74,7 @@
            }}),
       balancer_clock_(io, [this] { host_.FireDueTimers(); }),
       host_(config.settings, config.seed, balancer_clock_, *this),
-      upstreams_(io, config.settings.limits, config.settings.load_by_probe, config.stream_capacity,
+      upstreams_(io, config.settings.limits, config.settings.load_probes_report_load, config.stream_capacity,
                  descriptors_),
       membership_(config.settings.fleet_limits.slow_start_duration, host_, upstreams_, log_),
       discovery_(
@@ -172,7 +172,7 @@
 }
 
 void Sidecar::ApplyEndpointList(EndpointList list) {
-  if (membership_.Apply(std::move(list)) == NextList::kWhole) discovery_.AskForAll();
+  if (membership_.Apply(std::move(list)) == NextList::kWhole) discovery_.RequestFullList();
 }
 
 void Sidecar::CloseIdleConnections(const lb::CloseIdleConnections& action) {
--- a/sidecar/upstreams.cpp
+++ b/sidecar/upstreams.cpp
@@ -23,10 +23,10 @@
 
 }  // namespace
 
-Upstreams::Upstreams(boost::asio::io_context& io, const lb::Limits& limits, bool load_by_probe,
+Upstreams::Upstreams(boost::asio::io_context& io, const lb::Limits& limits, bool load_probes_report_load,
                      std::size_t stream_capacity, Descriptors& descriptors)
     : context_{io, descriptors, *this, limits.connect_timeout, stream_capacity},
-      probe_target_(load_by_probe ? kLoadPath : kAlivePath),
+      probe_target_(load_probes_report_load ? kLoadPath : kAlivePath),
       connection_pool_(context_, limits.idle_close) {}
 
 Upstreams::~Upstreams() {
--- a/sidecar/upstreams.h
+++ b/sidecar/upstreams.h
@@ -28,10 +28,10 @@
   using ExchangeRequest = sidecar::ExchangeRequest;
   using OnFinished = ExchangeRequest::OnFinished;
 
-  // `load_by_probe`: load probes request the upstream's load report; otherwise they only check that it
-  // responds. `stream_capacity`: bytes buffered of each streamed response. `io` and `descriptors` must
+  // `load_probes_report_load`: load probes request the upstream's load report; otherwise they only check that
+  // it responds. `stream_capacity`: bytes buffered of each streamed response. `io` and `descriptors` must
   // outlive this object.
-  Upstreams(boost::asio::io_context& io, const lb::Limits& limits, bool load_by_probe,
+  Upstreams(boost::asio::io_context& io, const lb::Limits& limits, bool load_probes_report_load,
             std::size_t stream_capacity, Descriptors& descriptors);
   // Closes all connections. The callbacks of unfinished exchanges are never called.
   ~Upstreams() override;
--- a/tests/accept_faults_test.cpp
+++ b/tests/accept_faults_test.cpp
@@ -19,7 +19,7 @@
 
 struct AcceptCase {
   int error;
-  bool loses_connection;  // whether the waiting connection is lost, as on Linux
+  bool drops_connection;  // whether the waiting connection is lost, as on Linux
 };
 
 std::string AcceptName(const ::testing::TestParamInfo<AcceptCase>& row) {
@@ -31,7 +31,7 @@
   Fault AcceptFault(std::uint16_t port, int times = -1) const {
     return {.call = SystemCall::kAccept,
             .error = GetParam().error,
-            .loses_connection = GetParam().loses_connection,
+            .drops_connection = GetParam().drops_connection,
             .times = times,
             .on = Descriptor::kListening,
             .port = port};
@@ -48,14 +48,14 @@
     ASSERT_TRUE(faults_.WaitUntilForced(fault));
     // An idle connection may be closed if this process itself has no descriptor left.
     if (GetParam().error != EMFILE) {
-      EXPECT_EQ(Ask(*client_, "open" + std::to_string(port)), 200u);
+      EXPECT_EQ(RequestStatus(*client_, "open" + std::to_string(port)), 200u);
     }
-    if (!GetParam().loses_connection && port == sidecar_->port()) {
-      EXPECT_EQ(Ask(delayed, "waited"), 200u);
+    if (!GetParam().drops_connection && port == sidecar_->port()) {
+      EXPECT_EQ(RequestStatus(delayed, "waited"), 200u);
     }
   }
   Client next(sidecar_->port());
-  EXPECT_EQ(Ask(next, "next"), 200u);
+  EXPECT_EQ(RequestStatus(next, "next"), 200u);
   EXPECT_NE(sidecar_->Status("GET", "/ready"), 0u);
 }
 
@@ -64,17 +64,17 @@
 TEST_P(FailingAccept, ForAWhileDelaysOnlyNewConnections) {
   Start();
   Fault persistent = AcceptFault(sidecar_->port());
-  persistent.loses_connection = false;
+  persistent.drops_connection = false;
   const auto fault = faults_.Force(persistent);
   Client waiting_client(sidecar_->port());
   for (int i = 1; i <= 8; ++i) {
     ASSERT_TRUE(faults_.WaitUntilForced(fault, i));
     if (GetParam().error != EMFILE) {
-      ASSERT_EQ(Ask(*client_, "open" + std::to_string(i)), 200u);
+      ASSERT_EQ(RequestStatus(*client_, "open" + std::to_string(i)), 200u);
     }
   }
   faults_.Stop(fault);
-  EXPECT_EQ(Ask(waiting_client, "waits"), 200u);
+  EXPECT_EQ(RequestStatus(waiting_client, "waits"), 200u);
   EXPECT_LT(faults_.forced(fault), 1000);
 }
 
@@ -88,12 +88,12 @@
   ASSERT_TRUE(client_->Send(GetText("/page/held", "held", kDeadlineMs)));
   ASSERT_TRUE(Eventually([this] { return upstreams_[0]->requests().size() == 2; }));
   Fault persistent = AcceptFault(sidecar_->port());
-  persistent.loses_connection = false;
+  persistent.drops_connection = false;
   const auto fault = faults_.Force(persistent);
   Client waiting_client(sidecar_->port());
   ASSERT_TRUE(faults_.WaitUntilForced(fault, 4));
   gate.Open();
-  const auto answer = AnswerAtOnce(*client_);
+  const auto answer = ReadResponseInTime(*client_);
   ASSERT_TRUE(answer.has_value());
   EXPECT_EQ(answer->result_int(), 200u);
 }
@@ -103,7 +103,7 @@
 TEST_P(FailingAccept, OnceDoesNotDelayShutdown) {
   Start();
   Fault once = AcceptFault(sidecar_->port(), 1);
-  once.loses_connection = false;
+  once.drops_connection = false;
   const auto fault = faults_.Force(once);
   sidecar_->Signal(SIGTERM);
   ASSERT_TRUE(faults_.WaitUntilForced(fault));
@@ -114,14 +114,14 @@
 TEST_P(FailingAccept, DuringShutdownExtendsAccepting) {
   Start();
   Fault persistent = AcceptFault(sidecar_->port());
-  persistent.loses_connection = false;
-  persistent.lasting = kPastAcceptWhileStopping;
+  persistent.drops_connection = false;
+  persistent.duration = kPastAcceptWhileStopping;
   const auto fault = faults_.Force(persistent);
   Client waiting_client(sidecar_->port());
   ASSERT_TRUE(waiting_client.Send(GetText("/page/waits", "waits", kDeadlineMs)));
   sidecar_->Signal(SIGTERM);
   ASSERT_TRUE(faults_.WaitUntilForced(fault, 2));
-  const auto answer = AnswerAtOnce(waiting_client);
+  const auto answer = ReadResponseInTime(waiting_client);
   ASSERT_TRUE(answer.has_value());
   EXPECT_EQ(answer->result_int(), 200u);
   EXPECT_EQ(sidecar_->Wait(), 0);
@@ -131,7 +131,7 @@
 TEST_P(FailingAccept, ForeverDoesNotPreventShutdown) {
   Start();
   Fault persistent = AcceptFault(sidecar_->port());
-  persistent.loses_connection = false;
+  persistent.drops_connection = false;
   faults_.Force(persistent);
   Client waiting_client(sidecar_->port());
   sidecar_->Signal(SIGTERM);
--- a/tests/admin_interface_test.cpp
+++ b/tests/admin_interface_test.cpp
@@ -30,7 +30,7 @@
     const auto response = connection.Read();
     ASSERT_TRUE(response) << bad.substr(0, 40);
     EXPECT_EQ(response->result_int() / 100, 4U) << bad.substr(0, 40);
-    EXPECT_TRUE(connection.wire.ReadsEnd());
+    EXPECT_TRUE(connection.wire.ReadUntilClosed());
   }
   ASSERT_TRUE(sidecar.Listening());
   EXPECT_TRUE(HealthCheckBecomes(sidecar, 200)) << "a rejected command started connection draining";
@@ -62,7 +62,7 @@
   const int descriptors = sidecar.descriptors();
   EXPECT_LE(descriptors, 40) << "silent connections are not limited";
   EXPECT_EQ(sidecar.Status("GET", "/ready"), 200U);
-  for (const auto& connection : silent) EXPECT_TRUE(connection->wire.ReadsEnd());
+  for (const auto& connection : silent) EXPECT_TRUE(connection->wire.ReadUntilClosed());
 }
 
 TEST(AdminInterface, IsReadyOnceAnEndpointListIsReceived) {
@@ -72,7 +72,7 @@
   options.discovery = discovery.address();
   SidecarProcess sidecar(options);
   EXPECT_EQ(sidecar.Status("GET", "/ready"), 503U);
-  discovery.Tell(List({Target("u1", upstream.address())}));
+  discovery.Publish(List({Target("u1", upstream.address())}));
   EXPECT_TRUE(Eventually([&] { return sidecar.Status("GET", "/ready") == 200; }));
 }
 
--- a/tests/attempt_outcome_test.cpp
+++ b/tests/attempt_outcome_test.cpp
@@ -41,7 +41,7 @@
 }
 
 TEST(AttemptOutcome, RefusedConnectionProvesThatNothingRan) {
-  Refusing refusing;
+  RefusingAddress refusing;
   EXPECT_EQ(NonIdempotentStatus(refusing.address(), 5000), 503U);
 }
 
@@ -112,7 +112,7 @@
 }
 
 TEST(AttemptOutcome, RejectionCarriesRetryAfter) {
-  Refusing refusing;
+  RefusingAddress refusing;
   SidecarProcess sidecar(With(List({Target("u1", refusing.address())})));
   ASSERT_TRUE(sidecar.Listening());
   Client client(sidecar.port());
@@ -196,7 +196,7 @@
   Client client(sidecar.port());
   ASSERT_TRUE(client.Send(PostText("/keyed/k", "a1", "x", 15000, "Idempotency-Key: 1\r\n")));
   ASSERT_TRUE(Eventually([&] { return resets.requests().size() == 1; }));
-  discovery.Tell(List({first, Target("u2", late.address())}));
+  discovery.Publish(List({first, Target("u2", late.address())}));
   const int calls_before = discovery.calls();  // the next call is made after the list was applied
   ASSERT_TRUE(Eventually([&] { return discovery.calls() > calls_before; }));
   list_applied = true;
--- a/tests/balancer/load_prober_test.cpp
+++ b/tests/balancer/load_prober_test.cpp
@@ -7,7 +7,7 @@
 
 Settings ProbingSettings(double probe_cost) {
   Settings settings = DefaultSettings();
-  settings.load_by_probe = true;
+  settings.load_probes_report_load = true;
   settings.limits.load_probes_allowed = true;
   settings.decision_costs.probe = probe_cost;
   return settings;
--- a/tests/balancer/poll_schedule_test.cpp
+++ b/tests/balancer/poll_schedule_test.cpp
@@ -42,7 +42,7 @@
   for (int i = 0; i < 20; ++i) longest = std::max(longest, NextPause());
 
   EXPECT_GT(longest, first);
-  EXPECT_LE(longest, kMaxPollPause);
+  EXPECT_LE(longest, kMaxPollRetryDelay);
 }
 
 TEST_F(PollScheduleTest, ResetsTheBackoffAfterASuccess) {
@@ -50,7 +50,7 @@
 
   schedule_.OnSuccess();
 
-  EXPECT_LE(NextPause(), kMaxPollPause / 2);
+  EXPECT_LE(NextPause(), kMaxPollRetryDelay / 2);
 }
 
 TEST(PollSchedule, IsNeverDueWhereMembershipIsPushed) {
--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -40,7 +40,7 @@
   EXPECT_GT(third, first);
   for (int i = 0; i < 20; ++i) third = std::max(third, fail_and_wait_for_poll());
   EXPECT_LT(third, settings.fleet_limits.poll_interval_limit);
-  EXPECT_LE(third, kMaxPollPause);
+  EXPECT_LE(third, kMaxPollRetryDelay);
   harness.ReplaceList({MakeUpstream("a"), MakeUpstream("b")});
   EXPECT_LT(fail_and_wait_for_poll(), settings.fleet_limits.poll_interval_limit / 4);
 }
--- a/tests/client_connection_test.cpp
+++ b/tests/client_connection_test.cpp
@@ -149,7 +149,7 @@
   Upstream upstream([&](Wire& wire, const Request& request, int number) {
     if (number > 0) return void(wire.Answer(200, std::string(request.target())));
     request_received.Open();
-    ended.set_value(wire.ReadsEnd());
+    ended.set_value(wire.ReadUntilClosed());
   });
   SidecarProcess sidecar(With(List({Target("u1", upstream.address()), Target("u2", upstream.address())})));
   ASSERT_TRUE(sidecar.Listening());
@@ -259,7 +259,7 @@
 // A streamed body that arrives one byte at a time has a time limit too, although its upstream reads all of
 // it.
 TEST(ClientConnection, AnswersATricklingBodyWith408) {
-  Peer upstream([](Wire& wire, int) { wire.ReadsEnd(); });
+  Peer upstream([](Wire& wire, int) { wire.ReadUntilClosed(); });
   SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
   ASSERT_TRUE(sidecar.Listening());
   Client client(sidecar.port());
@@ -329,7 +329,7 @@
     if (half_closes) ShutDownSending(client);
     upstream.WaitForHeldRequest();
     sidecar.Signal(SIGTERM);
-    EXPECT_TRUE(idle_client.wire.ReadsEnd());  // the planned stop has begun
+    EXPECT_TRUE(idle_client.wire.ReadUntilClosed());  // the planned stop has begun
     upstream.Release();
     for (int i = 0; i < 3; ++i) {
       const auto response = ReadFinalResponse(client);
@@ -337,7 +337,7 @@
       EXPECT_EQ(response->body(), "/page/" + std::to_string(i));
       EXPECT_EQ(response->keep_alive(), i < 2);
     }
-    EXPECT_TRUE(client.wire.ReadsEnd());
+    EXPECT_TRUE(client.wire.ReadUntilClosed());
     EXPECT_EQ(sidecar.Wait(), 0);
   }
 }
--- a/tests/client_deadline_test.cpp
+++ b/tests/client_deadline_test.cpp
@@ -100,7 +100,7 @@
     const std::string text = PostText("/submit/k", "a1", std::string(size, 'x'), kTimeout);
     ASSERT_TRUE(Eventually([&] { return discovery.calls() > 1; }));  // the sidecar watches the list
     ASSERT_NO_FATAL_FAILURE(SendAndConnect(client, text, unreachable));
-    discovery.Tell(List({Target("u1", unreachable.address()), Target("u2", upstream.address())}));
+    discovery.Publish(List({Target("u1", unreachable.address()), Target("u2", upstream.address())}));
     const auto answer = client.Read();
     ASSERT_TRUE(answer);
     ASSERT_EQ(answer->result_int(), 200U);
@@ -112,7 +112,7 @@
 // long before the connection would be given up.
 TEST(UpstreamTimeout, EndsARequestWhoseBodyIsNotRead) {
   BlackHole unreachable;
-  Peer silent_upstream([](Wire& wire, int) { wire.ReadsEnd(); }, true);
+  Peer silent_upstream([](Wire& wire, int) { wire.ReadUntilClosed(); }, true);
   Gate over;
   Peer hanging_upstream([&](Wire&, int) { over.Pass(); }, true);
   struct Case {
@@ -321,7 +321,7 @@
   const std::string text = PostText("/submit/k", "a", "x", 15000);
   ASSERT_TRUE(Eventually([&] { return discovery.calls() > 1; }));  // the sidecar watches the list
   ASSERT_NO_FATAL_FAILURE(SendAndConnect(client, text, unreachable));
-  discovery.Tell(List({Target("u1", unreachable.address()), Target("u2", upstream.address())}));
+  discovery.Publish(List({Target("u1", unreachable.address()), Target("u2", upstream.address())}));
   const int calls = discovery.calls();
   ASSERT_TRUE(Eventually([&] { return discovery.calls() > calls; }));
   DisconnectDuringPause(
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -23,7 +23,7 @@
   Upstream b(Upstream::Echo("b"));
   Discovery first(List({Target("u1", a.address())}));
   for (int i = 0; i < 5; ++i)
-    first.Tell(List({Target("u1", a.address())}));  // a higher revision than the second service has
+    first.Publish(List({Target("u1", a.address())}));  // a higher revision than the second service has
   Discovery second(List({Target("u2", b.address())}));
   SidecarProcess::Options options = With(nullptr);
   options.discovery = first.address();
@@ -32,12 +32,12 @@
   ASSERT_TRUE(BecomesServedBy(sidecar, "a /page/k"));
   sidecar.Reload(ConfigWithDiscovery(sidecar, second.address()));  // while a watch is open
   EXPECT_TRUE(BecomesServedBy(sidecar, "b /page/k"));
-  first.Set(Discovery::Mood::kBreaks);
+  first.Set(Discovery::ResponseMode::kClosesConnection);
   sidecar.Reload(ConfigWithDiscovery(sidecar, first.address()));
   ASSERT_TRUE(Eventually([&] { return sidecar.log().find("discovery_failed") != std::string::npos; }));
   EXPECT_TRUE(BecomesServedBy(sidecar, "b /page/k"));  // the previous list stays in force
   for (int i = 0; i < 3; ++i) sidecar.Reload(ConfigWithDiscovery(sidecar, second.address()));
-  second.Tell(List({Target("u1", a.address())}));
+  second.Publish(List({Target("u1", a.address())}));
   EXPECT_TRUE(BecomesServedBy(sidecar, "a /page/k"));
   sidecar.Signal(SIGTERM);
   sidecar.Reload(ConfigWithDiscovery(sidecar, first.address()));  // while draining
@@ -71,7 +71,7 @@
     sidecar.Reload(text);
     EXPECT_TRUE(Eventually([&] { return faults() > before; })) << text;
   }
-  discovery.Tell(List({Target("u2", b.address())}));
+  discovery.Publish(List({Target("u2", b.address())}));
   EXPECT_TRUE(BecomesServedBy(sidecar, "b /page/k"));
 }
 
@@ -132,7 +132,7 @@
   ASSERT_TRUE(sidecar.Listening());
   ASSERT_TRUE(Eventually([&] { return discovery.calls() > 1; }));
   EXPECT_EQ(up(sidecar), 503U);
-  discovery.Tell(list);
+  discovery.Publish(list);
   EXPECT_TRUE(Eventually([&] { return up(sidecar) == 200U; }));
 }
 
--- a/tests/connection_pool_test.cpp
+++ b/tests/connection_pool_test.cpp
@@ -56,7 +56,7 @@
   Peer peer([&](Wire& wire, int) {
     if (!wire.ReadRequest()) return;
     wire.Answer(200, "x");
-    ended.set_value(wire.ReadsEnd());
+    ended.set_value(wire.ReadUntilClosed());
   });
   json settings = Settings();
   settings["Limits"]["IdleClose"] = 1500000;
--- a/tests/descriptor_limit_test.cpp
+++ b/tests/descriptor_limit_test.cpp
@@ -101,7 +101,7 @@
     ASSERT_TRUE(response) << i;
     EXPECT_EQ(response->result_int(), 200U);
   }
-  for (const auto& client : silent) EXPECT_TRUE(client->wire.ReadsEnd());
+  for (const auto& client : silent) EXPECT_TRUE(client->wire.ReadUntilClosed());
 }
 
 // Idle clients take all descriptors meant for clients while discovery is down. The connections to discovery,
@@ -115,7 +115,7 @@
     const Folder folder;
     Upstream upstream(Upstream::Echo("u1"));
     Discovery discovery(List({Target("u1", upstream.address())}));
-    discovery.Set(Discovery::Mood::kBreaks);
+    discovery.Set(Discovery::ResponseMode::kClosesConnection);
     SidecarProcess::Options options = WithAdmin(json::array(), folder.path());
     options.discovery = discovery.address();
     options.sockets = limit;
@@ -129,7 +129,7 @@
     }
     EXPECT_LE(sidecar.descriptors(), limit);
     EXPECT_EQ(sidecar.Status("GET", "/ready"), 503U);
-    discovery.Set(Discovery::Mood::kAnswers);
+    discovery.Set(Discovery::ResponseMode::kResponds);
     EXPECT_TRUE(Eventually([&] { return sidecar.Status("GET", "/ready") == 200U; }));
     Client usual_client(sidecar.port());
     const auto response = usual_client.Get("/page/k", "a");
--- a/tests/discovery_client_test.cpp
+++ b/tests/discovery_client_test.cpp
@@ -20,7 +20,8 @@
 TEST(DiscoveryClient, RecoversFromBrokenSilentAndMalformedDiscovery) {
   Upstream a(Upstream::Echo("a"));
   Upstream b(Upstream::Echo("b"));
-  for (const auto mode : {Discovery::Mood::kBreaks, Discovery::Mood::kMalformed, Discovery::Mood::kSilent}) {
+  for (const auto mode : {Discovery::ResponseMode::kClosesConnection, Discovery::ResponseMode::kMalformed,
+                          Discovery::ResponseMode::kSilent}) {
     Discovery discovery(List({Target("u1", a.address())}));
     SidecarProcess::Options options = With(nullptr);
     options.discovery = discovery.address();
@@ -31,8 +32,8 @@
     discovery.Set(mode);
     ASSERT_TRUE(Eventually([&] { return discovery.calls() > calls + 1; }));
     EXPECT_TRUE(BecomesServedBy(sidecar, "a /page/k"));  // the previous list stays in force
-    discovery.Tell(List({Target("u2", b.address())}));
-    discovery.Set(Discovery::Mood::kAnswers);
+    discovery.Publish(List({Target("u2", b.address())}));
+    discovery.Set(Discovery::ResponseMode::kResponds);
     EXPECT_TRUE(BecomesServedBy(sidecar, "b /page/k"));
   }
 }
@@ -57,10 +58,10 @@
 }
 
 TEST(DiscoveryClient, RetriesASilentAgentWithinTheGrace) {
-  Upstream hung([](Wire& wire, const Request&, int) { wire.ReadsEnd(); });
+  Upstream hung([](Wire& wire, const Request&, int) { wire.ReadUntilClosed(); });
   Peer agent([](Wire& wire, int) {
     wire.ReadRequest();
-    wire.ReadsEnd();
+    wire.ReadUntilClosed();
   });
   json settings = Settings();
   settings["Rules"]["StopSendingWithin"] = 40000;
@@ -149,7 +150,7 @@
   }
   EXPECT_LE(kServiceWatch + kServiceWatchTimeout + kServiceRetryDelay + kServiceCallTimeout,
             kNotificationLimit);
-  EXPECT_LE(kServiceCallTimeout + lb::kMaxPollPause + kServiceCallTimeout, kNotificationLimit);
+  EXPECT_LE(kServiceCallTimeout + lb::kMaxPollRetryDelay + kServiceCallTimeout, kNotificationLimit);
 }
 
 }  // namespace
--- a/tests/discovery_stand_in.cpp
+++ b/tests/discovery_stand_in.cpp
@@ -28,7 +28,7 @@
   peer_.reset();
 }
 
-void Discovery::Tell(const json& targets, bool all) {
+void Discovery::Publish(const json& targets, bool all) {
   const std::lock_guard lock(mutex_);
   targets_ = targets;
   all_ = all;
@@ -36,7 +36,7 @@
   changed_.notify_all();
 }
 
-void Discovery::Set(Mood mood) {
+void Discovery::Set(ResponseMode mood) {
   const std::lock_guard lock(mutex_);
   mood_ = mood;
   changed_.notify_all();
@@ -50,15 +50,16 @@
     if (const auto at = target.find("index="); at != std::string::npos) {
       const int index = std::stoi(target.substr(at + 6));
       const auto wait = milliseconds(std::stoi(target.substr(target.find("wait=") + 5)));
-      const Mood before = mood_;
+      const ResponseMode before = mood_;
       changed_.wait_for(lock, wait, [&] { return stopping_ || revision_ > index || mood_ != before; });
     } else {
       ++lists_;
     }
-    if (mood_ == Mood::kSilent) changed_.wait(lock, [&] { return stopping_ || mood_ != Mood::kSilent; });
-    if (stopping_ || mood_ == Mood::kBreaks) return;
+    if (mood_ == ResponseMode::kSilent)
+      changed_.wait(lock, [&] { return stopping_ || mood_ != ResponseMode::kSilent; });
+    if (stopping_ || mood_ == ResponseMode::kClosesConnection) return;
     std::string body = json{{"rev", revision_}, {"all", all_}, {"targets", targets_}}.dump();
-    if (mood_ == Mood::kMalformed) body = R"({"rev":99,"all":true,"targets":[{"uid":7}]})";
+    if (mood_ == ResponseMode::kMalformed) body = R"({"rev":99,"all":true,"targets":[{"uid":7}]})";
     lock.unlock();
     if (!wire.Answer(200, body)) return;
   }
--- a/tests/discovery_stand_in.h
+++ b/tests/discovery_stand_in.h
@@ -27,20 +27,20 @@
 // Serves one endpoint list on a loopback port, with watches, until its destruction.
 class Discovery {
  public:
-  enum class Mood {
-    kAnswers,    // responds as a discovery service does
-    kSilent,     // reads calls and does not respond
-    kBreaks,     // closes the connection instead of responding
-    kMalformed,  // responds with an invalid list
+  enum class ResponseMode {
+    kResponds,          // responds as a discovery service does
+    kSilent,            // reads calls and does not respond
+    kClosesConnection,  // closes the connection instead of responding
+    kMalformed,         // responds with an invalid list
   };
-  // Starts with the whole list `targets` at revision 1, in the mode kAnswers.
+  // Starts with the whole list `targets` at revision 1, in the mode kResponds.
   explicit Discovery(const json& targets);
   std::string address() const { return peer_->address(); }
   // Publishes `targets` as the next revision and answers the open watches. `all`: the whole list, else only
   // changes.
-  void Tell(const json& targets, bool all = true);
+  void Publish(const json& targets, bool all = true);
   // Changes the mode, also for the calls that are waiting.
-  void Set(Mood mood);
+  void Set(ResponseMode mood);
   // The number of calls received.
   int calls() const { return calls_; }
   // The number of calls for the whole list, which are the calls without a revision.
@@ -54,7 +54,7 @@
   json targets_;
   bool all_ = true;
   int revision_ = 1;
-  Mood mood_ = Mood::kAnswers;
+  ResponseMode mood_ = ResponseMode::kResponds;
   bool stopping_ = false;
   std::atomic<int> calls_{0};
   std::atomic<int> lists_{0};
--- a/tests/fault_injection.h
+++ b/tests/fault_injection.h
@@ -56,15 +56,15 @@
 // made to fail has no effect, except that close() closes and an interrupted connect() continues.
 struct Fault {
   SystemCall call = SystemCall::kAccept;
-  int error = 0;                         // errno of the failed call; 0: no failure
-  std::size_t at_most = 0;               // limit on the bytes of a read or write; 0: no limit
-  std::chrono::milliseconds delay{0};    // suspends the process for this long before the call
-  bool first_after_clock = false;        // only the first call after each reading of the monotonic clock
-  bool kills = false;                    // SIGKILL to the process after the call, failed or not
-  bool loses_connection = false;         // a failing accept also removes the connection from the backlog
-  int skip = 0;                          // number of matching calls to let through before the first fault
-  int times = -1;                        // number of faults; -1: no limit
-  std::chrono::milliseconds lasting{0};  // duration from Force() on; 0: no limit
+  int error = 0;                          // errno of the failed call; 0: no failure
+  std::size_t at_most = 0;                // limit on the bytes of a read or write; 0: no limit
+  std::chrono::milliseconds delay{0};     // suspends the process for this long before the call
+  bool first_after_clock = false;         // only the first call after each reading of the monotonic clock
+  bool kills_process = false;             // SIGKILL to the process after the call, failed or not
+  bool drops_connection = false;          // a failing accept also removes the connection from the backlog
+  int skip = 0;                           // number of matching calls to let through before the first fault
+  int times = -1;                         // number of faults; -1: no limit
+  std::chrono::milliseconds duration{0};  // duration from Force() on; 0: no limit
   Descriptor on = Descriptor::kAny;
   // Port of a TCP socket; 0: any. The local port of a listening or accepted socket, the peer's of any other.
   std::uint16_t port = 0;
@@ -81,8 +81,8 @@
     std::uint64_t at_most = 0;
     std::int64_t delay_us = 0;
     bool first_after_clock = false;
-    bool kills = false;
-    bool loses_connection = false;
+    bool kills_process = false;
+    bool drops_connection = false;
     std::int64_t skip = 0;
     std::int64_t times = -1;
     std::int64_t ends_ns = 0;  // on the monotonic clock; 0: no end
--- a/tests/fault_injection/forced_call.cpp
+++ b/tests/fault_injection/forced_call.cpp
@@ -141,8 +141,8 @@
     if (slot.delay_us > 0) Sleep(slot.delay_us);
     if (slot.error != 0) error_ = slot.error;
     if (slot.at_most != 0) at_most_ = std::min<std::size_t>(at_most_, slot.at_most);
-    kills_ = kills_ || slot.kills;
-    loses_connection_ = loses_connection_ || slot.loses_connection;
+    kills_ = kills_ || slot.kills_process;
+    loses_connection_ = loses_connection_ || slot.drops_connection;
   }
   errno = saved_errno;
 }
--- a/tests/fault_injection/forced_call.h
+++ b/tests/fault_injection/forced_call.h
@@ -55,7 +55,7 @@
   }
   bool Interrupted() const { return error_ == EINTR; }
   // For accept(): remove the first connection from the backlog.
-  bool loses_connection() const { return loses_connection_; }
+  bool drops_connection() const { return loses_connection_; }
   // The number of bytes to transfer when `requested` bytes were requested.
   std::size_t Bytes(std::size_t requested) const { return std::min(requested, at_most_); }
 
--- a/tests/fault_injection/socket_calls.cpp
+++ b/tests/fault_injection/socket_calls.cpp
@@ -20,7 +20,7 @@
 template <typename Accept>
 int AcceptWithFaults(Accept accept, int descriptor) {
   const ForcedCall forced(SystemCall::kAccept, {descriptor});
-  if (forced.loses_connection()) {
+  if (forced.drops_connection()) {
     static const auto kRealClose = RealFunction(&::close, "close");
     if (const int lost = accept(); lost >= 0) {
       kRealClose(lost);
--- a/tests/fault_injector.cpp
+++ b/tests/fault_injector.cpp
@@ -46,12 +46,12 @@
   slot.at_most = fault.at_most;
   slot.delay_us = std::chrono::microseconds(fault.delay).count();
   slot.first_after_clock = fault.first_after_clock;
-  slot.kills = fault.kills;
-  slot.loses_connection = fault.loses_connection;
+  slot.kills_process = fault.kills_process;
+  slot.drops_connection = fault.drops_connection;
   slot.skip = fault.skip;
   slot.times = fault.times;
   const auto now = std::chrono::steady_clock::now().time_since_epoch();
-  slot.ends_ns = fault.lasting.count() == 0 ? 0 : std::chrono::nanoseconds(now + fault.lasting).count();
+  slot.ends_ns = fault.duration.count() == 0 ? 0 : std::chrono::nanoseconds(now + fault.duration).count();
   slot.on = fault.on;
   slot.port = fault.port;
   if (fault.path.size() >= slot.path.size()) throw std::runtime_error("path too long: " + fault.path);
--- a/tests/fleet_fixtures.h
+++ b/tests/fleet_fixtures.h
@@ -24,7 +24,7 @@
 // Default settings with load probes allowed, at a cost of 0.002 of a request's value.
 inline Settings SettingsWithLoadReports() {
   Settings settings = DefaultSettings();
-  settings.load_by_probe = settings.limits.load_probes_allowed = true;
+  settings.load_probes_report_load = settings.limits.load_probes_allowed = true;
   settings.decision_costs.probe = 0.002;
   return settings;
 }
--- a/tests/graceful_shutdown_test.cpp
+++ b/tests/graceful_shutdown_test.cpp
@@ -23,7 +23,7 @@
   ASSERT_TRUE(held.Send(PostText("/submit/held", "h1", "x", 15000)));
   upstream.WaitForHeldRequest();
   sidecar.Signal(SIGTERM);
-  EXPECT_TRUE(idle.wire.ReadsEnd());
+  EXPECT_TRUE(idle.wire.ReadUntilClosed());
   Client late(sidecar.port());
   const auto served = late.Get("/page/late", "l1");
   ASSERT_TRUE(served);
--- a/tests/half_close_test.cpp
+++ b/tests/half_close_test.cpp
@@ -21,7 +21,7 @@
   Gate request_received;
   Upstream upstream([&](Wire& wire, const Request&, int) {
     request_received.Open();
-    ended.set_value(wire.ReadsEnd());
+    ended.set_value(wire.ReadUntilClosed());
   });
   SidecarProcess sidecar(With(List({Target("u1", upstream.address())})));
   ASSERT_TRUE(sidecar.Listening());
@@ -65,7 +65,7 @@
     ASSERT_TRUE(answer) << id;
     EXPECT_EQ(answer->result_int(), 200U);
     EXPECT_EQ(answer->body(), target);
-    EXPECT_TRUE(client.wire.ReadsEnd());
+    EXPECT_TRUE(client.wire.ReadUntilClosed());
   }
 }
 
@@ -212,7 +212,7 @@
   Gate request_received;
   Upstream upstream([&](Wire& wire, const Request&, int) {
     request_received.Open();
-    ended.set_value(wire.ReadsEnd());
+    ended.set_value(wire.ReadUntilClosed());
   });
   json settings = Settings();
   settings["Classes"][0]["Aim"] = 40000000;
--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -37,7 +37,8 @@
   auto sidecar = Start();
   ASSERT_TRUE(BecomesReady(*sidecar));
   const std::string listen = "127.0.0.1:" + std::to_string(sidecar->port());
-  discovery_.Set(Discovery::Mood::kSilent);  // without an endpoint list the next process does not serve yet
+  discovery_.Set(
+      Discovery::ResponseMode::kSilent);  // without an endpoint list the next process does not serve yet
   {
     auto never_serving = Start(listen);
     ASSERT_TRUE(
--- a/tests/lab_experiment_test.cpp
+++ b/tests/lab_experiment_test.cpp
@@ -258,7 +258,7 @@
   EXPECT_EQ(s.sidecar_index, 7u);
   EXPECT_EQ(s.sidecar_count, 12u);
   EXPECT_EQ(s.zone, d.sidecars[7].zone);
-  EXPECT_TRUE(s.load_by_probe);
+  EXPECT_TRUE(s.load_probes_report_load);
   EXPECT_EQ(s.limits.max_attempts, 2u);
   EXPECT_EQ(s.fleet_limits.slow_start_initial_share, 0.25);
   EXPECT_EQ(s.fleet_limits.slow_start_duration, std::chrono::seconds(4));
--- a/tests/lab_sidecar_config_test.cpp
+++ b/tests/lab_sidecar_config_test.cpp
@@ -73,7 +73,7 @@
   settings.zone = "r2-z3";
   settings.sidecar_count = 12;
   settings.sidecar_index = 7;
-  settings.polled_membership = settings.live_weights = settings.load_by_probe = true;
+  settings.polled_membership = settings.live_weights = settings.load_probes_report_load = true;
   settings.limits = {5, true, false, true, false, milliseconds(1500), milliseconds(120), milliseconds(9000),
                      4};
   settings.fleet_limits = {
--- a/tests/membership_growth_test.cpp
+++ b/tests/membership_growth_test.cpp
@@ -34,7 +34,7 @@
     RandomPlay play(OptionsOf(number), number);
     play.Run();
     EXPECT_EQ(play.decisions(), kRecordedHashes[number]) << "play " << number;
-    EXPECT_EQ(play.broken(), 0U) << "play " << number;
+    EXPECT_EQ(play.violations(), 0U) << "play " << number;
     ejections += play.ejections();
     sent += play.sent();
   }
@@ -185,7 +185,8 @@
   const std::string whole = json{{"rev", 7}, {"all", true}, {"targets", std::move(targets)}}.dump(4);
   RecordProperty("bytes", static_cast<int>(whole.size()));
   peers::Peer discovery([&](peers::Wire& wire, int) {
-    if (wire.ReadRequest() && wire.Answer(200, whole)) wire.ReadsEnd();  // then a watch without a response
+    if (wire.ReadRequest() && wire.Answer(200, whole))
+      wire.ReadUntilClosed();  // then a watch without a response
   });
   peers::SidecarProcess::Options options;
   options.discovery = discovery.address();
--- a/tests/membership_updates_test.cpp
+++ b/tests/membership_updates_test.cpp
@@ -34,14 +34,14 @@
   SidecarProcess sidecar(options);
   ASSERT_TRUE(sidecar.Listening());
   EXPECT_TRUE(BecomesServedBy(sidecar, "a /page/k"));
-  discovery.Tell(List({Target("u2", b.address())}), true);  // u1 is not in the whole list, so it is gone
+  discovery.Publish(List({Target("u2", b.address())}), true);  // u1 is not in the whole list, so it is gone
   EXPECT_TRUE(BecomesServedBy(sidecar, "b /page/k"));
-  discovery.Tell(List({Target("u2", c.address())}), false);  // u2 has another address
+  discovery.Publish(List({Target("u2", c.address())}), false);  // u2 has another address
   EXPECT_TRUE(BecomesServedBy(sidecar, "c /page/k"));
   const std::size_t before = a.requests().size() + b.requests().size();
   for (int i = 0; i < 10; ++i) EXPECT_TRUE(BecomesServedBy(sidecar, "c /page/k"));
   EXPECT_EQ(a.requests().size() + b.requests().size(), before);
-  discovery.Tell(List({Target("u2", c.address(), "left"), Target("u1", a.address())}), false);
+  discovery.Publish(List({Target("u2", c.address(), "left"), Target("u1", a.address())}), false);
   EXPECT_TRUE(BecomesServedBy(sidecar, "a /page/k"));
 }
 
@@ -56,7 +56,8 @@
   Client held(sidecar.port());
   ASSERT_TRUE(held.Send(PostText("/submit/held", "h1", "x", 15000)));
   leaving.WaitForHeldRequest();
-  discovery.Tell(List({Target("u1", leaving.address(), "leaving"), Target("u2", staying.address())}), false);
+  discovery.Publish(List({Target("u1", leaving.address(), "leaving"), Target("u2", staying.address())}),
+                    false);
   ASSERT_TRUE(BecomesServedBy(sidecar, "new /page/k"));
   const std::size_t before = leaving.requests().size();
   for (int i = 0; i < 20; ++i) EXPECT_TRUE(BecomesServedBy(sidecar, "new /page/k"));
@@ -80,7 +81,7 @@
   Client client(sidecar.port());
   ASSERT_TRUE(client.Send(PostText("/submit/k", "a1", "x", 15000)));
   ASSERT_TRUE(Eventually([&] { return hole.HasHangingConnect(); }));
-  discovery.Tell(List({Target("u1", hole.address(), "leaving"), Target("u2", staying.address())}), false);
+  discovery.Publish(List({Target("u1", hole.address(), "leaving"), Target("u2", staying.address())}), false);
   const auto response = client.Read();
   ASSERT_TRUE(response);
   EXPECT_EQ(response->body(), "new /submit/k");
@@ -136,12 +137,12 @@
   SidecarProcess sidecar(options);
   ASSERT_TRUE(sidecar.Listening());
   ASSERT_TRUE(BecomesServedBy(sidecar, "old /page/k"));
-  discovery.Tell(drains, false);
+  discovery.Publish(drains, false);
   ASSERT_TRUE(BecomesServedBy(sidecar, "new /page/k"));
   const std::size_t before = old.requests().size();
   for (int i = 0; i < 20; ++i) EXPECT_TRUE(BecomesServedBy(sidecar, "new /page/k"));
   EXPECT_EQ(old.requests().size(), before);
-  discovery.Tell(whole, true);
+  discovery.Publish(whole, true);
   EXPECT_TRUE(BecomesServedBy(sidecar, "old /page/k"));
 }
 
--- a/tests/operator_commands_test.cpp
+++ b/tests/operator_commands_test.cpp
@@ -25,8 +25,8 @@
   EXPECT_EQ(RequestsServedBy(sidecar, "b", 20), std::pair(0, 20));
   // The upstream leaves the endpoint list and returns as a new process: it is still disabled.
   const int polls = discovery.calls();
-  discovery.Tell(List({Target("u2", u2.address())}));
-  discovery.Tell(List({Target("u1", u1.address(), "active", 1000), Target("u2", u2.address())}));
+  discovery.Publish(List({Target("u2", u2.address())}));
+  discovery.Publish(List({Target("u1", u1.address(), "active", 1000), Target("u2", u2.address())}));
   ASSERT_TRUE(Eventually([&] { return discovery.calls() > polls + 1; }));
   EXPECT_EQ(RequestsServedBy(sidecar, "c", 20), std::pair(0, 20));
   EXPECT_EQ(sidecar.Status("POST", "/upstreams/enable/u1"), 200U);
@@ -86,7 +86,7 @@
   ASSERT_TRUE(idle.Get("/page/k", "a"));
   EXPECT_EQ(sidecar.Status("POST", "/drain"), 200U);
   EXPECT_EQ(sidecar.Status("POST", "/drain"), 200U);
-  EXPECT_TRUE(idle.wire.ReadsEnd());
+  EXPECT_TRUE(idle.wire.ReadUntilClosed());
   EXPECT_TRUE(HealthCheckBecomes(sidecar, 503));
   EXPECT_EQ(sidecar.Status("GET", "/ready"), 503U);
   Client late(sidecar.port());
--- a/tests/operator_state_fixture.h
+++ b/tests/operator_state_fixture.h
@@ -98,7 +98,7 @@
   // Sends a command to the admin interface and returns the status and the body of the response.
   static std::string SendCommand(SidecarProcess& sidecar, const std::string& method,
                                  const std::string& target) {
-    const auto response = sidecar.Operate(method, target);
+    const auto response = sidecar.CallAdmin(method, target);
     return response ? std::to_string(response->result_int()) + " " + response->body() : "no response\n";
   }
   static bool BecomesReady(SidecarProcess& sidecar) {
--- a/tests/operator_state_test.cpp
+++ b/tests/operator_state_test.cpp
@@ -249,11 +249,11 @@
     ASSERT_EQ(sidecar->Status("POST", "/upstreams/disable/u1"), 200U);
     faults_.Force({.call = test_case.call,
                    .at_most = test_case.at_most,
-                   .kills = true,
+                   .kills_process = true,
                    .skip = test_case.skip,
                    .times = 1,
                    .path = path_ + "/"});
-    sidecar->Operate("POST", "/upstreams/disable/" + kLongId);
+    sidecar->CallAdmin("POST", "/upstreams/disable/" + kLongId);
     EXPECT_EQ(sidecar->Wait(), 128 + SIGKILL);
   }
   auto next = Start();
--- a/tests/polled_discovery_test.cpp
+++ b/tests/polled_discovery_test.cpp
@@ -48,7 +48,7 @@
 // A watch that receives no response is abandoned soon after its wait time, and the whole list is requested
 // without the balancer's poll pause, which is meant for an overloaded service.
 TEST(PolledDiscovery, ReopensASilentWatchAtOnce) {
-  Upstream hung([](Wire& wire, const Request&, int) { wire.ReadsEnd(); });
+  Upstream hung([](Wire& wire, const Request&, int) { wire.ReadUntilClosed(); });
   std::atomic<int> watches{0}, lists{0};
   const std::string list =
       json{{"rev", 7}, {"all", true}, {"targets", List({Target("u1", hung.address())})}}.dump();
@@ -58,7 +58,7 @@
       wire.Answer(200, list);
     } else {
       ++watches;
-      wire.ReadsEnd();
+      wire.ReadUntilClosed();
     }
   });
   json settings = Settings();
@@ -98,7 +98,7 @@
       }
       if (number == 0 || number == 3) wire.Reset();
       if (number == 1) wire.Answer(503, "");
-      if (number == 2 || number == 4) wire.ReadsEnd();
+      if (number == 2 || number == 4) wire.ReadUntilClosed();
       if (number == 5) wire.Answer(200, "no list");
       if (number > 5 && !wire.Answer(200, list)) return;
     }
--- a/tests/random_play.h
+++ b/tests/random_play.h
@@ -75,7 +75,7 @@
   std::size_t sent() const { return sent_; }
   // Rule violations: attempts sent to an upstream that was draining, removed or disabled, and requests with
   // two final answers.
-  std::size_t broken() const { return broken_; }
+  std::size_t violations() const { return violations_; }
 
  private:
   struct PendingAttempt {
@@ -91,7 +91,7 @@
     s.sidecar_count = o.sidecar_count;
     s.sidecar_index = seed % o.sidecar_count;
     s.polled_membership = o.polled_membership;
-    s.limits.load_probes_allowed = s.load_by_probe = o.load_probes;
+    s.limits.load_probes_allowed = s.load_probes_report_load = o.load_probes;
     s.decision_costs.probe = o.load_probes ? 0.004 : 0;
     s.decision_costs.cross_zone = o.cross_zone;
     s.classes[0].late_priority_weight = seed % 2 == 0 ? 0.4 : 0;
@@ -310,8 +310,8 @@
   void Record(const SendAttempt& a) {
     ++sent_;
     const auto it = listed_.find(a.upstream.value);
-    broken_ += it == listed_.end() || it->second.state != UpstreamState::kServing ||
-               disabled_.contains(a.upstream.value);
+    violations_ += it == listed_.end() || it->second.state != UpstreamState::kServing ||
+                   disabled_.contains(a.upstream.value);
     AddToHash(static_cast<std::uint64_t>(a.request));
     AddToHash(a.upstream.value);
     AddToHash(a.timeout), AddToHash(a.max_connection_idle), AddToHash(a.begin_within);
@@ -329,7 +329,7 @@
     }
   }
   void RecordFinalAnswer(RequestId id) {
-    broken_ += !answered_.insert(id).second;
+    violations_ += !answered_.insert(id).second;
     requests_.erase(id);
   }
   void Record(const RejectRequest& a) {
@@ -371,7 +371,7 @@
   std::uint64_t next_upstream_ = 0, last_request_ = 0;
   std::uint64_t hash_ = 0xcbf29ce484222325;
   std::uint64_t decisions_ = 0xcbf29ce484222325;
-  std::size_t actions_ = 0, ejections_ = 0, sent_ = 0, broken_ = 0;
+  std::size_t actions_ = 0, ejections_ = 0, sent_ = 0, violations_ = 0;
 };
 
 }  // namespace lb::testing
--- a/tests/request_framing_test.cpp
+++ b/tests/request_framing_test.cpp
@@ -157,7 +157,7 @@
   std::thread feeding([&] {
     while (!ended && trickling.Send("a")) std::this_thread::sleep_for(milliseconds(20));
   });
-  EXPECT_TRUE(silent.wire.ReadsEnd());
+  EXPECT_TRUE(silent.wire.ReadUntilClosed());
   for (Client* client : {&partial_head, &partial_body, &trickling}) {
     const auto response = client->Read();
     EXPECT_EQ(response ? response->result_int() : 0, 408U);
--- a/tests/scripted_peers.cpp
+++ b/tests/scripted_peers.cpp
@@ -86,7 +86,7 @@
                "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
 }
 
-bool Wire::ReadsEnd() {
+bool Wire::ReadUntilClosed() {
   char byte = 0;
   error_code error;
   while (!error) socket.read_some(boost::asio::buffer(&byte, 1), error);
@@ -213,12 +213,12 @@
   return "127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port());
 }
 
-Refusing::Refusing() : acceptor_(io_) {
+RefusingAddress::RefusingAddress() : acceptor_(io_) {
   acceptor_.open(tcp::v4());
   acceptor_.bind(Loopback(0));
 }
 
-std::string Refusing::address() const {
+std::string RefusingAddress::address() const {
   return "127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port());
 }
 
--- a/tests/scripted_peers.h
+++ b/tests/scripted_peers.h
@@ -52,7 +52,7 @@
   bool Answer(unsigned status, const std::string& body, const std::string& headers = "");
   // Reads and discards data until the other side closes or resets the connection. Returns false on another
   // error.
-  bool ReadsEnd();
+  bool ReadUntilClosed();
   // Closes the connection with a TCP reset.
   void Reset();
 
@@ -127,9 +127,9 @@
 };
 
 // An address that refuses connections: its port is bound but not listening.
-class Refusing {
+class RefusingAddress {
  public:
-  Refusing();
+  RefusingAddress();
   std::string address() const;
 
  private:
--- a/tests/sidecar/request_body_test.cpp
+++ b/tests/sidecar/request_body_test.cpp
@@ -42,7 +42,7 @@
   body_.Finish();
 
   EXPECT_EQ(stream->Read(), "abcde");
-  EXPECT_TRUE(stream->ended());
+  EXPECT_TRUE(stream->fully_read());
   EXPECT_TRUE(stream->sent_at());
   EXPECT_FALSE(body_.IsStreaming());
 }
@@ -63,7 +63,7 @@
   const Body stream = StartStream();
   body_.Abort();
 
-  EXPECT_TRUE(stream->broken());
+  EXPECT_TRUE(stream->aborted());
   EXPECT_FALSE(body_.IsStreaming());
 }
 
--- a/tests/sidecar/response_body_test.cpp
+++ b/tests/sidecar/response_body_test.cpp
@@ -37,7 +37,7 @@
   body.Finish();
 
   EXPECT_EQ(stream->Read(), "abcde");
-  EXPECT_TRUE(stream->ended());
+  EXPECT_TRUE(stream->fully_read());
   EXPECT_FALSE(body.is_streaming());
 }
 
@@ -67,7 +67,7 @@
   stream->AbandonByReader();
   io.run();
 
-  EXPECT_TRUE(stream->broken());
+  EXPECT_TRUE(stream->aborted());
   EXPECT_EQ(calls, 0);
 }
 
--- a/tests/sidecar/response_writer_test.cpp
+++ b/tests/sidecar/response_writer_test.cpp
@@ -139,7 +139,7 @@
 
   EXPECT_EQ(outcome_, Outcome::kConnectionBroken);
   writer_.Abandon();
-  EXPECT_TRUE(stream->left()) << "the body's writer has to stop";
+  EXPECT_TRUE(stream->abandoned_by_reader()) << "the body's writer has to stop";
 }
 
 }  // namespace
--- a/tests/sidecar_process.cpp
+++ b/tests/sidecar_process.cpp
@@ -98,14 +98,14 @@
   return port;
 }
 
-std::optional<Response> SidecarProcess::Operate(const std::string& method, const std::string& target) {
+std::optional<Response> SidecarProcess::CallAdmin(const std::string& method, const std::string& target) {
   Client caller(admin_port());
   if (!caller.Send(method + " " + target + " HTTP/1.1\r\nHost: x\r\n\r\n")) return std::nullopt;
   return caller.Read();
 }
 
 unsigned SidecarProcess::Status(const std::string& method, const std::string& target) {
-  const auto answer = Operate(method, target);
+  const auto answer = CallAdmin(method, target);
   return answer ? answer->result_int() : 0;
 }
 
--- a/tests/sidecar_process.h
+++ b/tests/sidecar_process.h
@@ -44,7 +44,7 @@
   bool Listening();
   std::uint16_t port() const { return port_; }
   // Calls the admin interface and returns the response.
-  std::optional<Response> Operate(const std::string& method, const std::string& target);
+  std::optional<Response> CallAdmin(const std::string& method, const std::string& target);
   // Calls the admin interface and returns the status of the response; 0 without a response.
   unsigned Status(const std::string& method, const std::string& target);
   // Waits for the port of the admin interface; 0 on timeout.
--- a/tests/start_times_test.cpp
+++ b/tests/start_times_test.cpp
@@ -40,7 +40,7 @@
 
   void RestartFirst() {
     const int calls_before = discovery_.calls();
-    discovery_.Tell(ListNow(seconds(0)));
+    discovery_.Publish(ListNow(seconds(0)));
     EXPECT_TRUE(Eventually([&] { return discovery_.calls() > calls_before; }));
   }
 
--- a/tests/streamed_bodies_test.cpp
+++ b/tests/streamed_bodies_test.cpp
@@ -161,7 +161,7 @@
   std::atomic<int> asked{0};
   const auto handler = [&](Wire& wire, const Request&, int) {
     if (asked++ == 0) {
-      wire.ReadsEnd();
+      wire.ReadUntilClosed();
       first_cancelled.Open();
     } else {
       wire.Write("HTTP/1.1 200 OK\r\nContent-Length: 4000000\r\n\r\n" + body.substr(0, 1000));
@@ -208,7 +208,7 @@
 }
 
 TEST(StreamedRequest, IsRetriedElsewhereIfNoneOfItWasWritten) {
-  Refusing refusing;
+  RefusingAddress refusing;
   Upstream good(Upstream::Echo("good"));
   SidecarProcess sidecar(With(List({Target("u1", refusing.address()), Target("u2", good.address())})));
   ASSERT_TRUE(sidecar.Listening());
--- a/tests/system_call_faults_fixture.h
+++ b/tests/system_call_faults_fixture.h
@@ -17,20 +17,21 @@
 
 // Time limit of a response that a fault must not delay: far longer than such a response takes, far shorter
 // than the request's deadline kDeadlineMs.
-inline constexpr int kAtOnceMs = 2000;
+inline constexpr int kResponseTimeLimitMs = 2000;
 inline constexpr int kDeadlineMs = 20000;
 
-// Returns the next response, or none if it does not start within kAtOnceMs.
-inline std::optional<Response> AnswerAtOnce(Client& client) {
+// Returns the next response, or none if it does not start within kResponseTimeLimitMs.
+inline std::optional<Response> ReadResponseInTime(Client& client) {
   pollfd ready{client.wire.socket.native_handle(), POLLIN, 0};
-  if (::poll(&ready, 1, kAtOnceMs) <= 0) return std::nullopt;
+  if (::poll(&ready, 1, kResponseTimeLimitMs) <= 0) return std::nullopt;
   return client.Read();
 }
 
-// Sends a request with this id and returns the status of its response; 0 if there is none within kAtOnceMs.
-inline unsigned Ask(Client& client, const std::string& id) {
+// Sends a request with this id and returns the status of its response; 0 if there is none within
+// kResponseTimeLimitMs.
+inline unsigned RequestStatus(Client& client, const std::string& id) {
   if (!client.Send(GetText("/page/" + id, id, kDeadlineMs))) return 0;
-  const auto answer = AnswerAtOnce(client);
+  const auto answer = ReadResponseInTime(client);
   return answer ? answer->result_int() : 0;
 }
 
@@ -55,7 +56,7 @@
     sidecar_ = std::make_unique<SidecarProcess>(options);
     ASSERT_TRUE(sidecar_->Listening());
     client_ = std::make_unique<Client>(sidecar_->port());
-    ASSERT_EQ(Ask(*client_, "before"), 200u);
+    ASSERT_EQ(RequestStatus(*client_, "before"), 200u);
   }
 
   FaultInjector faults_;
--- a/tests/system_call_faults_test.cpp
+++ b/tests/system_call_faults_test.cpp
@@ -84,7 +84,7 @@
  protected:
   // Sends enough requests that many upstreams have an idle connection.
   void WarmUp() {
-    for (int i = 0; i < 40; ++i) ASSERT_EQ(Ask(*client_, "warm" + std::to_string(i)), 200u);
+    for (int i = 0; i < 40; ++i) ASSERT_EQ(RequestStatus(*client_, "warm" + std::to_string(i)), 200u);
   }
 };
 
@@ -95,13 +95,13 @@
   WarmUp();
   // With two clients at once, an upstream's idle connection is sometimes in use.
   Client second(sidecar_->port());
-  ASSERT_EQ(Ask(second, "second"), 200u);
+  ASSERT_EQ(RequestStatus(second, "second"), 200u);
   const int open_before = sidecar_->descriptors();
   const auto fault = faults_.Force({.call = GetParam().call, .error = GetParam().error});
   for (int i = 0; i < 60; ++i) {
     ASSERT_TRUE(second.Send(GetText("/page/x", "second" + std::to_string(i), kDeadlineMs)));
-    ASSERT_EQ(Ask(*client_, "first" + std::to_string(i)), 200u) << i;
-    const auto answer = AnswerAtOnce(second);
+    ASSERT_EQ(RequestStatus(*client_, "first" + std::to_string(i)), 200u) << i;
+    const auto answer = ReadResponseInTime(second);
     ASSERT_TRUE(answer.has_value());
     ASSERT_EQ(answer->result_int(), 200u) << i;
   }
@@ -124,12 +124,12 @@
   Start(1, nullptr, {Target("hard", hard.address())});
   for (int i = 0; faults_.forced(fault) < 6; ++i) {
     ASSERT_LT(i, 20000);
-    ASSERT_EQ(Ask(*client_, "on" + std::to_string(i)), 200u);
+    ASSERT_EQ(RequestStatus(*client_, "on" + std::to_string(i)), 200u);
   }
   faults_.Stop(fault);
   EXPECT_EQ(sidecar_->log().find("ejected"), std::string::npos);
   EXPECT_TRUE(Eventually([&, i = 0]() mutable {
-    return Ask(*client_, "back" + std::to_string(i++)) == 200u && hard.connections() > 0;
+    return RequestStatus(*client_, "back" + std::to_string(i++)) == 200u && hard.connections() > 0;
   }));
 }
 
@@ -161,10 +161,10 @@
   Start();
   const auto fault = faults_.Force(GetParam().fault);
   for (int i = 0; i < 5; ++i) {
-    ASSERT_EQ(Ask(*client_, "a" + std::to_string(i)), 200u) << i;
+    ASSERT_EQ(RequestStatus(*client_, "a" + std::to_string(i)), 200u) << i;
     const std::string id = "b" + std::to_string(i);
     ASSERT_TRUE(client_->Send(PostText("/submit/x", id, "body", kDeadlineMs, "Expect: 100-continue\r\n")));
-    std::optional<Response> answer = AnswerAtOnce(*client_);
+    std::optional<Response> answer = ReadResponseInTime(*client_);
     // There is no interim response if the sidecar has received the body together with the head.
     if (answer && answer->result_int() == 100) answer = client_->Read();
     ASSERT_TRUE(answer.has_value()) << i;
@@ -228,7 +228,7 @@
 TEST_P(BrokenConnection, ToAnUpstreamIsReplaced) {
   Start(2);
   const auto fault = BreakOneConnection(Descriptor::kOutgoing);
-  for (int i = 0; i < 10; ++i) ASSERT_EQ(Ask(*client_, "a" + std::to_string(i)), 200u) << i;
+  for (int i = 0; i < 10; ++i) ASSERT_EQ(RequestStatus(*client_, "a" + std::to_string(i)), 200u) << i;
   EXPECT_EQ(faults_.forced(fault), 1);
   EXPECT_EQ(sidecar_->log().find("ejected"), std::string::npos);
 }
@@ -239,9 +239,9 @@
   const auto fault = BreakOneConnection(Descriptor::kAccepted);
   ASSERT_TRUE(client_->Send(GetText("/page/x", "x", kDeadlineMs)));
   ASSERT_TRUE(faults_.WaitUntilForced(fault));
-  EXPECT_TRUE(client_->wire.ReadsEnd());
+  EXPECT_TRUE(client_->wire.ReadUntilClosed());
   Client other(sidecar_->port());
-  for (int i = 0; i < 10; ++i) ASSERT_EQ(Ask(other, "o" + std::to_string(i)), 200u) << i;
+  for (int i = 0; i < 10; ++i) ASSERT_EQ(RequestStatus(other, "o" + std::to_string(i)), 200u) << i;
 }
 
 INSTANTIATE_TEST_SUITE_P(Errors, BrokenConnection,
--- a/tests/wire_format_test.cpp
+++ b/tests/wire_format_test.cpp
@@ -210,7 +210,7 @@
 
 TEST_F(StoredForms, FolderOfOperatorState) {
   const std::string long_id(130, 'x');
-  discovery_.Tell(List({Target("u1", upstream_.address()), Target(long_id, upstream_.address())}));
+  discovery_.Publish(List({Target("u1", upstream_.address()), Target(long_id, upstream_.address())}));
   SidecarProcess sidecar(Options());
   ASSERT_TRUE(Eventually([&] { return sidecar.Status("GET", "/ready") == 200; }));
 
