--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -1,4 +1,4 @@
-// lb-lab: plays experiments on the emulator. Command line, signals and exit code.
+// lb-lab, the program that runs experiments on the emulator: command line, signals and exit code.
 #include <CLI/CLI.hpp>
 #include <atomic>
 #include <csignal>
@@ -28,7 +28,7 @@
 using lb::lab::FleetSize;
 using lb::lab::GrowthPart;
 
-// The command line asks for what can't be done. One line.
+// The command line is invalid for this experiment. what() is one line.
 class UsageError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -36,31 +36,31 @@
 
 struct Arguments {
   std::string file;
-  std::vector<std::size_t> sizes;  // empty: the file's
+  std::vector<std::size_t> sizes;  // empty: the sizes of the file
   std::size_t size = 0;
   std::optional<std::int64_t> seed;
   std::string out;
   std::string program;  // empty: see DefaultProgram()
   double hop_p50_ms = 0, hop_p99_ms = 0;
   std::int64_t deadline_ms = 2000;
-  lb::lab::ChainQuestion chain;
+  lb::lab::ChainParameters chain;
 };
 
-std::atomic<bool> stop_wanted{false};
+std::atomic<bool> stop_requested{false};
 
-// A second signal finds the default action, for a run that does not heed the first.
-extern "C" void NoteSignal(int signal) {
-  stop_wanted = true;
+// Restores the default action, so that a second signal ends a run that does not react to the first.
+extern "C" void HandleStopSignal(int signal) {
+  stop_requested = true;
   std::signal(signal, SIG_DFL);
 }
 
-// The real sidecar of the build that this program is of: in its own folder, or in the one above.
+// Path of the real sidecar of the same build, in this program's folder or the one above.
 std::string DefaultProgram() {
   namespace fs = std::filesystem;
   std::error_code error;
   const fs::path folder = fs::read_symlink("/proc/self/exe", error).parent_path();
-  const fs::path beside = folder / "lb-sidecar";
-  return (fs::exists(beside, error) ? beside : folder.parent_path() / "lb-sidecar").string();
+  const fs::path same_folder = folder / "lb-sidecar";
+  return (fs::exists(same_folder, error) ? same_folder : folder.parent_path() / "lb-sidecar").string();
 }
 
 Experiment Load(const Arguments& arguments) {
@@ -78,13 +78,13 @@
   return experiment;
 }
 
-// A growth experiment's deployments are those of its whole fleets.
+// For a growth experiment the size selects the usual or the large fleet, with all sidecars.
 Experiment LoadAtSize(const Arguments& arguments) {
   const Experiment experiment = Load(arguments);
   if (!experiment.growth) return LoadWithSizes(arguments, {arguments.size});
   for (const FleetSize fleet : {FleetSize::kUsual, FleetSize::kLarge}) {
-    Experiment played = GrowthExperiment(experiment, fleet, GrowthPart::kFleet);
-    if (played.sizes.front() == arguments.size) return played;
+    Experiment fleet_experiment = GrowthExperiment(experiment, fleet, GrowthPart::kFleet);
+    if (fleet_experiment.sizes.front() == arguments.size) return fleet_experiment;
   }
   throw UsageError("--size: a growth experiment has its own two sizes");
 }
@@ -94,7 +94,7 @@
   if ((experiment.sidecars.real == 0 && !experiment.growth) ||
       std::filesystem::is_regular_file(program, error))
     return;
-  throw UsageError("--program: there is no " + program + ", the program of the real sidecars");
+  throw UsageError("--program: the real sidecars' executable " + program + " does not exist");
 }
 
 ExitCode Run(const Arguments& arguments) {
@@ -107,71 +107,75 @@
     records.open(arguments.out, std::ios::trunc);
     if (!records) throw UsageError("--out: " + arguments.out + " can't be written");
   }
-  std::signal(SIGINT, NoteSignal);
-  std::signal(SIGTERM, NoteSignal);
-  options.stop_wanted = [] { return stop_wanted.load(); };
-  return PlayExperiment(experiment, options,
-                        {std::cerr, std::cout, arguments.out.empty() ? nullptr : &records});
+  std::signal(SIGINT, HandleStopSignal);
+  std::signal(SIGTERM, HandleStopSignal);
+  options.stop_requested = [] { return stop_requested.load(); };
+  return RunExperiment(experiment, options,
+                       {std::cerr, std::cout, arguments.out.empty() ? nullptr : &records});
 }
 
 ExitCode Check(const Arguments& arguments) {
   const Experiment experiment = LoadWithSizes(arguments, arguments.sizes);
   if (experiment.growth) {
     PrintGrowthPlan(std::cout, experiment);
-    return ExitCode::kHeld;
+    return ExitCode::kSuccess;
   }
   for (const std::size_t size : experiment.sizes) {
     PrintSummary(std::cout, experiment, MakeDeployment(experiment, size));
   }
-  return ExitCode::kHeld;
+  return ExitCode::kSuccess;
 }
 
 ExitCode Schedule(const Arguments& arguments) {
   const Experiment experiment = LoadAtSize(arguments);
   PrintSchedule(std::cout, experiment, MakeDeployment(experiment, arguments.size));
-  return ExitCode::kHeld;
+  return ExitCode::kSuccess;
 }
 
 ExitCode Chain(const Arguments& arguments) {
   if (arguments.hop_p99_ms < arguments.hop_p50_ms) throw UsageError("--p99-ms is below --p50-ms");
-  lb::lab::ChainQuestion question = arguments.chain;
-  question.deadline = std::chrono::milliseconds(arguments.deadline_ms);
+  lb::lab::ChainParameters parameters = arguments.chain;
+  parameters.deadline = std::chrono::milliseconds(arguments.deadline_ms);
   PrintChains(
       std::cout,
-      lb::lab::LognormalHop(arguments.hop_p50_ms, arguments.hop_p99_ms, question.draws, question.seed),
-      question);
-  return ExitCode::kHeld;
+      lb::lab::LognormalHop(arguments.hop_p50_ms, arguments.hop_p99_ms, parameters.draws, parameters.seed),
+      parameters);
+  return ExitCode::kSuccess;
 }
 
 void AddFile(CLI::App& command, Arguments& arguments) {
   command.add_option("FILE", arguments.file, "the experiment, TOML (docs/lab.md)")->required();
-  command.add_option("--seed", arguments.seed, "in place of the file's")
+  command.add_option("--seed", arguments.seed, "seed to use instead of the file's")
       ->check(CLI::Range(std::int64_t{0}, std::numeric_limits<std::int64_t>::max()))
       ->type_name("N");
 }
 
 void AddSizes(CLI::App& command, Arguments& arguments) {
-  command.add_option("--sizes", arguments.sizes, "numbers of upstreams in place of the file's, growing")
+  command
+      .add_option("--sizes", arguments.sizes, "numbers of upstreams to use instead of the file's, ascending")
       ->delimiter(',')
       ->type_name("N,N...");
 }
 
 CLI::App* AddRun(CLI::App& app, Arguments& arguments) {
-  CLI::App* command = app.add_subcommand("run", "play an experiment over its sizes");
+  CLI::App* command = app.add_subcommand("run", "run an experiment at each of its sizes");
   AddFile(*command, arguments);
   AddSizes(*command, arguments);
-  command->add_option("--out", arguments.out, "where records go, one JSON object a line")->type_name("PATH");
-  command->add_option("--program", arguments.program, "the real sidecar [lb-sidecar of the same build]")
+  command->add_option("--out", arguments.out, "file for the records, one JSON object per line")
+      ->type_name("PATH");
+  command
+      ->add_option("--program", arguments.program,
+                   "executable of the real sidecar [lb-sidecar of the same build]")
       ->type_name("PATH");
   command->footer(
-      "Progress goes to standard error, the closing table to standard output.\n"
-      "Exit code: 0 all that must hold held, 1 something did not, 2 bad file or usage, 3 the run failed.\n"
+      "Progress goes to standard error, the final table to standard output.\n"
+      "Exit code: 0 all expectations hold, 1 one of them fails, 2 bad file or usage, 3 the run failed.\n"
       "Example: lb-lab run lab/experiments/jam.toml --sizes 100,200 --out jam.jsonl");
   return command;
 }
 
 CLI::App* AddCheck(CLI::App& app, Arguments& arguments) {
-  CLI::App* command = app.add_subcommand("check", "check a file and say what it amounts to at each size");
+  CLI::App* command = app.add_subcommand("check", "check a file and print a summary for each size");
   AddFile(*command, arguments);
   AddSizes(*command, arguments);
   command->footer("Example: lb-lab check lab/experiments/smoke.toml");
@@ -180,7 +184,7 @@
 
 CLI::App* AddSchedule(CLI::App& app, Arguments& arguments) {
   CLI::App* command =
-      app.add_subcommand("schedule", "print the drawn deployment and whom each fault strikes");
+      app.add_subcommand("schedule", "print the drawn deployment and the targets of each fault");
   AddFile(*command, arguments);
   command->add_option("--size", arguments.size, "number of upstreams")->required()->type_name("N");
   command->footer("Example: lb-lab schedule lab/experiments/zones.toml --size 60 --seed 7");
@@ -188,24 +192,27 @@
 }
 
 CLI::App* AddChain(CLI::App& app, Arguments& arguments) {
-  CLI::App* command = app.add_subcommand("chain", "reckon what chains of calls add, from one hop's figures");
+  CLI::App* command =
+      app.add_subcommand("chain", "compute what chains of calls add, from the latency that one hop adds");
   const CLI::Range milliseconds(1e-6, 1e6);
   command->add_option("--p50-ms", arguments.hop_p50_ms, "time added by one hop, median")
       ->required()
       ->check(milliseconds);
-  command->add_option("--p99-ms", arguments.hop_p99_ms, "likewise, 99th percentile")
+  command->add_option("--p99-ms", arguments.hop_p99_ms, "time added by one hop, 99th percentile")
       ->required()
       ->check(milliseconds);
-  command->add_option("--limit-ms", arguments.chain.limit_ms, "a hop that adds more is slow [1]")
+  command->add_option("--limit-ms", arguments.chain.limit_ms, "a hop that adds more counts as slow [1]")
       ->check(milliseconds);
-  command->add_option("--attempts", arguments.chain.max_attempts, "of a call at each hop at most [3]")
+  command->add_option("--attempts", arguments.chain.max_attempts, "maximum attempts per call at each hop [3]")
       ->check(CLI::Range(1, 100));
-  command->add_option("--budget", arguments.chain.budget_per_hop, "retries for each call and hop [0.1]")
+  command
+      ->add_option("--budget", arguments.chain.budget_per_hop,
+                   "maximum retries per call at each hop, on average [0.1]")
       ->check(CLI::Range(0.0, 1.0));
-  command->add_option("--deadline-ms", arguments.deadline_ms, "of the first call [2000]")
+  command->add_option("--deadline-ms", arguments.deadline_ms, "deadline of the first call [2000]")
       ->check(CLI::Range(std::int64_t{1}, std::int64_t{3'600'000}));
   command->footer(
-      "The hop is taken for lognormal, and hops for independent of each other.\n"
+      "Assumes that the time added by a hop is lognormal and that hops are independent.\n"
       "Example: lb-lab chain --p50-ms 0.7 --p99-ms 1 --limit-ms 2 --budget 0.3");
   return command;
 }
@@ -214,7 +221,7 @@
 
 int ParseAndRun(int argc, char** argv) {
   Arguments arguments;
-  CLI::App app("Plays experiments on an emulated fleet of upstreams and sidecars.", "lb-lab");
+  CLI::App app("Runs experiments on an emulated fleet of upstreams and sidecars.", "lb-lab");
   app.require_subcommand(1);
   app.footer("Example: lb-lab run lab/experiments/smoke.toml");
   const CLI::App* run = AddRun(app, arguments);
@@ -249,7 +256,7 @@
   try {
     return ParseAndRun(argc, argv);
   } catch (...) {
-    std::fputs("lb-lab: failed before its arguments were read\n", stderr);
+    std::fputs("lb-lab: failed before parsing its arguments\n", stderr);
     return Code(ExitCode::kRunFailed);
   }
 }
--- a/lab/measure/distribution.cpp
+++ b/lab/measure/distribution.cpp
@@ -16,7 +16,7 @@
 void Distribution::Merge(const Distribution& other) {
   const std::size_t added = other.values_.size();
   values_.reserve(values_.size() + added);
-  // By index: `other` may be this distribution itself.
+  // Copies by index because `other` may be this distribution itself.
   for (std::size_t i = 0; i < added; ++i) values_.push_back(other.values_[i]);
   if (added > 0) sorted_ = false;
 }
@@ -28,7 +28,7 @@
 
 double Distribution::Percentile(double share) const {
   if (values_.empty()) return 0;
-  // A hair less than the product, so that 0.07 of 100 values is the 7th although the product is above 7.
+  // Compensates for rounding: 0.07 * 100 exceeds 7 in floating point, but its rank must be 7.
   constexpr double kRounding = 1 - 1e-12;
   const double rank = std::ceil(std::clamp(share, 0.0, 1.0) * static_cast<double>(count()) * kRounding);
   const std::size_t index = rank < 1 ? 0 : static_cast<std::size_t>(rank) - 1;
--- a/lab/measure/distribution.h
+++ b/lab/measure/distribution.h
@@ -1,4 +1,4 @@
-// Measured values and what is read off them: mean, percentiles, shares.
+// Collects measured values and computes their mean, percentiles and shares.
 #pragma once
 
 #include <cstddef>
@@ -6,21 +6,22 @@
 
 namespace lb::lab {
 
-// Values to take percentiles of. All are kept: a run holds a few million at the most. Not thread-safe, also
-// where it is const: the values are sorted when they are first read.
+// Keeps all values, at most a few million in a run, to compute exact percentiles. Not thread-safe, not even
+// for const functions: the values are sorted when they are first read.
 class Distribution {
  public:
   // Throws std::invalid_argument for a value that is not finite.
   void Add(double value);
   void Merge(const Distribution& other);
   std::size_t count() const { return values_.size(); }
-  // 0 where there is no value.
+  // 0 if there are no values.
   double mean() const;
-  // The smallest value that at least `share` (0 to 1) of all do not pass; 0 where there is none.
+  // Nearest-rank percentile: the smallest value such that at least `share` (0 to 1) of all values do not
+  // exceed it. 0 if there are no values.
   double Percentile(double share) const;
-  // The share (0 to 1) of the values that are greater than `limit`; 0 where there is none.
+  // The share (0 to 1) of the values that are greater than `limit`; 0 if there are no values.
   double ShareAbove(double limit) const;
-  // All values in ascending order. The reference is good until the next Add() or Merge().
+  // All values in ascending order. The reference is valid until the next Add() or Merge().
   const std::vector<double>& SortedValues() const;
 
  private:
--- a/lab/measure/fleet_rules.cpp
+++ b/lab/measure/fleet_rules.cpp
@@ -10,8 +10,9 @@
 
 using lb::UpstreamState;
 
-constexpr double kFewRequests = 30;            // below, the budget's slack is wider
-constexpr double kShareOfTheTold = 2.0 / 3.0;  // of a fall's requests, beyond which it breaks the rule
+constexpr double kSmallBudgetRequests = 30;  // below this, the budget has a wider margin
+// An overload counts as a violation only if informed sidecars sent more than this share of its requests.
+constexpr double kInformedShare = 2.0 / 3.0;
 
 double MeanWorkSeconds(const std::vector<ClassSpec>& classes) {
   double work = 0, share = 0;
@@ -26,7 +27,7 @@
 
 double SlowStartBudget(double allowed) {
   const double root = std::sqrt(allowed);
-  return allowed + (allowed < kFewRequests ? 3 * root + 3 : 2 * root + 2);
+  return allowed + (allowed < kSmallBudgetRequests ? 3 * root + 3 : 2 * root + 2);
 }
 
 FleetRules::FleetRules(const Experiment& experiment, const Deployment& deployment,
@@ -34,13 +35,13 @@
     : deployment_(deployment),
       rules_(settings.fleet_limits),
       mean_work_s_(MeanWorkSeconds(experiment.classes)),
-      cold_(deployment.upstreams.size()) {
+      slow_starts_(deployment.upstreams.size()) {
   for (const UpstreamInstance& upstream : deployment.upstreams) upstreams_[upstream.id] = upstream.index;
 }
 
 void FleetRules::Started(std::size_t upstream, TimePoint at) {
   const std::lock_guard lock(mutex_);
-  cold_[upstream].emplace().since = at;
+  slow_starts_[upstream].emplace().since = at;
 }
 
 void FleetRules::Told(std::size_t sidecar, const MembershipEntry& entry, TimePoint at) {
@@ -53,13 +54,14 @@
     return;
   }
   draining_.erase({sidecar, upstream});
-  if (auto& cold = cold_[upstream]; cold && entry.boot_ms != 0) cold->told.insert(sidecar);
+  if (auto& slow_start = slow_starts_[upstream]; slow_start && entry.boot_ms != 0)
+    slow_start->informed.insert(sidecar);
 }
 
 void FleetRules::Attempted(std::size_t sidecar, std::size_t upstream, Duration work, TimePoint at) {
   const std::lock_guard lock(mutex_);
-  JudgeDrain(sidecar, upstream, at);
-  JudgeSlowStart(sidecar, upstream, work, at);
+  CheckDrain(sidecar, upstream, at);
+  CheckSlowStart(sidecar, upstream, work, at);
 }
 
 FleetRuleCounters FleetRules::counters() const {
@@ -67,32 +69,34 @@
   return counters_;
 }
 
-void FleetRules::JudgeDrain(std::size_t sidecar, std::size_t upstream, TimePoint at) {
-  const auto told = draining_.find({sidecar, upstream});
-  if (told == draining_.end()) return;
-  if (at > told->second + rules_.drain_grace + kDrainSlack + kArrivalMargin) ++counters_.late_to_draining;
+void FleetRules::CheckDrain(std::size_t sidecar, std::size_t upstream, TimePoint at) {
+  const auto informed = draining_.find({sidecar, upstream});
+  if (informed == draining_.end()) return;
+  if (at > informed->second + rules_.drain_grace + kDrainSlack + kArrivalMargin) ++counters_.late_to_draining;
 }
 
-void FleetRules::JudgeSlowStart(std::size_t sidecar, std::size_t upstream, Duration work, TimePoint at) {
-  auto& cold = cold_[upstream];
-  if (!cold) return;
-  if (at - cold->since > rules_.slow_start_duration) return cold.reset();
-  const auto count = [&cold](const Arrival& arrival, int sign) {
-    cold->requests += sign * arrival.requests;
-    if (arrival.told) cold->requests_told += sign * arrival.requests;
+void FleetRules::CheckSlowStart(std::size_t sidecar, std::size_t upstream, Duration work, TimePoint at) {
+  auto& slow_start = slow_starts_[upstream];
+  if (!slow_start) return;
+  if (at - slow_start->since > rules_.slow_start_duration) return slow_start.reset();
+  const auto count = [&slow_start](const Arrival& arrival, int sign) {
+    slow_start->requests += sign * arrival.requests;
+    if (arrival.informed) slow_start->requests_informed += sign * arrival.requests;
   };
-  while (!cold->window.empty() && cold->window.front().at <= at - rules_.overload_window) {
-    count(cold->window.front(), -1);
-    cold->window.pop_front();
+  while (!slow_start->window.empty() && slow_start->window.front().at <= at - rules_.overload_window) {
+    count(slow_start->window.front(), -1);
+    slow_start->window.pop_front();
   }
-  cold->window.push_back({at, ToSeconds(work) / mean_work_s_, cold->told.contains(sidecar)});
-  count(cold->window.back(), 1);
-  if (cold->fallen || cold->requests <= SlowStartBudget(Allowed(upstream, at - cold->since))) return;
-  cold->fallen = true;
-  if (cold->requests_told > kShareOfTheTold * cold->requests) ++counters_.cold_overloads;
+  slow_start->window.push_back({at, ToSeconds(work) / mean_work_s_, slow_start->informed.contains(sidecar)});
+  count(slow_start->window.back(), 1);
+  if (slow_start->overloaded ||
+      slow_start->requests <= SlowStartBudget(Allowed(upstream, at - slow_start->since)))
+    return;
+  slow_start->overloaded = true;
+  if (slow_start->requests_informed > kInformedShare * slow_start->requests) ++counters_.cold_overloads;
 }
 
-// Requests of mean work in a window.
+// Number of requests of mean work that the settings allow within the window.
 double FleetRules::Allowed(std::size_t upstream, Duration age) const {
   const UpstreamInstance& instance = deployment_.upstreams[upstream];
   const double warm_per_s = instance.kind->cores * instance.speed / mean_work_s_;
--- a/lab/measure/fleet_rules.h
+++ b/lab/measure/fleet_rules.h
@@ -1,6 +1,9 @@
-// Judges two rules on what sidecars send to upstreams, from what they received and what arrived:
-// - drain: nothing new to a draining or removed upstream later than a grace after its drain counts as known;
-// - slow start: a cold upstream may get only so much within a window from all sidecars together.
+// Checks two rules on the requests that sidecars send to upstreams, from the endpoint list entries that the
+// sidecars received and the requests that arrived at the upstreams:
+// - drain: no new request to a draining or removed upstream after the grace period that begins when the
+//   sidecar learns of the drain;
+// - slow start: all sidecars together may send an upstream in slow start only a limited amount of work
+//   within a window.
 #pragma once
 
 #include <cstddef>
@@ -22,31 +25,32 @@
 
 using lb::TimePoint;
 
-// On top of the grace of a drain: the protocol's slack on sockets, and what the lab's own threads may be late
-// in seeing a request that has arrived.
+// Tolerances added to the drain grace period: the protocol's slack for sockets, and the delay with which the
+// lab's own threads may notice an arrived request.
 inline constexpr Duration kDrainSlack = std::chrono::milliseconds(50);
 inline constexpr Duration kArrivalMargin = std::chrono::milliseconds(100);
 
-// How many requests of mean work a cold upstream bears within the window, where the settings allow `allowed`.
+// Number of requests of mean work that may reach an upstream in slow start within the window, if the settings
+// allow `allowed` on average. The difference allows for random variation.
 double SlowStartBudget(double allowed);
 
 struct FleetRuleCounters {
   std::uint64_t late_to_draining = 0;  // attempts
-  std::uint64_t cold_overloads = 0;    // falls of a cold upstream that break the rule: one a start at most
+  std::uint64_t cold_overloads = 0;    // violations of the slow start rule; at most one for each start
 };
 
-// From any thread.
+// Thread-safe.
 class FleetRules {
  public:
-  // Both have to outlive it; `settings` are those of any sidecar of the deployment.
+  // The deployment has to outlive this object. `settings` may be those of any sidecar of the deployment.
   FleetRules(const Experiment& experiment, const Deployment& deployment, const lb::Settings& settings);
 
-  // A process of the upstream starts, cold.
+  // A new process of the upstream starts and begins its slow start.
   void Started(std::size_t upstream, TimePoint at);
-  // What a sidecar's list says of an upstream counts as known from `at` on, which may lie ahead. An unknown
-  // upstream is ignored.
+  // A sidecar received this entry in its endpoint list; the sidecar counts as informed from `at` on, which
+  // may be in the future. An unknown upstream is ignored.
   void Told(std::size_t sidecar, const MembershipEntry& entry, TimePoint at);
-  // A request of so much work on a core of speed 1 has arrived.
+  // A request has arrived at the upstream; `work` is its processor time on a core of speed 1.
   void Attempted(std::size_t sidecar, std::size_t upstream, Duration work, TimePoint at);
 
   FleetRuleCounters counters() const;
@@ -54,20 +58,20 @@
  private:
   struct Arrival {
     TimePoint at;
-    double requests = 0;  // of mean work
-    bool told = false;    // its sidecar knew of the start
+    double requests = 0;    // work in units of the mean request
+    bool informed = false;  // its sidecar had received the upstream's start
   };
-  struct Cold {
+  struct SlowStart {
     TimePoint since;
-    std::set<std::size_t> told;  // sidecars that know of the start
+    std::set<std::size_t> informed;  // sidecars that have received the start
     std::deque<Arrival> window;
-    double requests = 0;       // in the window
-    double requests_told = 0;  // of these, from sidecars that knew
-    bool fallen = false;
+    double requests = 0;           // in the window
+    double requests_informed = 0;  // of these, from informed sidecars
+    bool overloaded = false;
   };
 
-  void JudgeDrain(std::size_t sidecar, std::size_t upstream, TimePoint at);
-  void JudgeSlowStart(std::size_t sidecar, std::size_t upstream, Duration work, TimePoint at);
+  void CheckDrain(std::size_t sidecar, std::size_t upstream, TimePoint at);
+  void CheckSlowStart(std::size_t sidecar, std::size_t upstream, Duration work, TimePoint at);
   double Allowed(std::size_t upstream, Duration age) const;
 
   const Deployment& deployment_;
@@ -76,8 +80,9 @@
   std::map<std::string, std::size_t> upstreams_;  // by id
   mutable std::mutex mutex_;
   // Guarded by mutex_.
-  std::map<std::pair<std::size_t, std::size_t>, TimePoint> draining_;  // by sidecar and upstream, since when
-  std::vector<std::optional<Cold>> cold_;                              // by upstream, up to its warmth
+  // By sidecar and upstream: when the sidecar learned of the drain.
+  std::map<std::pair<std::size_t, std::size_t>, TimePoint> draining_;
+  std::vector<std::optional<SlowStart>> slow_starts_;  // by upstream; absent when not in slow start
   FleetRuleCounters counters_;
 };
 
--- a/lab/measure/growth.cpp
+++ b/lab/measure/growth.cpp
@@ -18,7 +18,7 @@
 
 const char* PartName(GrowthPart part) { return part == GrowthPart::kFleet ? "fleet" : "real"; }
 
-// An upstream's share of the capacity in the large fleet, against one of the usual fleet.
+// Capacity of an upstream of the large fleet relative to one of the usual fleet.
 double CapacityRatio(const Experiment& experiment) {
   const std::size_t usual = experiment.sizes.front();
   const auto usual_sidecars = static_cast<double>(SidecarsFor(experiment, usual));
@@ -28,7 +28,7 @@
   return large_share / usual_share;
 }
 
-void Enlarge(Experiment& experiment) {
+void ScaleToLargeFleet(Experiment& experiment) {
   const double ratio = CapacityRatio(experiment);
   for (KindSpec& kind : experiment.upstreams.kinds) {
     kind.cores = LargeFleetCores(experiment, kind).value_or(kind.cores);
@@ -52,13 +52,13 @@
   return (limit.part == GrowthPart::kFleet ? metrics.fleet : metrics.real).*description->value;
 }
 
-// False where one of them is not a number.
-bool Holds(const GrowthRow& row) {
+// False if any of the row's values is not a number.
+bool SatisfiesLimit(const GrowthRow& row) {
   if (!(row.usual > 0)) return false;
   return row.limit.comparison == Comparison::kAtMost ? row.large <= row.allowed : row.large >= row.allowed;
 }
 
-// `at most 1.4 x + 0.02 + 0.03 per 1000`.
+// Formats a limit as in `at most 1.4 x + 0.02 + 0.03 per 1000`.
 std::string LimitText(const GrowthLimit& limit) {
   std::string text = limit.comparison == Comparison::kAtMost ? "at most " : "at least ";
   text += FormatShort(limit.factor, kLimitDigits) + " x";
@@ -98,7 +98,7 @@
 
 Experiment GrowthExperiment(const Experiment& experiment, FleetSize fleet, GrowthPart part) {
   Experiment played = experiment;
-  if (fleet == FleetSize::kLarge) Enlarge(played);
+  if (fleet == FleetSize::kLarge) ScaleToLargeFleet(played);
   if (part == GrowthPart::kReal) LeaveRealOnly(played);
   played.name += part == GrowthPart::kReal ? "-real" : "-fleet";
   played.growth.reset();
@@ -120,7 +120,7 @@
     row.large = ValueOf(large, limit);
     row.allowed = limit.factor * row.usual + limit.constant +
                   limit.per_thousand * static_cast<double>(spec.upstreams) / kThousand;
-    row.holds = Holds(row);
+    row.holds = SatisfiesLimit(row);
     rows.push_back(std::move(row));
   }
   return rows;
@@ -147,7 +147,7 @@
     const Experiment played = GrowthExperiment(experiment, fleet, GrowthPart::kFleet);
     PrintSummary(out, played, MakeDeployment(played, played.sizes.front()));
   }
-  out << "beside them " << experiment.growth->real << " real sidecars at either size\n";
+  out << "in addition " << experiment.growth->real << " real sidecars at either size\n";
   for (const GrowthLimit& limit : experiment.growth->limits) {
     out << "  " << limit.metric << " (" << PartName(limit.part) << "): " << LimitText(limit) << "\n";
   }
--- a/lab/measure/metrics.cpp
+++ b/lab/measure/metrics.cpp
@@ -10,8 +10,8 @@
   return description ? metrics.*description->value : std::numeric_limits<double>::quiet_NaN();
 }
 
-// False where `value` is not a number.
-bool Holds(const Expectation& expectation, double value) {
+// False if `value` is not a number.
+bool SatisfiesBound(const Expectation& expectation, double value) {
   if (expectation.comparison == Comparison::kAtLeast) return value >= expectation.bound;
   return value <= expectation.bound;
 }
@@ -96,7 +96,7 @@
   std::vector<Verdict> verdicts;
   for (const Expectation& expectation : experiment.must_hold) {
     const double value = ValueOf(metrics, expectation.metric);
-    verdicts.push_back({expectation, value, Holds(expectation, value)});
+    verdicts.push_back({expectation, value, SatisfiesBound(expectation, value)});
   }
   return verdicts;
 }
--- a/lab/measure/propagation_log.cpp
+++ b/lab/measure/propagation_log.cpp
@@ -9,9 +9,9 @@
 namespace lb::lab {
 namespace {
 
-constexpr std::uint64_t kFirstChange = 2;  // revision 1 is the list at the start
+constexpr std::uint64_t kFirstChange = 2;  // revision 1 is the initial list
 
-bool Concerns(std::size_t changed, std::optional<std::size_t> service) {
+bool IsInScope(std::size_t changed, std::optional<std::size_t> service) {
   return !service || *service == changed;
 }
 
@@ -19,7 +19,7 @@
 
 void PropagationLog::Changed(std::uint64_t revision, std::size_t service, TimePoint at) {
   if (revision != newest() + 1)
-    throw std::logic_error("revision " + std::to_string(revision) + " out of turn");
+    throw std::logic_error("revision " + std::to_string(revision) + " is out of order");
   changes_.push_back({service, at});
 }
 
@@ -32,11 +32,11 @@
 void PropagationLog::Told(std::size_t sidecar, std::uint64_t revision, TimePoint at) {
   const auto found = sidecars_.find(sidecar);
   if (found == sidecars_.end()) return;
-  Sidecar& told = found->second;
+  Sidecar& receiver = found->second;
   const std::uint64_t last = std::min(revision, newest());
-  for (; told.told < last; ++told.told) {
-    const Change& change = changes_[told.told + 1 - kFirstChange];
-    if (!Concerns(change.service, told.service)) continue;
+  for (; receiver.delivered_revision < last; ++receiver.delivered_revision) {
+    const Change& change = changes_[receiver.delivered_revision + 1 - kFirstChange];
+    if (!IsInScope(change.service, receiver.service)) continue;
     const double delay_ms = std::chrono::duration<double, std::milli>(at - change.at).count();
     if (change.at >= counted_from_) delays_ms_.Add(delay_ms);
     recent_ms_.Add(delay_ms);
@@ -46,9 +46,9 @@
 std::size_t PropagationLog::Missing(TimePoint until) const {
   std::size_t missing = 0;
   for (const auto& [index, sidecar] : sidecars_) {
-    for (std::uint64_t revision = sidecar.told + 1; revision <= newest(); ++revision) {
+    for (std::uint64_t revision = sidecar.delivered_revision + 1; revision <= newest(); ++revision) {
       const Change& change = changes_[revision - kFirstChange];
-      if (Concerns(change.service, sidecar.service) && change.at <= until) ++missing;
+      if (IsInScope(change.service, sidecar.service) && change.at <= until) ++missing;
     }
   }
   return missing;
--- a/lab/measure/propagation_log.h
+++ b/lab/measure/propagation_log.h
@@ -1,4 +1,5 @@
-// When the registry changed, and how long each sidecar took to hear of it.
+// Records when the membership registry changed, and how long the delivery of each change to each sidecar
+// took.
 #pragma once
 
 #include <cstddef>
@@ -17,25 +18,25 @@
 // Not thread-safe.
 class PropagationLog {
  public:
-  // The registry made this revision at `at`. Revisions come without gaps, from 2 on. Throws std::logic_error
-  // for another one.
+  // The registry reached this revision at `at`, by a change to an upstream of `service`. Revisions must be
+  // consecutive from 2 on; otherwise throws std::logic_error.
   void Changed(std::uint64_t revision, std::size_t service, TimePoint at);
 
-  // A sidecar starts, and what changes from now on is to be delivered to it. `service`: what its list is
-  // restricted to, if at all.
+  // A sidecar starts; later changes have to be delivered to it. If `service` is given, the sidecar's endpoint
+  // list is restricted to that service.
   void Start(std::size_t sidecar, std::optional<std::size_t> service);
-  void Stop(std::size_t sidecar);  // it is owed nothing any more
-  // A sidecar that runs holds what is up to `revision` since `at`.
+  void Stop(std::size_t sidecar);  // no further deliveries to this sidecar are expected
+  // All changes up to `revision` reached the sidecar by `at`. Ignored for a sidecar that is not running.
   void Told(std::size_t sidecar, std::uint64_t revision, TimePoint at);
 
-  // How many changes up to `until` have not been delivered to sidecars that run, over all of these.
+  // Number of changes made up to `until` and not yet delivered, summed over the running sidecars.
   std::size_t Missing(TimePoint until) const;
 
-  // Delays of changes before `from` do not count for delays_ms().
+  // Clears delays_ms() and excludes changes made before `from` from it.
   void CountFrom(TimePoint from);
-  // Milliseconds from each counted change to its delivery, for each sidecar.
+  // Delays in milliseconds from each counted change to its delivery, one value for each sidecar.
   const Distribution& delays_ms() const { return delays_ms_; }
-  // The same of all changes, since the last call of this function.
+  // Delays of all changes delivered since the last call of this function.
   Distribution TakeRecentDelays();
 
  private:
@@ -45,12 +46,12 @@
   };
   struct Sidecar {
     std::optional<std::size_t> service;
-    std::uint64_t told = 0;  // the last revision counted
+    std::uint64_t delivered_revision = 0;  // latest revision delivered
   };
 
   std::uint64_t newest() const { return changes_.size() + 1; }
 
-  std::vector<Change> changes_;  // of revision 2 on
+  std::vector<Change> changes_;  // the first one is revision 2
   std::unordered_map<std::size_t, Sidecar> sidecars_;
   TimePoint counted_from_ = TimePoint::min();
   Distribution delays_ms_;
--- a/lab/measure/report.cpp
+++ b/lab/measure/report.cpp
@@ -1,4 +1,4 @@
-// What a run's measurements look like: JSON lines for programs, tables and verdicts for people.
+// Writes a run's measurements as JSON lines, and prints the table of metrics and the verdicts.
 #include <algorithm>
 #include <cmath>
 #include <ostream>
@@ -56,7 +56,7 @@
 
 Json Number(double value) { return std::isfinite(value) ? Json(value) : Json(nullptr); }
 
-// What every line says of the run that it belongs to.
+// Fields that identify the run, common to all lines.
 Json RunEvent(const char* event, const Experiment& experiment, std::size_t size) {
   Json line;
   line["event"] = event;
@@ -66,7 +66,7 @@
   return line;
 }
 
-// Names that are not UTF-8 don't cost the line.
+// Invalid UTF-8 in names is replaced, so that the line is still written.
 void WriteLine(std::ostream& out, const Json& line) {
   out << line.dump(-1, ' ', false, Json::error_handler_t::replace) << '\n';
 }
@@ -75,7 +75,7 @@
   return std::all_of(runs.begin(), runs.end(), [&](const Metrics& run) { return run.*metric.value == 0; });
 }
 
-// As many digits as it takes to tell the value from the bound.
+// Number of significant digits needed to distinguish the value from the bound.
 int DistinctDigits(double value, double bound) {
   constexpr int kMinDigits = 4;
   constexpr int kMaxDigits = 17;
--- a/lab/measure/share.h
+++ b/lab/measure/share.h
@@ -1,11 +1,11 @@
-// A part of a whole, as samples and totals give it.
+// Computes shares for samples and totals.
 #pragma once
 
 #include <cstdint>
 
 namespace lb::lab {
 
-// 0 if the whole is 0 or less.
+// `part` over `whole`; 0 if `whole` is 0 or less.
 inline double Share(double part, double whole) { return whole > 0 ? part / whole : 0; }
 
 inline double Share(std::uint64_t part, std::uint64_t whole) {
--- a/lab/measure/slopes.cpp
+++ b/lab/measure/slopes.cpp
@@ -1,4 +1,4 @@
-// How metrics grow with the fleet: least squares over the number of upstreams.
+// Fits the growth of metrics with the fleet size, by least squares over the number of upstreams.
 #include <algorithm>
 #include <cmath>
 #include <ostream>
@@ -32,7 +32,7 @@
   return std::all_of(runs.begin(), runs.end(), is_finite) && !std::all_of(runs.begin(), runs.end(), is_zero);
 }
 
-// Takes three runs of different sizes or more.
+// Needs runs of at least three different sizes.
 Slope Fit(const MetricDescription& metric, const std::vector<Metrics>& runs) {
   const double mean_size = Mean(runs, &Metrics::upstreams);
   const double mean_value = Mean(runs, metric.value);
@@ -53,7 +53,7 @@
     const double residual = run.*metric.value - (fit.intercept + fit.slope * run.upstreams);
     residual_squares += residual * residual;
   }
-  // A metric that is the same at all sizes lies on its line.
+  // A metric that is constant over all sizes is fitted exactly.
   fit.r_squared = value_squares > 0 ? std::max(0.0, 1 - residual_squares / value_squares) : 1;
   const auto degrees_of_freedom = static_cast<double>(runs.size() - 2);
   fit.standard_error = std::sqrt(residual_squares / degrees_of_freedom / size_squares);
--- a/lab/measure/text_table.cpp
+++ b/lab/measure/text_table.cpp
@@ -22,7 +22,7 @@
   return text;
 }
 
-// Fixed notation with so many significant digits.
+// Fixed notation with the given number of significant digits.
 std::string Fixed(double value, int digits) {
   const int before_point = static_cast<int>(std::floor(std::log10(std::abs(value)))) + 1;
   return Print("%.*f", std::max(digits - before_point, 0), value);
--- a/lab/measure/text_table.h
+++ b/lab/measure/text_table.h
@@ -1,4 +1,4 @@
-// Tables and numbers for people at a terminal.
+// Formats numbers and tables for output on a terminal.
 #pragma once
 
 #include <cstddef>
@@ -8,21 +8,22 @@
 
 namespace lb::lab {
 
-// A number with four significant digits: integers and all from 1000 on whole, below 0.0001 and from 1e9 on
-// with an exponent, `-` where it is not finite. A number below 1 is never rounded up to 1, so that a share of
-// 0.99996 can be distinguished from 1.
+// Formats a number with four significant digits. Integers and numbers from 1000 on have no fraction; numbers
+// below 0.0001 or from 1e9 on have an exponent; `-` stands for a number that is not finite. A number below 1
+// is never rounded up to 1, so that a share of 0.99996 can be distinguished from 1.
 std::string FormatNumber(double value);
 
-// The shortest text of a number rounded to so many significant digits (1 to 17): 0.1, 12, 1e-05, nan.
+// Shortest text of a number rounded to the given number of significant digits (1 to 17): 0.1, 12, 1e-05, nan.
 std::string FormatShort(double value, int digits);
 
-// Aligned columns: the first `left_aligned` to the left, the others (numbers) to the right.
+// Table with aligned columns: the first `left_aligned` columns to the left, the others (numbers) to the
+// right.
 class TextTable {
  public:
   explicit TextTable(std::size_t left_aligned) : left_aligned_(left_aligned) {}
-  // Cells that a row lacks are empty.
+  // Missing cells at the end of a row are empty.
   void AddRow(std::vector<std::string> cells);
-  // The first row is the heading and is underlined. Writes nothing where there is no row.
+  // The first row is the heading and is underlined. Writes nothing if there are no rows.
   void Print(std::ostream& out) const;
 
  private:
--- a/lab/model/chain.cpp
+++ b/lab/model/chain.cpp
@@ -18,8 +18,8 @@
 using lb::Duration;
 using Milliseconds = std::chrono::duration<double, std::milli>;
 
-// 1 + ratio + ... + ratio^(terms - 1): the attempts that a call makes in the mean when each fails with
-// probability `ratio` and it gives up after `terms`.
+// 1 + ratio + ... + ratio^(terms - 1): the mean number of attempts of a call when each attempt fails with
+// probability `ratio` and the call makes at most `terms` attempts.
 double GeometricSum(double ratio, double terms) {
   if (ratio >= 1) return terms;
   if (ratio <= 0) return 1;
@@ -28,13 +28,13 @@
 
 Duration FromMilliseconds(double ms) { return std::chrono::round<Duration>(Milliseconds(ms)); }
 
-// A number that the caller chose, as it was written.
-std::string FormatChoice(double value) {
+// Formats a parameter of the table with up to six significant digits, so that it reads as it was entered.
+std::string FormatParameter(double value) {
   constexpr int kDigits = 6;
   return FormatShort(value, kDigits);
 }
 
-// The table of chains: the description and the unit of each row, then one cell a depth.
+// Table of chains. Each row has a description, a unit, and one cell for each depth.
 class ChainTable {
  public:
   explicit ChainTable(const std::vector<std::size_t>& depths) : depths_(depths), table_(2) {
@@ -55,30 +55,30 @@
   TextTable table_;
 };
 
-void AddTimeRows(ChainTable& table, const Distribution& hop_ms, const ChainQuestion& question) {
+void AddTimeRows(ChainTable& table, const Distribution& hop_ms, const ChainParameters& parameters) {
   std::vector<Distribution> chains;
-  for (const std::size_t depth : question.depths)
-    chains.push_back(SimulateChain(hop_ms, depth, question.draws, question.seed));
+  for (const std::size_t depth : parameters.depths)
+    chains.push_back(SimulateChain(hop_ms, depth, parameters.draws, parameters.seed));
   const auto chain_of = [&](std::size_t depth) -> const Distribution& {
-    const auto found = std::find(question.depths.begin(), question.depths.end(), depth);
-    return chains[static_cast<std::size_t>(found - question.depths.begin())];
+    const auto found = std::find(parameters.depths.begin(), parameters.depths.end(), depth);
+    return chains[static_cast<std::size_t>(found - parameters.depths.begin())];
   };
   table.AddRow("added, mean", "ms", [&](std::size_t depth) { return chain_of(depth).mean(); });
   table.AddRow("added, p50", "ms", [&](std::size_t depth) { return chain_of(depth).Percentile(0.5); });
   table.AddRow("added, p99", "ms", [&](std::size_t depth) { return chain_of(depth).Percentile(0.99); });
   table.AddRow("added, p99.9", "ms", [&](std::size_t depth) { return chain_of(depth).Percentile(0.999); });
-  const double slow_hops = hop_ms.ShareAbove(question.limit_ms);
-  table.AddRow("chains with a hop over " + FormatChoice(question.limit_ms) + " ms", "share",
+  const double slow_hops = hop_ms.ShareAbove(parameters.limit_ms);
+  table.AddRow("chains with a hop over " + FormatParameter(parameters.limit_ms) + " ms", "share",
                [&](std::size_t depth) { return ShareOfChainsWithAny(slow_hops, depth); });
 }
 
-void AddAttemptRows(ChainTable& table, const ChainQuestion& question) {
+void AddAttemptRows(ChainTable& table, const ChainParameters& parameters) {
   const auto chain_of = [&](std::size_t depth, double leaf_failure) {
-    return RetryChain{depth, question.max_attempts, leaf_failure, question.budget_per_hop};
+    return RetryChain{depth, parameters.max_attempts, leaf_failure, parameters.budget_per_hop};
   };
-  const std::string budget = "budget " + FormatChoice(question.budget_per_hop);
-  for (const double failure : question.leaf_failures) {
-    std::string what = "leaf attempts, leaf fails " + FormatChoice(failure);
+  const std::string budget = "budget " + FormatParameter(parameters.budget_per_hop);
+  for (const double failure : parameters.leaf_failures) {
+    std::string what = "leaf attempts, leaf fails " + FormatParameter(failure);
     table.AddRow(what + ", no budget", "attempts/call",
                  [&](std::size_t depth) { return AttemptsWithoutBudget(chain_of(depth, failure)).expected; });
     what.append(", ").append(budget);
@@ -91,15 +91,16 @@
                [&](std::size_t depth) { return AttemptsWithBudget(chain_of(depth, 1)).most; });
 }
 
-void AddDeadlineRow(ChainTable& table, const ChainQuestion& question, const std::string& added_what,
+void AddDeadlineRow(ChainTable& table, const ChainParameters& parameters, const std::string& added_what,
                     double added_ms) {
-  table.AddRow("left of " + FormatChoice(ToMilliseconds(question.deadline)) + " ms, hops adding their " +
-                   added_what + " and " + FormatChoice(ToMilliseconds(question.margin)) + " ms of margin",
-               "ms", [&](std::size_t depth) {
-                 const auto remaining = RemainingDeadlines(question.deadline, FromMilliseconds(added_ms),
-                                                           question.margin, depth);
-                 return ToMilliseconds(remaining.empty() ? question.deadline : remaining.back());
-               });
+  table.AddRow(
+      "left of " + FormatParameter(ToMilliseconds(parameters.deadline)) + " ms, hops adding their " +
+          added_what + " and " + FormatParameter(ToMilliseconds(parameters.margin)) + " ms of margin",
+      "ms", [&](std::size_t depth) {
+        const auto remaining =
+            RemainingDeadlines(parameters.deadline, FromMilliseconds(added_ms), parameters.margin, depth);
+        return ToMilliseconds(remaining.empty() ? parameters.deadline : remaining.back());
+      });
 }
 
 }  // namespace
@@ -138,8 +139,8 @@
 }
 
 LeafAttempts AttemptsWithoutBudget(const RetryChain& chain) {
-  // The leaf is attempted until it succeeds once or every hop has used up its attempts, so that the whole
-  // chain is one call of max_attempts^depth attempts.
+  // The leaf is attempted until one attempt succeeds or every hop has used up its attempts, so the whole
+  // chain behaves like one call with max_attempts^depth attempts.
   LeafAttempts attempts;
   attempts.most = std::pow(chain.max_attempts, static_cast<double>(chain.depth));
   attempts.expected = GeometricSum(chain.leaf_failure, attempts.most);
@@ -155,7 +156,7 @@
     const double wanted = GeometricSum(attempt_failure, chain.max_attempts);
     const double per_call = std::min(wanted, most_per_hop);
     attempts.expected *= per_call;
-    // A call succeeds with one of its attempts at the most, so those that succeed are as many as the calls.
+    // A call ends with its first successful attempt, so at most one attempt of each call succeeds.
     attempt_failure = std::max(0.0, 1 - per_call * (1 - attempt_failure));
   }
   return attempts;
@@ -171,12 +172,12 @@
   return remaining;
 }
 
-void PrintChains(std::ostream& out, const Distribution& hop_ms, const ChainQuestion& question) {
-  ChainTable table(question.depths);
-  AddTimeRows(table, hop_ms, question);
-  AddAttemptRows(table, question);
-  AddDeadlineRow(table, question, "mean", hop_ms.mean());
-  AddDeadlineRow(table, question, "p99", hop_ms.Percentile(0.99));
+void PrintChains(std::ostream& out, const Distribution& hop_ms, const ChainParameters& parameters) {
+  ChainTable table(parameters.depths);
+  AddTimeRows(table, hop_ms, parameters);
+  AddAttemptRows(table, parameters);
+  AddDeadlineRow(table, parameters, "mean", hop_ms.mean());
+  AddDeadlineRow(table, parameters, "p99", hop_ms.Percentile(0.99));
   table.Print(out);
 }
 
--- a/lab/model/client_model.cpp
+++ b/lab/model/client_model.cpp
@@ -54,7 +54,8 @@
 
 void ClientModel::Stop() { running_ = false; }
 
-// The rest of a wait of a Poisson process is as long as a new one: each is drawn again.
+// A Poisson process has no memory, so drawing every pending arrival again at the new rate keeps the process
+// correct.
 void ClientModel::SetLoadFactor(double factor) {
   factor_ = factor;
   if (!running_) return;
@@ -97,7 +98,7 @@
   return shares_.size() - 1;
 }
 
-// Lognormal, by its mean and its standard deviation over the mean.
+// Draws from a lognormal distribution given by its mean and its coefficient of variation.
 Duration ClientModel::DrawWork(const ClassSpec& spec, std::mt19937_64& random) {
   if (spec.work_variation <= 0) return spec.mean_work;
   const double variance = std::log1p(spec.work_variation * spec.work_variation);
@@ -108,42 +109,45 @@
 void ClientModel::Try(const RequestPtr& request) {
   const ClassSpec& spec = experiment_.classes[request->request_class];
   const TimePoint now = scheduler_.Now();
-  const TimePoint gives_up =
+  const TimePoint try_deadline =
       std::min(now + Scaled(spec.deadline, experiment_.clients.try_share), request->arrived + spec.deadline);
-  const int tried = ++request->tries;
-  request->waits = true;
-  if (tried > 1) ++client_retries_;
-  const OfferedRequest offered{lb::ClassId{request->request_class}, request->work, gives_up, tried > 1};
-  scheduler_.At(gives_up, [this, request, tried] { Heard(request, tried, {AnswerKind::kFailed, {}}); });
+  const int try_number = ++request->tries;
+  request->awaiting_answer = true;
+  if (try_number > 1) ++client_retries_;
+  const OfferedRequest offered{lb::ClassId{request->request_class}, request->work, try_deadline,
+                               try_number > 1};
+  scheduler_.At(try_deadline, [this, request, try_number] {
+    OnTryEnded(request, try_number, {AnswerKind::kFailed, {}});
+  });
   offer_(request->sidecar, offered,
-         [this, request, tried](const Answer& answer) { Heard(request, tried, answer); });
+         [this, request, try_number](const Answer& answer) { OnTryEnded(request, try_number, answer); });
 }
 
-// Only the first word on the latest try counts.
-void ClientModel::Heard(const RequestPtr& request, int tried, const Answer& answer) {
-  if (request->tries != tried || !std::exchange(request->waits, false)) return;
+// Only the first answer or timeout of the latest try counts.
+void ClientModel::OnTryEnded(const RequestPtr& request, int try_number, const Answer& answer) {
+  if (request->tries != try_number || !std::exchange(request->awaiting_answer, false)) return;
   const ClassSpec& spec = experiment_.classes[request->request_class];
   const bool in_time = scheduler_.Now() - request->arrived <= spec.latency_objective;
   switch (answer.kind) {
     case AnswerKind::kServed:
       return End(*request, in_time ? RequestOutcome::kInTime : RequestOutcome::kLate);
     case AnswerKind::kRefused:
-      return TryAgain(request, RequestOutcome::kRefused, answer.retry_after);
+      return RetryOrEnd(request, RequestOutcome::kRefused, answer.retry_after);
     case AnswerKind::kFailed:
     case AnswerKind::kLost:
-      // It may have taken effect.
+      // The request may have taken effect, so a class that is not idempotent must not be retried.
       if (spec.idempotency == lb::Idempotency::kNotIdempotent) return End(*request, RequestOutcome::kFailed);
-      return TryAgain(request, RequestOutcome::kFailed, {});
+      return RetryOrEnd(request, RequestOutcome::kFailed, {});
   }
 }
 
-void ClientModel::TryAgain(const RequestPtr& request, RequestOutcome heard, Duration retry_after) {
+void ClientModel::RetryOrEnd(const RequestPtr& request, RequestOutcome outcome, Duration retry_after) {
   const ClientSpec& clients = experiment_.clients;
   Duration wait = Scaled(clients.backoff, std::pow(2.0, request->tries - 1));
   if (request->heeds_retry_after) wait = std::max(wait, retry_after);
   const TimePoint deadline = request->arrived + experiment_.classes[request->request_class].deadline;
   const TimePoint again = scheduler_.Now() + wait;
-  if (request->tries > clients.retries || again >= deadline) return End(*request, heard);
+  if (request->tries > clients.retries || again >= deadline) return End(*request, outcome);
   scheduler_.At(again, [this, request] { Try(request); });
 }
 
--- a/lab/model/client_model.h
+++ b/lab/model/client_model.h
@@ -1,4 +1,4 @@
-// The applications beside the sidecars: when they call, what their calls cost, and how they try again.
+// Model of the client applications beside the sidecars: request arrivals, work per request, and retries.
 #pragma once
 
 #include <cstddef>
@@ -16,10 +16,11 @@
 
 namespace lb::lab {
 
-// How a request ended for its client, over all of its tries.
+// How a request ended for its client, over all of its tries. A try is one request from the client to its
+// sidecar.
 enum class RequestOutcome {
-  kInTime,   // answered within the aim
-  kLate,     // answered after it
+  kInTime,   // answered within the class's latency objective
+  kLate,     // answered after the latency objective
   kRefused,  // ended with a rejection
   kFailed,   // ended with a failure, or without a response
 };
@@ -27,38 +28,39 @@
 struct RequestResult {
   std::size_t sidecar = 0;  // index into Deployment::sidecars
   lb::ClassId request_class{};
-  TimePoint arrived;  // its first try
+  TimePoint arrived;  // time of the first try
   TimePoint ended;
   RequestOutcome outcome = RequestOutcome::kInTime;
   int tries = 1;
 };
 
-// Counts the request by its outcome. What its tries cost is not in it.
+// Counts the request and its outcome in `counters`. Retries, attempts and connections are counted elsewhere.
 void CountResult(const RequestResult& result, TrafficCounters& counters);
 
-// Open loop: requests come by a Poisson process at each sidecar's own rate, whatever becomes of the earlier
-// ones. A sidecar's requests depend on the experiment's seed and its own number alone.
+// Open-loop load: requests arrive by a Poisson process at each sidecar's own rate, independently of how
+// earlier requests end. A sidecar's sequence of requests depends only on the experiment's seed and the
+// sidecar's index.
 class ClientModel {
  public:
-  // Hands one try to that sidecar. The answer is to come by the try's deadline; a later one is ignored.
+  // Passes one try to a sidecar. An answer that arrives after the try's deadline is ignored.
   using OfferFunction = std::function<void(std::size_t sidecar, const OfferedRequest& request,
                                            HollowSidecar::OnAnswer on_answer)>;
   using OnResult = std::function<void(const RequestResult&)>;
 
-  // References have to outlive the model. `on_result` is called once for each request, `client_retries`
-  // counts.
+  // The references have to outlive the model. `on_result` is called once for each request; `client_retries`
+  // is incremented for each try after a request's first.
   ClientModel(const Experiment& experiment, const Deployment& deployment, Scheduler& scheduler,
               OfferFunction offer, OnResult on_result, std::uint64_t& client_retries);
 
   void Start();
-  void Stop();                                // no new requests; those under way go on
-  void SetLoadFactor(double factor);          // from now on, times the usual load; 0 or more
-  std::size_t open() const { return open_; }  // requests without a result
+  void Stop();                                // starts no new requests; open ones continue
+  void SetLoadFactor(double factor);          // multiplies the configured load from now on; 0 or more
+  std::size_t open() const { return open_; }  // requests that have not ended
 
  private:
   struct Source {
     std::mt19937_64 random;
-    std::uint64_t generation = 0;  // what was scheduled under an earlier one is void
+    std::uint64_t generation = 0;  // arrivals scheduled under an earlier generation are ignored
   };
   struct Request {
     std::size_t sidecar = 0;
@@ -67,7 +69,7 @@
     TimePoint arrived;
     bool heeds_retry_after = true;
     int tries = 0;
-    bool waits = false;  // for the answer to its latest try
+    bool awaiting_answer = false;  // whether the latest try is still unanswered
   };
   using RequestPtr = std::shared_ptr<Request>;
 
@@ -76,9 +78,10 @@
   std::size_t DrawClass(std::mt19937_64& random);
   Duration DrawWork(const ClassSpec& spec, std::mt19937_64& random);
   void Try(const RequestPtr& request);
-  void Heard(const RequestPtr& request, int tried, const Answer& answer);
-  // Tries once more after the backoff, where the client has a try and the time left; else it has ended.
-  void TryAgain(const RequestPtr& request, RequestOutcome heard, Duration retry_after);
+  void OnTryEnded(const RequestPtr& request, int try_number, const Answer& answer);
+  // Schedules another try after the backoff, or ends the request with `outcome` if no retries are left or the
+  // deadline would have passed.
+  void RetryOrEnd(const RequestPtr& request, RequestOutcome outcome, Duration retry_after);
   void End(const Request& request, RequestOutcome outcome);
 
   const Experiment& experiment_;
@@ -88,7 +91,7 @@
   const OnResult on_result_;
   std::uint64_t& client_retries_;
   std::vector<Source> sources_;
-  std::vector<double> shares_;  // of the classes
+  std::vector<double> shares_;  // of each class among the requests
   double factor_ = 1;
   bool running_ = false;
   std::size_t open_ = 0;
--- a/lab/model/fault_schedule.cpp
+++ b/lab/model/fault_schedule.cpp
@@ -3,10 +3,10 @@
 namespace lb::lab {
 
 void SpreadEvenly(Scheduler& scheduler, Duration over, std::size_t count,
-                  const std::function<void(std::size_t)>& turn) {
-  const auto turns = static_cast<Duration::rep>(count);
-  for (Duration::rep i = 0; i < turns; ++i) {
-    scheduler.After(over * i / turns, [turn, i] { turn(static_cast<std::size_t>(i)); });
+                  const std::function<void(std::size_t)>& action) {
+  const auto steps = static_cast<Duration::rep>(count);
+  for (Duration::rep i = 0; i < steps; ++i) {
+    scheduler.After(over * i / steps, [action, i] { action(static_cast<std::size_t>(i)); });
   }
 }
 
@@ -67,7 +67,7 @@
   }
 }
 
-// What has no case here ends by itself.
+// Kinds without an action here need none at their end.
 void FaultSchedule::End(const FaultEvent& fault) {
   switch (fault.kind) {
     case FaultKind::kCrash:
@@ -111,7 +111,7 @@
                [this, &fault](std::size_t i) { target_.RestartUpstream(fault.upstreams[i]); });
 }
 
-// Each upstream's changes alternate between the changed weight and its own.
+// Successive changes of an upstream alternate between the changed weight and its own weight.
 void FaultSchedule::BeginChanges(const FaultEvent& fault) {
   if (fault.upstreams.empty()) return;
   const auto change = [this, &fault](std::size_t i) {
--- a/lab/model/fault_schedule.h
+++ b/lab/model/fault_schedule.h
@@ -1,5 +1,5 @@
-// Plays a deployment's faults by time, on either engine: the schedule decides when which fault strikes whom,
-// a FaultTarget carries it out.
+// Injects a deployment's faults at their times, on either engine: the schedule starts and ends each fault,
+// and the engine's FaultTarget applies it to the fleet.
 #pragma once
 
 #include <chrono>
@@ -12,18 +12,19 @@
 
 namespace lb::lab {
 
-// What a change of an upstream's weight multiplies it by, and its next change takes back.
+// Factor that a weight change applies to an upstream's own weight. The upstream's next change restores the
+// weight.
 inline constexpr double kChangedWeight = 1.1;
-// A restarted upstream: from the announcement of its draining to its rejecting requests, to its end, and to
-// the start of the next process.
+// Steps of an upstream's restart, as times after discovery announces that it drains: when it begins to reject
+// requests, when its process ends, and when the next process starts.
 inline constexpr Duration kDrainAnnounced = std::chrono::seconds(2);
 inline constexpr Duration kDrainEnds = std::chrono::seconds(3);
 inline constexpr Duration kRestarted = std::chrono::seconds(5);
-// A sidecar that has ended restarts after this time.
+// Time from the end of a sidecar's process to its restart.
 inline constexpr Duration kSidecarRestart = std::chrono::milliseconds(500);
 
-// The fleet that faults strike. Upstreams and sidecars are indices into the deployment. Called on the
-// scheduler's thread.
+// The fleet that faults are injected into. Upstreams and sidecars are given as indices into the deployment.
+// All functions are called on the scheduler's thread.
 class FaultTarget {
  public:
   FaultTarget() = default;
@@ -31,62 +32,64 @@
   FaultTarget& operator=(const FaultTarget&) = delete;
   virtual ~FaultTarget() = default;
 
-  // The process dies; discovery's list stands.
+  // The process dies; its entry in discovery stays unchanged.
   virtual void CrashUpstream(std::size_t upstream) = 0;
-  // A new process, cold and listed.
+  // Starts a new process, which is listed in discovery and begins its slow start.
   virtual void StartUpstream(std::size_t upstream) = 0;
-  // Drained, gone and back over some seconds.
+  // Drains the upstream, ends its process and starts a new one, at the times given above.
   virtual void RestartUpstream(std::size_t upstream) = 0;
-  // The machine is silent, and later back with a new process. Discovery tells nothing of either but the new
-  // process.
+  // LoseUpstream() makes the machine unreachable, ReturnUpstream() brings it back with a new process.
+  // Discovery does not announce the loss, only the new process.
   virtual void LoseUpstream(std::size_t upstream) = 0;
   virtual void ReturnUpstream(std::size_t upstream) = 0;
-  // While it hangs it takes requests and answers none.
+  // A hanging upstream accepts requests and answers none.
   virtual void SetHanging(std::size_t upstream, bool hanging) = 0;
-  // 1: none.
+  // Makes the upstream slower by `factor`; 1 restores full speed.
   virtual void SetSlowdown(std::size_t upstream, double factor) = 0;
-  // The registered weight becomes this multiple of the upstream's own.
+  // Registers the upstream's own weight times `factor`.
   virtual void ChangeWeight(std::size_t upstream, double factor) = 0;
 
   virtual void SetRegionsCut(bool cut) = 0;
-  // While it is down discovery answers no call.
+  // While discovery is down, it answers no call.
   virtual void SetDiscoveryDown(bool down) = 0;
-  // 1: none.
+  // Multiplies the delay of discovery's notices by `factor`; 1 restores the configured delay.
   virtual void SetNoticeDelay(double factor) = 0;
-  // 0 to 1.
+  // Share of discovery's notices that are not delivered, 0 to 1.
   virtual void SetLostNotices(double share) = 0;
-  // All open watches fall silent once.
+  // All watches open at this moment stop delivering notices; watches opened later do not.
   virtual void SilenceWatches() = 0;
 
-  // Killed at once; each restarts after kSidecarRestart.
+  // Kills the sidecars at once. Each restarts kSidecarRestart after its end.
   virtual void KillSidecars(const std::vector<std::size_t>& sidecars) = 0;
-  // Told to end in good order, evenly over the duration, through which the vector has to live; each starts
-  // anew after kSidecarRestart.
+  // Requests a planned stop of the sidecars one after another, evenly over the duration. `sidecars` has to
+  // remain valid for that time. Each sidecar restarts kSidecarRestart after its end.
   virtual void StopSidecars(const std::vector<std::size_t>& sidecars, Duration over) = 0;
-  // Of the load as the experiment has it.
+  // Multiplies the load configured in the experiment by `factor`.
   virtual void SetLoadFactor(double factor) = 0;
 
-  // Faults of real connections and processes. The experiment's reader refuses them on the virtual clock.
-  // Discovery answers late and in pieces.
+  // The faults below need real connections and processes; reading an experiment on the virtual clock rejects
+  // them.
+
+  // Discovery answers late and splits its responses into pieces.
   virtual void SetDiscoverySlow(bool) {}
-  // `count` clients of each real sidecar stop in the middle of a request, over the duration.
+  // `count` clients of each real sidecar stop in the middle of a request, spread over the duration.
   virtual void StallClients(std::size_t, Duration) {}
-  // `count` new configurations for each real sidecar, over the duration.
+  // Sends each real sidecar `count` new configurations, spread over the duration.
   virtual void SendConfigurations(std::size_t, Duration) {}
-  // The wall clocks of the sidecars' machines go on from a time that is later by the step.
+  // Steps the wall clocks of the sidecars' machines forward by the given duration, or back if it is negative.
   virtual void StepClocks(const std::vector<std::size_t>&, Duration) {}
 };
 
-// Calls `turn` with 0 to `count` - 1, evenly over the duration from now on.
+// Calls `action` with each index from 0 to `count` - 1, evenly spaced over the duration `over` from now on.
 void SpreadEvenly(Scheduler& scheduler, Duration over, std::size_t count,
-                  const std::function<void(std::size_t)>& turn);
+                  const std::function<void(std::size_t)>& action);
 
 class FaultSchedule {
  public:
-  // References have to outlive it, and it the scheduler's tasks.
+  // The references have to outlive the schedule, and the schedule has to outlive the scheduler's tasks.
   FaultSchedule(const Deployment& deployment, Scheduler& scheduler, FaultTarget& target);
 
-  // Schedules every fault, by its time from `start` on. Once.
+  // Schedules every fault at its time after `start`. Must be called only once.
   void Schedule(TimePoint start);
 
  private:
@@ -99,7 +102,7 @@
   const Deployment& deployment_;
   Scheduler& scheduler_;
   FaultTarget& target_;
-  double load_factor_ = 1;  // of all bursts that go on
+  double load_factor_ = 1;  // product of the factors of all active bursts
 };
 
 }  // namespace lb::lab
--- a/lab/model/membership.cpp
+++ b/lab/model/membership.cpp
@@ -57,32 +57,33 @@
   return entries_[by_id_.at(id)];
 }
 
-MembershipRegistry::View MembershipRegistry::Since(std::optional<std::uint64_t> held,
+MembershipRegistry::View MembershipRegistry::Since(std::optional<std::uint64_t> known_revision,
                                                    std::optional<std::size_t> service) const {
-  return SinceAsOf(held, revision_, service);
+  return SinceAsOf(known_revision, revision_, service);
 }
 
-MembershipRegistry::View MembershipRegistry::SinceAsOf(std::optional<std::uint64_t> held, std::uint64_t as_of,
+MembershipRegistry::View MembershipRegistry::SinceAsOf(std::optional<std::uint64_t> known_revision,
+                                                       std::uint64_t as_of,
                                                        std::optional<std::size_t> service) const {
   View view;
   view.revision = std::clamp(as_of, oldest(), revision_);
-  view.whole = !held || *held < oldest() || *held > view.revision;
-  view.entries = view.whole ? WholeAsOf(view.revision) : ChangedBetween(*held, view.revision);
+  view.whole = !known_revision || *known_revision < oldest() || *known_revision > view.revision;
+  view.entries = view.whole ? WholeAsOf(view.revision) : ChangedBetween(*known_revision, view.revision);
   std::erase_if(view.entries, [&](const MembershipEntry& entry) {
-    const bool foreign = service && entry.service != *service;
-    return foreign || (view.whole && entry.state == UpstreamState::kGone);
+    const bool other_service = service && entry.service != *service;
+    return other_service || (view.whole && entry.state == UpstreamState::kGone);
   });
   return view;
 }
 
-std::deque<MembershipRegistry::Version>::const_iterator MembershipRegistry::NewerThan(
+std::deque<MembershipRegistry::Version>::const_iterator MembershipRegistry::FirstNewerThan(
     std::uint64_t revision) const {
   return history_.begin() + static_cast<std::ptrdiff_t>(revision - oldest());
 }
 
 std::vector<MembershipEntry> MembershipRegistry::WholeAsOf(std::uint64_t revision) const {
   std::vector<MembershipEntry> entries = entries_;
-  const auto first_undone = NewerThan(revision);
+  const auto first_undone = FirstNewerThan(revision);
   for (auto version = history_.end(); version != first_undone;) {
     --version;
     entries[version->index] = version->before;
@@ -90,11 +91,12 @@
   return entries;
 }
 
-std::vector<MembershipEntry> MembershipRegistry::ChangedBetween(std::uint64_t held,
+std::vector<MembershipEntry> MembershipRegistry::ChangedBetween(std::uint64_t known_revision,
                                                                 std::uint64_t as_of) const {
   std::map<std::size_t, const MembershipEntry*> latest;
-  const auto end = NewerThan(as_of);
-  for (auto version = NewerThan(held); version != end; ++version) latest[version->index] = &version->after;
+  const auto end = FirstNewerThan(as_of);
+  for (auto version = FirstNewerThan(known_revision); version != end; ++version)
+    latest[version->index] = &version->after;
   std::vector<MembershipEntry> entries;
   entries.reserve(latest.size());
   for (const auto& [index, entry] : latest) entries.push_back(*entry);
--- a/lab/model/network_model.h
+++ b/lab/model/network_model.h
@@ -1,4 +1,4 @@
-// What lies between the machines: delays by zone and region, and regions that can't see each other.
+// Model of the network between machines: message delays by zone and region, and partitions between regions.
 #pragma once
 
 #include <cstddef>
@@ -10,7 +10,7 @@
 
 namespace lb::lab {
 
-// Where a machine stands.
+// Region and zone of a machine.
 struct Location {
   std::size_t region = 0;
   std::string zone;
@@ -19,14 +19,16 @@
 
 class NetworkModel {
  public:
-  // The same seed gives the same delays, asked for in the same order.
+  // The same seed gives the same delays if Delay() is called with the same locations in the same order.
   NetworkModel(const NetworkSpec& spec, std::uint64_t seed);
 
-  // One message's way: the spec's delay for the two places, varied evenly by its jitter to both sides.
+  // One-way delay of a message: the spec's delay for the two locations, varied uniformly by up to plus or
+  // minus the spec's jitter.
   Duration Delay(const Location& from, const Location& to);
-  // Whether a message sent now arrives. Where not, nothing comes back, and a connection never comes up.
+  // Whether a message sent now arrives. A message that does not arrive is lost without an error, so a
+  // connection attempt is never answered.
   bool Reaches(const Location& from, const Location& to) const;
-  // Regions are cut off from each other, or joined again.
+  // Cuts all regions off from each other, or reconnects them.
   void SetRegionsCut(bool cut) { regions_cut_ = cut; }
 
  private:
--- a/lab/model/scheduler.cpp
+++ b/lab/model/scheduler.cpp
@@ -16,7 +16,7 @@
   std::push_heap(heap_.begin(), heap_.end(), Later());
 }
 
-Scheduler::Task TaskQueue::Take() {
+Scheduler::Task TaskQueue::PopNext() {
   std::pop_heap(heap_.begin(), heap_.end(), Later());
   const std::size_t slot = heap_.back().slot;
   heap_.pop_back();
@@ -27,10 +27,10 @@
 void VirtualScheduler::At(TimePoint when, Task task) { tasks_.Add(std::max(when, now_), std::move(task)); }
 
 void VirtualScheduler::RunUntil(TimePoint end) {
-  while (!tasks_.empty() && tasks_.next() <= end) {
-    now_ = tasks_.next();
+  while (!tasks_.empty() && tasks_.next_time() <= end) {
+    now_ = tasks_.next_time();
     ++tasks_run_;
-    tasks_.Take()();
+    tasks_.PopNext()();
   }
   now_ = std::max(now_, end);
 }
@@ -44,28 +44,29 @@
 
 void RealScheduler::At(TimePoint when, Task task) {
   tasks_.Add(std::max(when, Now()), std::move(task));
-  Arm();
+  ScheduleTimer();
 }
 
-void RealScheduler::Arm() {
+void RealScheduler::ScheduleTimer() {
   if (tasks_.empty()) return;
-  const TimePoint next = tasks_.next();
-  if (armed_for_ && *armed_for_ <= next) return;
-  armed_for_ = next;
-  timer_.expires_at(std::chrono::steady_clock::time_point(next.time_since_epoch()));
+  const TimePoint next_time = tasks_.next_time();
+  if (timer_due_ && *timer_due_ <= next_time) return;
+  timer_due_ = next_time;
+  timer_.expires_at(std::chrono::steady_clock::time_point(next_time.time_since_epoch()));
   timer_.async_wait([this](boost::system::error_code error) {
     if (!error) RunDue();
   });
 }
 
-// Only what is due now: a task that schedules another one for at once must not starve the sockets.
+// Runs only the tasks that are due at the start: a task that schedules another one without delay must not
+// starve the sockets.
 void RealScheduler::RunDue() {
-  armed_for_.reset();
+  timer_due_.reset();
   const TimePoint due = Now();
   std::vector<Task> tasks;
-  while (!tasks_.empty() && tasks_.next() <= due) tasks.push_back(tasks_.Take());
+  while (!tasks_.empty() && tasks_.next_time() <= due) tasks.push_back(tasks_.PopNext());
   for (const Task& task : tasks) task();
-  Arm();
+  ScheduleTimer();
 }
 
 }  // namespace lb::lab
--- a/lab/model/scheduler.h
+++ b/lab/model/scheduler.h
@@ -1,4 +1,4 @@
-// The clock that a run goes by, and what is to happen when. The models know no other time.
+// Schedulers that run timed tasks on the virtual or the real clock. The models take the time from here only.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,27 +17,27 @@
 using lb::Duration;
 using lb::TimePoint;
 
-// Not thread-safe: one thread owns a scheduler and all that is scheduled on it. What a task refers to has to
-// outlive the task, or the scheduler must not be run any more.
+// Not thread-safe: a scheduler and everything scheduled on it belong to one thread. Objects that a task
+// refers to must outlive the task, unless the scheduler is not run any more.
 class Scheduler {
  public:
   using Task = std::function<void()>;
   virtual ~Scheduler() = default;
   virtual TimePoint Now() const = 0;
-  // Runs `task` once at `when`, or as soon as possible where that is past; never inside this call. Tasks of
-  // the same time run in the order in which they were scheduled.
+  // Runs `task` once at `when`, or as soon as possible if `when` is in the past, but never inside this call.
+  // Tasks with the same time run in the order in which they were scheduled.
   virtual void At(TimePoint when, Task task) = 0;
   void After(Duration wait, Task task) { At(Now() + wait, std::move(task)); }
 };
 
-// Tasks by time, those of the same time in the order of their adding. The heap holds small keys only: a run
-// has tens of thousands of tasks waiting.
+// Tasks ordered by time; tasks with the same time keep the order of Add(). The heap holds only small keys and
+// the tasks stay in slots, because a run has tens of thousands of pending tasks.
 class TaskQueue {
  public:
   void Add(TimePoint when, Scheduler::Task task);
   bool empty() const { return heap_.empty(); }
-  TimePoint next() const { return heap_.front().when; }  // of a queue that is not empty
-  Scheduler::Task Take();                                // the next one; likewise
+  TimePoint next_time() const { return heap_.front().when; }  // the queue must not be empty
+  Scheduler::Task PopNext();  // removes the next task; the queue must not be empty
 
  private:
   struct Key {
@@ -57,12 +57,12 @@
   std::uint64_t order_ = 0;
 };
 
-// Discrete events: time jumps from one task to the next.
+// Discrete-event simulation: the time jumps from one task to the next.
 class VirtualScheduler : public Scheduler {
  public:
   TimePoint Now() const override { return now_; }
   void At(TimePoint when, Task task) override;
-  // Runs all tasks up to `end`, and leaves the clock there.
+  // Runs all tasks due up to and including `end`, then sets the clock to `end`.
   void RunUntil(TimePoint end);
   std::uint64_t tasks_run() const { return tasks_run_; }
 
@@ -72,7 +72,7 @@
   std::uint64_t tasks_run_ = 0;
 };
 
-// The machine's steady clock, on an io_context's thread.
+// Runs tasks by the machine's steady clock on the thread of an io_context.
 class RealScheduler : public Scheduler {
  public:
   explicit RealScheduler(boost::asio::io_context& io);
@@ -80,12 +80,12 @@
   void At(TimePoint when, Task task) override;
 
  private:
-  void Arm();
+  void ScheduleTimer();
   void RunDue();
 
   TaskQueue tasks_;
   boost::asio::steady_timer timer_;
-  std::optional<TimePoint> armed_for_;
+  std::optional<TimePoint> timer_due_;
 };
 
 }  // namespace lb::lab
--- a/lab/model/upstream_model.cpp
+++ b/lab/model/upstream_model.cpp
@@ -6,14 +6,15 @@
 namespace lb::lab {
 namespace {
 
-// The rise of a cold process is followed in so many steps.
-constexpr int kWarmthSteps = 100;
-// Work below this many microseconds is done: rounding of the sums is far below it.
+// The core rate is recomputed in this many steps over the slow start.
+constexpr int kSlowStartSteps = 100;
+// A call with less than this many microseconds of work left counts as done; rounding errors of the sums are
+// far smaller.
 constexpr double kWorkTolerance = 1e-3;
 
 double Microseconds(Duration duration) { return static_cast<double>(duration.count()); }
 
-std::size_t PerMachine(double per_core, int cores, std::size_t least) {
+std::size_t ScaleToCores(double per_core, int cores, std::size_t least) {
   return std::max(least, static_cast<std::size_t>(std::max(0.0, std::round(per_core * cores))));
 }
 
@@ -24,47 +25,48 @@
       spec_(spec),
       scheduler_(scheduler),
       cores_(instance.kind->cores),
-      slots_(PerMachine(instance.kind->slots_per_core, instance.kind->cores, 1)),
-      queue_(PerMachine(instance.kind->queue_per_core, instance.kind->cores, 0)),
-      most_connections_(PerMachine(instance.kind->connections_per_core, instance.kind->cores, 1)),
+      slots_(ScaleToCores(instance.kind->slots_per_core, instance.kind->cores, 1)),
+      queue_(ScaleToCores(instance.kind->queue_per_core, instance.kind->cores, 0)),
+      max_connections_(ScaleToCores(instance.kind->connections_per_core, instance.kind->cores, 1)),
       updated_(scheduler.Now()) {
   core_rate_ = CoreRate();
 }
 
 void UpstreamModel::Connect(std::function<void(ConnectResult)> done) {
   if (silent_ || hanging_) return;
-  Advance();
-  const auto tell = [done = std::move(done)](ServeResult result) {
+  UpdateAttainedService();
+  const auto on_handshake_done = [done = std::move(done)](ServeResult result) {
     done(result == ServeResult::kServed ? ConnectResult::kAccepted : ConnectResult::kRefused);
   };
-  if (!running_ || connections_ >= most_connections_) return TellLater(tell, ServeResult::kReset);
+  if (!running_ || connections_ >= max_connections_)
+    return ScheduleCallback(on_handshake_done, ServeResult::kReset);
   ++connections_;
-  Add(CallKind::kHandshake, spec_.handshake_work, tell);
-  Settle();
+  Add(CallKind::kHandshake, spec_.handshake_work, on_handshake_done);
+  DispatchAndSchedule();
 }
 
 void UpstreamModel::Disconnect() {
   if (connections_ == 0) return;
-  Advance();
+  UpdateAttainedService();
   --connections_;
-  Settle();
+  DispatchAndSchedule();
 }
 
 UpstreamModel::CallId UpstreamModel::Serve(Duration work, OnServed done) {
   if (silent_) return CallId{++last_call_};
   if (!running_) {
-    TellLater(std::move(done), ServeResult::kReset);
+    ScheduleCallback(std::move(done), ServeResult::kReset);
     return CallId{++last_call_};
   }
-  Advance();
+  UpdateAttainedService();
   const bool full = waiting_requests_ >= queue_ && in_work_.size() >= slots_;
   if (draining_ || full) {
     ++turned_away_;
-    if (!hanging_) TellLater(std::move(done), ServeResult::kTurnedAway);
+    if (!hanging_) ScheduleCallback(std::move(done), ServeResult::kTurnedAway);
     return CallId{++last_call_};
   }
   const CallId id = Add(CallKind::kRequest, work, std::move(done));
-  Settle();
+  DispatchAndSchedule();
   return id;
 }
 
@@ -74,7 +76,7 @@
   if (it == calls_.end()) return;
   it->second.done = nullptr;
   if (!spec_.cancel_stops_work) return;
-  Advance();
+  UpdateAttainedService();
   if (it->second.in_work) {
     in_work_.erase({it->second.finish, key});
   } else {
@@ -82,59 +84,59 @@
   }
   --held_;
   calls_.erase(it);
-  Settle();
+  DispatchAndSchedule();
 }
 
 void UpstreamModel::Probe(std::function<void(lb::LoadReport)> done) {
   if (silent_ || hanging_ || !running_) return;
-  Advance();
+  UpdateAttainedService();
   Add(CallKind::kProbe, spec_.probe_work, [this, done = std::move(done)](ServeResult result) {
     if (result == ServeResult::kServed) done(Report());
   });
-  Settle();
+  DispatchAndSchedule();
 }
 
 void UpstreamModel::Crash() {
   if (!running_) return;
-  Advance();
+  UpdateAttainedService();
   running_ = false;
   if (!silent_) last_reset_process_ = process_;
   std::vector<std::uint64_t> ids;
   for (const auto& [id, call] : calls_) ids.push_back(id);
   std::sort(ids.begin(), ids.end());
   for (const std::uint64_t id : ids) {
-    if (!silent_) TellLater(std::move(calls_.at(id).done), ServeResult::kReset);
+    if (!silent_) ScheduleCallback(std::move(calls_.at(id).done), ServeResult::kReset);
   }
   calls_.clear();
   in_work_.clear();
   waiting_ahead_.clear();
   waiting_.clear();
   waiting_requests_ = held_ = connections_ = 0;
-  crowded_ = false;
-  crowding_since_.reset();
-  Settle();
+  overloaded_ = false;
+  overload_change_since_.reset();
+  DispatchAndSchedule();
 }
 
 void UpstreamModel::Start() {
   if (running_) Crash();
-  Advance();
+  UpdateAttainedService();
   running_ = true;
   hanging_ = draining_ = false;
   ++process_;
   cold_since_ = scheduler_.Now();
-  Settle();
+  DispatchAndSchedule();
 }
 
 void UpstreamModel::SetHanging(bool hanging) {
-  Advance();
+  UpdateAttainedService();
   hanging_ = hanging;
-  Settle();
+  DispatchAndSchedule();
 }
 
 void UpstreamModel::SetSlowdown(double factor) {
-  Advance();
+  UpdateAttainedService();
   slowdown_ = std::max(factor, 1e-6);
-  Settle();
+  DispatchAndSchedule();
 }
 
 void UpstreamModel::SetSilent(bool silent) { silent_ = silent; }
@@ -168,12 +170,12 @@
   return CallId{id};
 }
 
-void UpstreamModel::TellLater(OnServed done, ServeResult result) {
+void UpstreamModel::ScheduleCallback(OnServed done, ServeResult result) {
   if (!done) return;
   scheduler_.At(scheduler_.Now(), [done = std::move(done), result] { done(result); });
 }
 
-void UpstreamModel::Advance() {
+void UpstreamModel::UpdateAttainedService() {
   const TimePoint now = scheduler_.Now();
   const double passed = Microseconds(now - updated_);
   updated_ = now;
@@ -182,20 +184,20 @@
   busy_ += passed * std::min<double>(cores_, static_cast<double>(in_work_.size()));
 }
 
-void UpstreamModel::Settle() {
-  UpdateCrowding();
+void UpstreamModel::DispatchAndSchedule() {
+  UpdateOverload();
   core_rate_ = CoreRate();
   FillSlots();
-  Arm();
+  ScheduleTimer();
 }
 
-void UpstreamModel::Wake(std::uint64_t wake) {
-  if (wake != wake_) return;
-  armed_for_ = TimePoint::max();
-  Advance();
+void UpstreamModel::OnTimer(std::uint64_t generation) {
+  if (generation != timer_generation_) return;
+  timer_due_ = TimePoint::max();
+  UpdateAttainedService();
   std::vector<Finished> finished;
   FinishDue(finished);
-  Settle();
+  DispatchAndSchedule();
   for (const Finished& one : finished) one.done(one.result);
 }
 
@@ -210,7 +212,8 @@
       ++served_;
       served_work_ += call.work;
     }
-    // The caller notices nothing and can't close it: it does not come up.
+    // The caller of a silent machine never learns of the connection and cannot close it, so it is released
+    // here.
     if (call.kind == CallKind::kHandshake && silent_) --connections_;
     if (call.done && !silent_) finished.push_back({std::move(call.done), ServeResult::kServed});
   }
@@ -241,40 +244,42 @@
   return std::nullopt;
 }
 
-void UpstreamModel::UpdateCrowding() {
-  if (spec_.crowded_at <= 0) return;
+void UpstreamModel::UpdateOverload() {
+  if (spec_.overload_at <= 0) return;
   const TimePoint now = scheduler_.Now();
   const double per_core = static_cast<double>(held_) / cores_;
-  const bool turning = crowded_ ? per_core < spec_.rested_below : per_core > spec_.crowded_at;
-  if (!turning) return crowding_since_.reset();
-  if (!crowding_since_) crowding_since_ = now;
-  if (now - *crowding_since_ < (crowded_ ? spec_.rest_time : spec_.crowded_after)) return;
-  crowded_ = !crowded_;
-  crowding_since_.reset();
+  const bool meets_change_condition =
+      overloaded_ ? per_core < spec_.recovered_below : per_core > spec_.overload_at;
+  if (!meets_change_condition) return overload_change_since_.reset();
+  if (!overload_change_since_) overload_change_since_ = now;
+  if (now - *overload_change_since_ < (overloaded_ ? spec_.recovery_time : spec_.overload_after)) return;
+  overloaded_ = !overloaded_;
+  overload_change_since_.reset();
 }
 
-void UpstreamModel::Arm() {
+void UpstreamModel::ScheduleTimer() {
   const TimePoint now = scheduler_.Now();
   TimePoint next = TimePoint::max();
   if (!in_work_.empty() && core_rate_ > 0) {
     const double left = std::max(0.0, in_work_.begin()->first - attained_) / JobRate();
     next = now + Duration(static_cast<Duration::rep>(std::ceil(left)));
   }
-  if (crowding_since_) {
-    next = std::min(next, *crowding_since_ + (crowded_ ? spec_.rest_time : spec_.crowded_after));
+  if (overload_change_since_) {
+    next =
+        std::min(next, *overload_change_since_ + (overloaded_ ? spec_.recovery_time : spec_.overload_after));
   }
   if (cold_since_ && running_) {
     if (now - *cold_since_ >= spec_.slow_start_duration) cold_since_.reset();
     if (cold_since_)
-      next = std::min(next, now + std::max(spec_.slow_start_duration / kWarmthSteps, Duration(1)));
+      next = std::min(next, now + std::max(spec_.slow_start_duration / kSlowStartSteps, Duration(1)));
   }
-  // An earlier wake-up arms this one again.
-  if (next >= armed_for_) return;
-  armed_for_ = next;
-  scheduler_.At(next, [this, wake = ++wake_] { Wake(wake); });
+  // A timer that is due earlier reschedules this one when it runs.
+  if (next >= timer_due_) return;
+  timer_due_ = next;
+  scheduler_.At(next, [this, generation = ++timer_generation_] { OnTimer(generation); });
 }
 
-double UpstreamModel::Warmth() const {
+double UpstreamModel::SlowStartFactor() const {
   if (!cold_since_ || spec_.slow_start_duration <= Duration::zero()) return 1;
   const double age = Microseconds(scheduler_.Now() - *cold_since_) / Microseconds(spec_.slow_start_duration);
   return std::clamp(spec_.slow_start_initial_share + (1 - spec_.slow_start_initial_share) * age, 0.0, 1.0);
@@ -282,9 +287,9 @@
 
 double UpstreamModel::CoreRate() const {
   if (!running_ || hanging_) return 0;
-  const double table = static_cast<double>(connections_) / static_cast<double>(most_connections_);
+  const double table = static_cast<double>(connections_) / static_cast<double>(max_connections_);
   const double left = std::max(0.0, 1 - spec_.full_table_cost * table);
-  return instance_.speed * Warmth() * left / slowdown_ / (crowded_ ? spec_.crowded_slowdown : 1);
+  return instance_.speed * SlowStartFactor() * left / slowdown_ / (overloaded_ ? spec_.overload_slowdown : 1);
 }
 
 double UpstreamModel::JobRate() const {
--- a/lab/model/upstream_model.h
+++ b/lab/model/upstream_model.h
@@ -1,5 +1,6 @@
-// One upstream machine: cores, queue, connection table, cold start, and a slowdown when crowded. It knows no
-// sockets: hollow sidecars call it directly, and the HTTP stand-in answers when it says so.
+// Model of one upstream machine: cores, queue, connection table, slow start, and a slowdown under sustained
+// overload. The model uses no sockets: hollow sidecars call it directly, and the HTTP stand-in sends each
+// response when the model's callback runs.
 #pragma once
 
 #include <cstddef>
@@ -20,19 +21,20 @@
 enum class ConnectResult {
   kAccepted,
   kRefused,  // the process is down, or its connection table is full
-  kSilent,   // the machine is gone or hangs: nothing comes back
+  kSilent,   // the machine is unreachable or hangs: the connection attempt is never answered
 };
 
 enum class ServeResult {
   kServed,
-  kTurnedAway,  // queue full or draining: not run
-  kReset,       // the process died under it
-  // A hanging or vanished machine says nothing: its calls end when whoever waits gives up.
+  kTurnedAway,  // rejected without being run: the queue is full or the machine is draining
+  kReset,       // the process died while the request was queued or running
+  // There is no value for a hanging or unreachable machine: it never answers, and the caller's timeout ends
+  // the call.
 };
 
-// Work in slots shares the cores evenly, no call getting more than one core; beyond the slots it waits in
-// order of its coming, handshakes and probes ahead of requests. A model starts as a warm, running process.
-// Callbacks run from the scheduler, never inside a call of the caller's.
+// Calls that occupy a slot share the cores evenly, and no call gets more than one core. When all slots are
+// taken, calls wait in order of arrival, handshakes and probes ahead of requests. A new model is a running
+// process past its slow start. Callbacks run from the scheduler, never inside a member function.
 class UpstreamModel {
  public:
   enum class CallId : std::uint64_t {};
@@ -41,39 +43,45 @@
   // All references have to outlive the model.
   UpstreamModel(const UpstreamInstance& instance, const UpstreamSpec& spec, Scheduler& scheduler);
 
-  // Opens a connection. The handshake's work is queued ahead of the requests and `done` is called when it is
-  // over; for kSilent `done` is never called. An accepted one takes a place of the table until Disconnect().
+  // Opens a connection. The handshake's work is queued ahead of the requests, and `done` is called when the
+  // handshake is complete. `done` is never called for kSilent. An accepted connection occupies an entry of
+  // the connection table until Disconnect().
   void Connect(std::function<void(ConnectResult)> done);
-  // Closes one connection of the present process. A crash has closed those of the earlier ones.
+  // Closes one connection of the current process. Connections of earlier processes were closed by their
+  // crash.
   void Disconnect();
 
-  // Serves a request of that much work (on a core of speed 1) on an open connection. `done` is called once,
-  // unless the machine is silent. The id is for Abandon().
+  // Serves a request on an open connection; `work` is processor time on a core of speed 1. `done` is called
+  // once, or never if the machine is silent or rejects the request while it hangs. Abandon() takes the
+  // returned id.
   CallId Serve(Duration work, OnServed done);
-  // Whoever waited has gone: `done` is not called any more. Work ends only where the spec says so.
+  // The caller no longer waits for this call: its `done` is not called. The work itself stops only if
+  // UpstreamSpec::cancel_stops_work is set.
   void Abandon(CallId id);
-  // A probe: costs its work and tells what the machine holds. Nothing is said where it is silent or down.
+  // A load probe: takes UpstreamSpec::probe_work, then passes the machine's load to `done`. `done` is never
+  // called if the machine is silent, hangs or is down.
   void Probe(std::function<void(lb::LoadReport)> done);
 
   // ---- Faults ----
-  void Crash();                     // the process dies: connections and requests with it
-  void Start();                     // a new process, cold
-  void SetHanging(bool hanging);    // it takes what comes and works on nothing until that is over
-  void SetSlowdown(double factor);  // 1: none
-  void SetSilent(bool silent);      // the machine can't be reached, and says nothing
-  void SetDraining(bool draining);  // it turns requests away, and finishes what it has
+  void Crash();                     // the process dies; its connections and requests are lost
+  void Start();                     // starts a new process, which begins its slow start
+  void SetHanging(bool hanging);    // while set, requests are accepted but not worked on
+  void SetSlowdown(double factor);  // divides the speed of the cores; 1 is full speed
+  void SetSilent(bool silent);      // while set, the machine is unreachable and answers nothing
+  void SetDraining(bool draining);  // while set, new requests are rejected; accepted ones finish
 
   // ---- Measurements ----
   bool running() const { return running_; }
   bool silent() const { return silent_; }
-  // Numbers the processes of this machine, from 1 on; a connection belongs to one of them.
+  // Number of the current process of this machine, counted from 1. A connection belongs to one process.
   std::uint64_t process() const { return process_; }
-  // The latest process whose connections' peers have noticed its death.
+  // The latest process whose death reset its connections; 0 if there is none. Connections to a silent machine
+  // are not reset.
   std::uint64_t last_reset_process() const { return last_reset_process_; }
-  bool crowded() const { return crowded_; }   // slowed down by crowding now
-  std::size_t held() const { return held_; }  // requests in work and waiting
+  bool crowded() const { return overloaded_; }  // whether sustained overload slows the machine down now
+  std::size_t held() const { return held_; }    // requests running and queued
   std::size_t connections() const { return connections_; }
-  std::size_t most_connections() const { return most_connections_; }
+  std::size_t max_connections() const { return max_connections_; }
   std::uint64_t served() const { return served_; }  // since the start of the run
   std::uint64_t turned_away() const { return turned_away_; }
   // Work of the served requests, in microseconds on a core of speed 1.
@@ -87,7 +95,7 @@
   struct Call {
     CallKind kind = CallKind::kRequest;
     double work = 0;    // microseconds on a core of speed 1
-    double finish = 0;  // the attained service at which it is done, once it is in work
+    double finish = 0;  // value of attained_ at which the call is done; set once it occupies a slot
     bool in_work = false;
     OnServed done;  // empty once abandoned
   };
@@ -97,18 +105,19 @@
   };
 
   CallId Add(CallKind kind, Duration work, OnServed done);
-  void TellLater(OnServed done, ServeResult result);
-  // Brings the attained service up to now, at the rate since the last such call. Comes before each change.
-  void Advance();
-  // Fills the slots, looks at the crowding and arms the next wake-up. Comes after each change.
-  void Settle();
-  void Wake(std::uint64_t wake);
+  void ScheduleCallback(OnServed done, ServeResult result);
+  // Advances attained_ and busy_ to the current time at the current rate. Must run before each state change.
+  void UpdateAttainedService();
+  // Fills free slots, updates the overload state and the core rate, and schedules the timer. Must run after
+  // each state change.
+  void DispatchAndSchedule();
+  void OnTimer(std::uint64_t generation);
   void FinishDue(std::vector<Finished>& finished);
   void FillSlots();
   std::optional<std::uint64_t> NextWaiting();
-  void UpdateCrowding();
-  void Arm();
-  double Warmth() const;
+  void UpdateOverload();
+  void ScheduleTimer();
+  double SlowStartFactor() const;
   double CoreRate() const;
   double JobRate() const;
 
@@ -118,23 +127,23 @@
   const double cores_;
   const std::size_t slots_;
   const std::size_t queue_;
-  const std::size_t most_connections_;
+  const std::size_t max_connections_;
 
   std::unordered_map<std::uint64_t, Call> calls_;
   std::set<std::pair<double, std::uint64_t>> in_work_;  // by finish
   std::deque<std::uint64_t> waiting_ahead_;             // handshakes and probes
-  std::deque<std::uint64_t> waiting_;                   // requests; those no longer in calls_ are skipped
+  std::deque<std::uint64_t> waiting_;                   // requests; ids no longer in calls_ are skipped
   std::size_t waiting_requests_ = 0;
   std::size_t held_ = 0;
   std::uint64_t last_call_ = 0;
 
-  // Each call in work has been given so much work since an instant when none was: what ends first has the
-  // least finish, whatever the rate does.
+  // Work, in microseconds on a core of speed 1, that each running call has received since the last time when
+  // none was running. The call with the least `finish` ends first, however the rate changes.
   double attained_ = 0;
-  double core_rate_ = 1;  // work that a core does in a microsecond
+  double core_rate_ = 1;  // work done by a core per microsecond
   TimePoint updated_;
-  TimePoint armed_for_ = TimePoint::max();
-  std::uint64_t wake_ = 0;
+  TimePoint timer_due_ = TimePoint::max();
+  std::uint64_t timer_generation_ = 0;
 
   bool running_ = true;
   bool hanging_ = false;
@@ -144,13 +153,14 @@
   std::uint64_t process_ = 1;
   std::uint64_t last_reset_process_ = 0;
   std::optional<TimePoint> cold_since_;
-  bool crowded_ = false;
-  std::optional<TimePoint> crowding_since_;  // beyond the bound, or below the other one while crowded
+  bool overloaded_ = false;
+  // Since when the load has met the condition for changing overloaded_.
+  std::optional<TimePoint> overload_change_since_;
   std::size_t connections_ = 0;
   std::uint64_t served_ = 0;
   std::uint64_t turned_away_ = 0;
   double served_work_ = 0;
-  double busy_ = 0;  // microseconds
+  double busy_ = 0;  // processor time spent over all cores, in microseconds
 };
 
 }  // namespace lb::lab
--- a/lab/run.cpp
+++ b/lab/run.cpp
@@ -14,13 +14,13 @@
 namespace lb::lab {
 namespace {
 
-// Thrown through an engine to end it early.
+// Thrown by the OnSample callback, through the engine, to end a run early.
 class Interrupted : public std::runtime_error {
  public:
   Interrupted() : std::runtime_error("interrupted") {}
 };
 
-// `  12.0 s  in time 99.8%  refused 3  failed 0`, beginning with the size.
+// Formats a sample as in `size 100    12.0 s  in time  99.8%  refused 3  failed 0`.
 std::string ProgressLine(std::size_t size, const Sample& sample) {
   constexpr double kPercent = 100;
   char line[160];
@@ -31,30 +31,30 @@
   return line;
 }
 
-// One play of an experiment.
-class Player {
+// Runs one experiment at all of its sizes.
+class ExperimentRunner {
  public:
-  Player(const Experiment& experiment, const RunOptions& options, const RunOutputs& outputs,
-         const Engines& engines)
+  ExperimentRunner(const Experiment& experiment, const RunOptions& options, const RunOutputs& outputs,
+                   const Engines& engines)
       : experiment_(experiment), options_(options), outputs_(outputs), engines_(engines) {}
 
-  ExitCode Play() {
+  ExitCode Run() {
     for (const std::size_t size : experiment_.sizes) {
-      const std::optional<Metrics> metrics = PlaySize(size);
+      const std::optional<Metrics> metrics = RunSize(size);
       complete_ = metrics.has_value();
       if (!complete_) break;
       runs_.push_back(*metrics);
     }
     Report();
     if (!complete_) return ExitCode::kRunFailed;
-    return held_ ? ExitCode::kHeld : ExitCode::kNotHeld;
+    return all_hold_ ? ExitCode::kSuccess : ExitCode::kExpectationFailed;
   }
 
-  // Nothing where it did not come to its end.
-  std::optional<Metrics> PlaySize(std::size_t size) const {
+  // Metrics of one size; absent if the run did not complete.
+  std::optional<Metrics> RunSize(std::size_t size) const {
     try {
       const Deployment deployment = MakeDeployment(experiment_, size);
-      Announce(deployment);
+      PrintStart(deployment);
       const Metrics metrics = RunEngine(deployment);
       Record([&](std::ostream& out) { WriteSummary(out, experiment_, size, metrics); });
       return metrics;
@@ -74,7 +74,7 @@
     return engines_.on_real_clock(experiment_, deployment, options_.program, on_sample);
   }
 
-  void Announce(const Deployment& deployment) const {
+  void PrintStart(const Deployment& deployment) const {
     outputs_.progress << experiment_.name << ": size " << deployment.upstreams.size() << ", "
                       << deployment.sidecars.size() << " sidecars, " << deployment.requests_per_s
                       << " requests/s, seed " << experiment_.seed << std::endl;
@@ -83,16 +83,16 @@
   void TakeSample(std::size_t size, const Sample& sample) const {
     outputs_.progress << ProgressLine(size, sample) << std::endl;
     Record([&](std::ostream& out) { WriteSample(out, experiment_, size, sample); });
-    if (options_.stop_wanted()) throw Interrupted();
+    if (options_.stop_requested()) throw Interrupted();
   }
 
-  // Records that can't be written end the run: a long one without them would be in vain.
+  // A failed write ends the run, because a long run without its records is of no use.
   template <typename Write>
   void Record(Write write) const {
     if (!outputs_.records) return;
     write(*outputs_.records);
     outputs_.records->flush();
-    if (!*outputs_.records) throw std::runtime_error("the records can't be written");
+    if (!*outputs_.records) throw std::runtime_error("writing the records failed");
   }
 
   void Report() {
@@ -101,7 +101,7 @@
     for (std::size_t i = 0; i < runs_.size(); ++i) {
       const std::vector<Verdict> verdicts = Judge(experiment_, runs_[i]);
       PrintVerdicts(outputs_.report, experiment_.sizes[i], verdicts);
-      for (const Verdict& verdict : verdicts) held_ = held_ && verdict.holds;
+      for (const Verdict& verdict : verdicts) all_hold_ = all_hold_ && verdict.holds;
     }
     PrintSlopes(outputs_.report, FitSlopes(runs_));
     outputs_.report.flush();
@@ -111,39 +111,40 @@
   const RunOptions& options_;
   const RunOutputs& outputs_;
   const Engines& engines_;
-  std::vector<Metrics> runs_;  // of the sizes done, in their order
+  std::vector<Metrics> runs_;  // of the completed sizes, in their order
   bool complete_ = true;
-  bool held_ = true;
+  bool all_hold_ = true;
 };
 
-// One growth experiment: the parts that its limits name at both sizes, a part's sizes right after each other.
-class GrowthPlayer {
+// Runs a growth experiment: each part that has limits, at the usual and then the large size before the next
+// part.
+class GrowthRunner {
  public:
-  GrowthPlayer(const Experiment& experiment, const RunOptions& options, const RunOutputs& outputs,
+  GrowthRunner(const Experiment& experiment, const RunOptions& options, const RunOutputs& outputs,
                const Engines& engines)
       : experiment_(experiment), options_(options), outputs_(outputs), engines_(engines) {}
 
-  ExitCode Play() {
-    if (!PlayPart(GrowthPart::kFleet, &GrowthMetrics::fleet)) return ExitCode::kRunFailed;
-    if (!PlayPart(GrowthPart::kReal, &GrowthMetrics::real)) return ExitCode::kRunFailed;
+  ExitCode Run() {
+    if (!RunPart(GrowthPart::kFleet, &GrowthMetrics::fleet)) return ExitCode::kRunFailed;
+    if (!RunPart(GrowthPart::kReal, &GrowthMetrics::real)) return ExitCode::kRunFailed;
     const std::vector<GrowthRow> rows = CompareGrowth(*experiment_.growth, usual_, large_);
     PrintGrowth(outputs_.report, usual_, large_, rows);
     outputs_.report.flush();
-    return AllHold(rows) ? ExitCode::kHeld : ExitCode::kNotHeld;
+    return AllHold(rows) ? ExitCode::kSuccess : ExitCode::kExpectationFailed;
   }
 
  private:
-  // False where one of its sizes did not come to its end.
-  bool PlayPart(GrowthPart part, Metrics GrowthMetrics::*target) {
+  // False if the run of either size did not complete.
+  bool RunPart(GrowthPart part, Metrics GrowthMetrics::*target) {
     if (!IsMeasured(*experiment_.growth, part)) return true;
-    return PlayFleet(FleetSize::kUsual, part, usual_.*target) &&
-           PlayFleet(FleetSize::kLarge, part, large_.*target);
+    return RunFleet(FleetSize::kUsual, part, usual_.*target) &&
+           RunFleet(FleetSize::kLarge, part, large_.*target);
   }
 
-  bool PlayFleet(FleetSize fleet, GrowthPart part, Metrics& target) const {
-    const Experiment played = GrowthExperiment(experiment_, fleet, part);
-    const std::optional<Metrics> metrics =
-        Player(played, options_, outputs_, engines_).PlaySize(played.sizes.front());
+  bool RunFleet(FleetSize fleet, GrowthPart part, Metrics& target) const {
+    const Experiment part_experiment = GrowthExperiment(experiment_, fleet, part);
+    const std::optional<Metrics> metrics = ExperimentRunner(part_experiment, options_, outputs_, engines_)
+                                               .RunSize(part_experiment.sizes.front());
     if (metrics) target = *metrics;
     return metrics.has_value();
   }
@@ -158,10 +159,10 @@
 
 }  // namespace
 
-ExitCode PlayExperiment(const Experiment& experiment, const RunOptions& options, const RunOutputs& outputs,
-                        const Engines& engines) {
-  if (experiment.growth) return GrowthPlayer(experiment, options, outputs, engines).Play();
-  return Player(experiment, options, outputs, engines).Play();
+ExitCode RunExperiment(const Experiment& experiment, const RunOptions& options, const RunOutputs& outputs,
+                       const Engines& engines) {
+  if (experiment.growth) return GrowthRunner(experiment, options, outputs, engines).Run();
+  return ExperimentRunner(experiment, options, outputs, engines).Run();
 }
 
 }  // namespace lb::lab
--- a/lab/run.h
+++ b/lab/run.h
@@ -1,4 +1,5 @@
-// Plays an experiment over its sizes: progress, records, the closing table, verdicts and the exit code.
+// Runs an experiment at each of its sizes and writes progress, records, the final table, verdicts and the
+// exit code.
 #pragma once
 
 #include <functional>
@@ -11,14 +12,14 @@
 namespace lb::lab {
 
 enum class ExitCode {
-  kHeld = 0,      // all that must hold did
-  kNotHeld = 1,   // something did not
-  kBadInput = 2,  // the file or the command line can't be used
-  kRunFailed =
-      3,  // the run did not come to its end: an engine failed, it was interrupted, records not written
+  kSuccess = 0,            // all expectations or growth limits hold
+  kExpectationFailed = 1,  // an expectation or growth limit fails
+  kBadInput = 2,           // the file or the command line is invalid
+  // The run did not complete: an engine failed, the run was interrupted, or records could not be written.
+  kRunFailed = 3,
 };
 
-// What plays one size (engine.h). Exceptions of the OnSample callback have to come through.
+// Functions that run one size (engine.h). They have to propagate exceptions thrown by the OnSample callback.
 struct Engines {
   std::function<Metrics(const Experiment&, const Deployment&, const OnSample&)> on_virtual_clock = RunVirtual;
   std::function<Metrics(const Experiment&, const Deployment&, const std::string& program, const OnSample&)>
@@ -26,20 +27,20 @@
 };
 
 struct RunOptions {
-  std::string program;  // of the real sidecar; used with the real clock alone
-  // Asked after each sample; the run ends early once it says true. It may be called from an engine's thread.
-  std::function<bool()> stop_wanted = [] { return false; };
+  std::string program;  // path of the real sidecar's executable; used only with the real clock
+  // Called after each sample, possibly from an engine's thread. The run ends early once it returns true.
+  std::function<bool()> stop_requested = [] { return false; };
 };
 
 struct RunOutputs {
-  std::ostream& progress;           // a line for each sample and each size
+  std::ostream& progress;           // one line for each sample and each size
   std::ostream& report;             // the table, verdicts and slopes
-  std::ostream* records = nullptr;  // JSON lines, where they are wanted
+  std::ostream* records = nullptr;  // JSON lines; null if no records are written
 };
 
-// Plays the experiment's sizes in their order, or a growth experiment (growth.h). A failure ends the run; the
-// sizes done so far are reported, but no part of a growth experiment.
-ExitCode PlayExperiment(const Experiment& experiment, const RunOptions& options, const RunOutputs& outputs,
-                        const Engines& engines = {});
+// Runs the experiment's sizes in their order, or a growth experiment (growth.h). A failure ends the run. The
+// sizes completed until then are reported, but nothing of an incomplete growth experiment.
+ExitCode RunExperiment(const Experiment& experiment, const RunOptions& options, const RunOutputs& outputs,
+                       const Engines& engines = {});
 
 }  // namespace lb::lab
--- a/lab/spec/deployment.cpp
+++ b/lab/spec/deployment.cpp
@@ -19,30 +19,31 @@
 
 // Standard deviation over mean of the speeds of machines of one kind.
 constexpr double kSpeedVariation = 0.1;
-// Of the operators' rule on cold starts, as every deployment of ours states it.
-constexpr double kFallMultiple = 2.5;
-constexpr Duration kFallWindow = std::chrono::seconds(1);
+// Fleet limit that every emulated deployment uses: all sidecars together must not send an upstream more than
+// this multiple of its present capacity within the window.
+constexpr double kOverloadMultiple = 2.5;
+constexpr Duration kOverloadWindow = std::chrono::seconds(1);
 
 using Generator = std::mt19937_64;
 
-// Of mean 1 and the given standard deviation.
+// Lognormal distribution with mean 1 and the given standard deviation.
 std::lognormal_distribution<double> LognormalAroundOne(double variation) {
   const double variance = std::log1p(variation * variation);
   return std::lognormal_distribution<double>(-variance / 2, std::sqrt(variance));
 }
 
-// Where the `index`th of `services` times something stands: a service's own spread over all zones, and the
-// services begin at different ones.
-struct Place {
+// Service and zone of the upstream or sidecar with the given index. The members of each service are spread
+// over all zones, and different services begin with different zones.
+struct Placement {
   std::size_t service = 0;
   std::size_t zone = 0;
 };
-Place PlaceOf(std::size_t index, std::size_t services, std::size_t zones) {
+Placement PlacementOf(std::size_t index, std::size_t services, std::size_t zones) {
   const std::size_t service = index % services;
   return {service, (index / services + service) % zones};
 }
 
-// How many of `total` each kind has, by largest remainder.
+// Number of machines of each kind among `total`, by the largest remainder method.
 std::vector<std::size_t> KindCounts(const std::vector<KindSpec>& kinds, std::size_t total) {
   double shares = 0;
   for (const KindSpec& kind : kinds) shares += kind.share;
@@ -90,13 +91,13 @@
   auto around_one = LognormalAroundOne(kSpeedVariation);
   std::vector<UpstreamInstance> upstreams(total);
   for (std::size_t i = 0; i < total; ++i) {
-    const Place place = PlaceOf(i, experiment.services, zones.size());
+    const Placement placement = PlacementOf(i, experiment.services, zones.size());
     UpstreamInstance& upstream = upstreams[i];
     upstream.index = i;
     upstream.id = DrawId(experiment.seed, i);
-    upstream.service = place.service;
-    upstream.region = zones[place.zone].region;
-    upstream.zone = zones[place.zone].name;
+    upstream.service = placement.service;
+    upstream.region = zones[placement.zone].region;
+    upstream.zone = zones[placement.zone].name;
     upstream.kind = kinds[i];
     upstream.speed = kinds[i]->speed * around_one(generator);
     upstream.weight = kinds[i]->cores * kinds[i]->speed;
@@ -124,7 +125,7 @@
   return capacity * experiment.load.utilization / MeanWorkSeconds(experiment.classes);
 }
 
-// Lognormal, scaled so that they sum to `total`.
+// Draws lognormal request rates of the sidecars, scaled so that they sum to `total`.
 void DrawRates(const Experiment& experiment, double total, std::vector<SidecarInstance>& sidecars) {
   Generator generator(DeriveSeed(experiment.seed, "rates"));
   auto around_one = LognormalAroundOne(experiment.load.inequality);
@@ -140,13 +141,13 @@
   const std::vector<ZoneSpec> zones = ZonesOf(experiment);
   std::vector<SidecarInstance> sidecars(SidecarsFor(experiment, upstreams));
   for (std::size_t i = 0; i < sidecars.size(); ++i) {
-    const Place place = PlaceOf(i, experiment.services, zones.size());
+    const Placement placement = PlacementOf(i, experiment.services, zones.size());
     SidecarInstance& sidecar = sidecars[i];
     sidecar.index = i;
     sidecar.name = "n" + std::to_string(i + 1);
-    sidecar.service = place.service;
-    sidecar.region = zones[place.zone].region;
-    sidecar.zone = zones[place.zone].name;
+    sidecar.service = placement.service;
+    sidecar.region = zones[placement.zone].region;
+    sidecar.zone = zones[placement.zone].name;
     sidecar.seed = DeriveSeed(experiment.seed, "sidecar", i);
   }
   const std::size_t real = experiment.sidecars.real;
@@ -162,7 +163,7 @@
   return indices;
 }
 
-// `share` of `total` in the order drawn, at least one.
+// Draws a share of the indices below `total`, at least one, in random order.
 std::vector<std::size_t> DrawShare(std::size_t total, double share, Generator& generator) {
   std::vector<std::size_t> drawn = Shuffled(total, generator);
   const auto wanted = static_cast<std::size_t>(std::llround(share * static_cast<double>(total)));
@@ -170,15 +171,15 @@
   return drawn;
 }
 
-// One for each of `count` changes: no upstream twice before all have had a turn.
-std::vector<std::size_t> DrawTurns(std::size_t total, int count, Generator& generator) {
+// Draws one upstream for each of `count` changes. No upstream is repeated before all have been drawn.
+std::vector<std::size_t> DrawInRotation(std::size_t total, int count, Generator& generator) {
   const std::vector<std::size_t> order = Shuffled(total, generator);
-  std::vector<std::size_t> turns;
-  for (std::size_t i = 0; i < static_cast<std::size_t>(count); ++i) turns.push_back(order[i % total]);
-  return turns;
+  std::vector<std::size_t> drawn;
+  for (std::size_t i = 0; i < static_cast<std::size_t>(count); ++i) drawn.push_back(order[i % total]);
+  return drawn;
 }
 
-// Drawn by upstream, so that a zone without any is not lost.
+// Draws the zone of a random upstream, so that a zone without upstreams is never chosen.
 std::string DrawZone(const std::vector<UpstreamInstance>& upstreams, Generator& generator) {
   std::uniform_int_distribution<std::size_t> any(0, upstreams.size() - 1);
   return upstreams[any(generator)].zone;
@@ -203,7 +204,7 @@
       event.upstreams = DrawShare(upstreams, event.share, generator);
       break;
     case FaultKind::kChange:
-      event.upstreams = DrawTurns(upstreams, event.count, generator);
+      event.upstreams = DrawInRotation(upstreams, event.count, generator);
       break;
     case FaultKind::kZoneLost:
       if (event.zone.empty()) event.zone = DrawZone(deployment.upstreams, generator);
@@ -223,14 +224,15 @@
     case FaultKind::kNewConfigurations:
     case FaultKind::kDiscoverySlow:
     case FaultKind::kBurst:
-      break;  // strike all alike
+      break;  // no targets to draw: these faults affect the whole fleet
   }
 }
 
-// Each fault draws from a stream of its own kind and time: others beside it change nothing for it.
+// Each fault draws from a random stream seeded by its kind and time, so that adding other faults does not
+// change its targets.
 std::vector<FaultEvent> DrawFaults(const Experiment& experiment, const Deployment& deployment) {
   std::vector<FaultEvent> events;
-  std::map<std::string, std::uint64_t> alike;  // how many there were of a kind and time
+  std::map<std::string, std::uint64_t> same_kind_and_time;  // number of faults so far by kind and time
   for (const FaultSpec& spec : experiment.faults) {
     FaultEvent event;
     event.kind = spec.kind;
@@ -243,7 +245,7 @@
     event.step = spec.step;
     const std::string purpose =
         "fault " + std::string(FaultName(spec.kind)) + " at " + std::to_string(spec.at.count());
-    Generator generator(DeriveSeed(experiment.seed, purpose, alike[purpose]++));
+    Generator generator(DeriveSeed(experiment.seed, purpose, same_kind_and_time[purpose]++));
     DrawTargets(deployment, generator, event);
     events.push_back(std::move(event));
   }
@@ -295,8 +297,8 @@
   settings.limits.idle_close = experiment.upstreams.idle_close;
   settings.fleet_limits.slow_start_initial_share = experiment.upstreams.slow_start_initial_share;
   settings.fleet_limits.slow_start_duration = experiment.upstreams.slow_start_duration;
-  settings.fleet_limits.overload_multiple = kFallMultiple;
-  settings.fleet_limits.overload_window = kFallWindow;
+  settings.fleet_limits.overload_multiple = kOverloadMultiple;
+  settings.fleet_limits.overload_window = kOverloadWindow;
   settings.decision_costs.cross_zone = experiment.sidecars.cross_zone_price;
   settings.decision_costs.probe = experiment.sidecars.probe_price;
   settings.Validate();
--- a/lab/spec/deployment.h
+++ b/lab/spec/deployment.h
@@ -1,5 +1,5 @@
-// One draw of an experiment's deployment at one size: machines, sidecars, and when which fault strikes whom.
-// A pure function of the experiment, the size and the seed.
+// The deployment of an experiment at one size, drawn at random: upstream machines, sidecars, and the time and
+// targets of each fault. A pure function of the experiment, the size and the seed.
 #pragma once
 
 #include <cstddef>
@@ -17,20 +17,20 @@
   std::size_t service = 0;
   std::size_t region = 0;
   std::string zone;
-  const KindSpec* kind = nullptr;  // into the experiment's, which outlives the deployment
-  double speed = 1;                // of a core of this one
-  double weight = 1;               // as registered: cores times the kind's speed, mean 1
+  const KindSpec* kind = nullptr;  // points into the experiment, which must outlive the deployment
+  double speed = 1;                // of one core of this machine
+  double weight = 1;  // as registered in discovery: cores times the kind's speed, scaled to a mean of 1
 };
 
 struct SidecarInstance {
   std::size_t index = 0;
   std::string name;
-  std::size_t service = 0;  // that it calls
+  std::size_t service = 0;  // the service that it calls
   std::size_t region = 0;
   std::string zone;
   double requests_per_s = 0;
   std::uint64_t seed = 0;
-  bool real = false;  // a process of its own
+  bool real = false;  // runs as a process of its own; otherwise hollow
 };
 
 struct FaultEvent {
@@ -42,9 +42,9 @@
   int count = 1;
   std::string zone;
   Duration step{};
-  std::vector<std::size_t>
-      upstreams;                      // that it strikes, in the order drawn (a change for each, or a restart)
-  std::vector<std::size_t> sidecars;  // likewise
+  // Targets, in the order drawn; a kChange or kRestart fault is applied to the upstreams in this order.
+  std::vector<std::size_t> upstreams;
+  std::vector<std::size_t> sidecars;
 };
 
 struct Deployment {
@@ -55,14 +55,15 @@
   double requests_per_s = 0;       // over all sidecars
 };
 
-// `experiment` has to outlive the result. The size is one that SizesError() (experiment.h) accepts.
+// Draws the deployment with this number of upstreams, which SizesError() (experiment.h) must accept.
+// `experiment` has to outlive the result.
 Deployment MakeDeployment(const Experiment& experiment, std::size_t upstreams);
 
-// An independent seed for one purpose, from the experiment's seed: the same for the same words on every
-// machine (XXH64).
+// Derives an independent seed for one purpose from the experiment's seed, by XXH64. The same arguments give
+// the same result on every machine.
 std::uint64_t DeriveSeed(std::uint64_t seed, const std::string& purpose, std::uint64_t index = 0);
 
-// The settings that sidecar `self` of the deployment is given, as the module takes them.
+// The balancer settings of sidecar `self` of the deployment.
 lb::Settings SidecarSettings(const Experiment& experiment, const Deployment& deployment,
                              const SidecarInstance& self);
 
--- a/lab/spec/experiment.cpp
+++ b/lab/spec/experiment.cpp
@@ -25,8 +25,8 @@
 constexpr std::size_t kMaxRealSidecars = 300;
 constexpr std::size_t kMaxNameLength = 64;
 constexpr Bounds kShare{0, 1};
-// Of one class or kind against the others.
-constexpr Bounds kPart{0, 1e6};
+// Bounds of the relative share of one class or kind.
+constexpr Bounds kShareBounds{0, 1e6};
 
 const std::vector<NamedValue<ClockKind>> kClocks = {{"virtual", ClockKind::kVirtual},
                                                     {"real", ClockKind::kReal}};
@@ -49,7 +49,8 @@
   }
 }
 
-// Throws where two of `items` are of one name or all have a share of 0. `tables` are those they came from.
+// Throws if two of `items` have the same name or all shares are 0. `tables` are the tables that the items
+// were read from, for the line of the error.
 template <typename T>
 void CheckNamesAndShares(const std::vector<T>& items, const std::vector<TableReader>& tables) {
   std::set<std::string> names;
@@ -66,7 +67,7 @@
   ClassSpec spec;
   ReadName(table, spec.name);
   table.Require({"mean_work_ms", "aim_ms", "deadline_ms"});
-  table.ReadNumber("share", spec.share, kPart);
+  table.ReadNumber("share", spec.share, kShareBounds);
   table.ReadTime("mean_work_ms", spec.mean_work, milliseconds(1), {0.001, 60'000});
   table.ReadNumber("work_variation", spec.work_variation, {0, 20});
   table.ReadTime("aim_ms", spec.latency_objective, milliseconds(1), {1, 600'000});
@@ -82,7 +83,7 @@
 KindSpec ReadKind(TableReader& table) {
   KindSpec spec;
   ReadName(table, spec.name);
-  table.ReadNumber("share", spec.share, kPart);
+  table.ReadNumber("share", spec.share, kShareBounds);
   table.ReadCount("cores", spec.cores, 1, 1024);
   table.ReadNumber("speed", spec.speed, {0.01, 100});
   table.ReadNumber("slots_per_core", spec.slots_per_core, {0.01, 10'000});
@@ -117,13 +118,13 @@
   table.ReadNumber("cold_from", spec.slow_start_initial_share, {0.001, 1});
   table.ReadTime("cold_s", spec.slow_start_duration, seconds(1), {0.001, 3600});
   table.ReadFlag("cancel_stops_work", spec.cancel_stops_work);
-  table.ReadNumber("crowded_at", spec.crowded_at, {0, 100'000});
-  table.ReadTime("crowded_after_s", spec.crowded_after, seconds(1), {0, 3600});
-  table.ReadNumber("crowded_slowdown", spec.crowded_slowdown, {1, 1000});
-  table.ReadNumber("rested_below", spec.rested_below, {0, 100'000});
-  table.ReadTime("rest_s", spec.rest_time, seconds(1), {0, 3600});
+  table.ReadNumber("crowded_at", spec.overload_at, {0, 100'000});
+  table.ReadTime("crowded_after_s", spec.overload_after, seconds(1), {0, 3600});
+  table.ReadNumber("crowded_slowdown", spec.overload_slowdown, {1, 1000});
+  table.ReadNumber("rested_below", spec.recovered_below, {0, 100'000});
+  table.ReadTime("rest_s", spec.recovery_time, seconds(1), {0, 3600});
   table.Finish();
-  if (spec.crowded_at > 0 && spec.rested_below > spec.crowded_at) {
+  if (spec.overload_at > 0 && spec.recovered_below > spec.overload_at) {
     table.Fail(table.Has("rested_below") ? "rested_below" : "crowded_at", "rested_below is over crowded_at");
   }
 }
@@ -193,7 +194,7 @@
   return expectation;
 }
 
-// The keys above all tables.
+// Reads the top-level keys, which precede all tables.
 void ReadTop(TableReader& file, Experiment& experiment) {
   ReadName(file, experiment.name);
   file.ReadCount("seed", experiment.seed, 0, std::numeric_limits<std::int64_t>::max());
--- a/lab/spec/fault_reader.cpp
+++ b/lab/spec/fault_reader.cpp
@@ -11,11 +11,11 @@
 
 using std::chrono::seconds;
 
-constexpr double kMaxClockStepS = 86'400;  // of a wall clock
+constexpr double kMaxClockStepS = 86'400;  // one day
 
 enum class KeyUse { kRefused, kOptional, kRequired };
 
-// Which keys a kind of fault takes beside `kind` and `at_s`.
+// Use of each key by a kind of fault, in addition to `kind` and `at_s`.
 struct FaultForm {
   FaultKind kind;
   std::string_view name;
@@ -25,31 +25,41 @@
   KeyUse count = KeyUse::kRefused;
   KeyUse zone = KeyUse::kRefused;
   KeyUse step = KeyUse::kRefused;
-  double least_factor = 1;
+  double min_factor = 1;
 };
 
 const std::vector<FaultForm>& FaultForms() {
-  constexpr KeyUse kNeeded = KeyUse::kRequired;
-  constexpr KeyUse kMay = KeyUse::kOptional;
+  constexpr KeyUse kRequired = KeyUse::kRequired;
+  constexpr KeyUse kOptional = KeyUse::kOptional;
   static const std::vector<FaultForm> kForms = {
-      {.kind = FaultKind::kCrash, .name = "crash", .lasts = kNeeded, .share = kNeeded},
-      {.kind = FaultKind::kHang, .name = "hang", .lasts = kNeeded, .share = kNeeded},
-      {.kind = FaultKind::kSlow, .name = "slow", .lasts = kNeeded, .share = kNeeded, .factor = kNeeded},
-      {.kind = FaultKind::kRestart, .name = "restart", .lasts = kNeeded, .share = kNeeded},
-      {.kind = FaultKind::kChange, .name = "change", .lasts = kMay, .count = kMay},
-      {.kind = FaultKind::kZoneLost, .name = "zone_lost", .lasts = kNeeded, .zone = kMay},
-      {.kind = FaultKind::kRegionCut, .name = "region_cut", .lasts = kNeeded},
-      {.kind = FaultKind::kDiscoveryDown, .name = "discovery_down", .lasts = kNeeded},
-      {.kind = FaultKind::kNoticesLate, .name = "notices_late", .lasts = kNeeded, .factor = kNeeded},
+      {.kind = FaultKind::kCrash, .name = "crash", .lasts = kRequired, .share = kRequired},
+      {.kind = FaultKind::kHang, .name = "hang", .lasts = kRequired, .share = kRequired},
+      {.kind = FaultKind::kSlow, .name = "slow", .lasts = kRequired, .share = kRequired, .factor = kRequired},
+      {.kind = FaultKind::kRestart, .name = "restart", .lasts = kRequired, .share = kRequired},
+      {.kind = FaultKind::kChange, .name = "change", .lasts = kOptional, .count = kOptional},
+      {.kind = FaultKind::kZoneLost, .name = "zone_lost", .lasts = kRequired, .zone = kOptional},
+      {.kind = FaultKind::kRegionCut, .name = "region_cut", .lasts = kRequired},
+      {.kind = FaultKind::kDiscoveryDown, .name = "discovery_down", .lasts = kRequired},
+      {.kind = FaultKind::kNoticesLate, .name = "notices_late", .lasts = kRequired, .factor = kRequired},
       {.kind = FaultKind::kNoticesSilent, .name = "notices_silent"},
-      {.kind = FaultKind::kNoticesLost, .name = "notices_lost", .lasts = kNeeded, .share = kNeeded},
-      {.kind = FaultKind::kSidecarsKilled, .name = "sidecars_killed", .share = kNeeded},
-      {.kind = FaultKind::kSidecarsStopped, .name = "sidecars_stopped", .lasts = kMay, .share = kNeeded},
-      {.kind = FaultKind::kClientsStalled, .name = "clients_stalled", .lasts = kMay, .count = kMay},
-      {.kind = FaultKind::kNewConfigurations, .name = "new_configurations", .lasts = kMay, .count = kMay},
-      {.kind = FaultKind::kDiscoverySlow, .name = "discovery_slow", .lasts = kNeeded},
-      {.kind = FaultKind::kClockStepped, .name = "clock_stepped", .share = kNeeded, .step = kNeeded},
-      {.kind = FaultKind::kBurst, .name = "burst", .lasts = kNeeded, .factor = kNeeded, .least_factor = 0.01},
+      {.kind = FaultKind::kNoticesLost, .name = "notices_lost", .lasts = kRequired, .share = kRequired},
+      {.kind = FaultKind::kSidecarsKilled, .name = "sidecars_killed", .share = kRequired},
+      {.kind = FaultKind::kSidecarsStopped,
+       .name = "sidecars_stopped",
+       .lasts = kOptional,
+       .share = kRequired},
+      {.kind = FaultKind::kClientsStalled, .name = "clients_stalled", .lasts = kOptional, .count = kOptional},
+      {.kind = FaultKind::kNewConfigurations,
+       .name = "new_configurations",
+       .lasts = kOptional,
+       .count = kOptional},
+      {.kind = FaultKind::kDiscoverySlow, .name = "discovery_slow", .lasts = kRequired},
+      {.kind = FaultKind::kClockStepped, .name = "clock_stepped", .share = kRequired, .step = kRequired},
+      {.kind = FaultKind::kBurst,
+       .name = "burst",
+       .lasts = kRequired,
+       .factor = kRequired,
+       .min_factor = 0.01},
   };
   return kForms;
 }
@@ -98,7 +108,7 @@
   table.ReadTime("at_s", spec.at, seconds(1), {0, 3600});
   table.ReadTime("lasts_s", spec.lasts, seconds(1), {0.001, 3600});
   table.ReadNumber("share", spec.share, {0.0001, 1});
-  table.ReadNumber("factor", spec.factor, {form.least_factor, 1000});
+  table.ReadNumber("factor", spec.factor, {form.min_factor, 1000});
   table.ReadCount("count", spec.count, 1, 100'000);
   table.ReadText("zone", spec.zone);
   table.ReadTime("step_s", spec.step, seconds(1), {-kMaxClockStepS, kMaxClockStepS});
--- a/lab/spec/fault_reader.h
+++ b/lab/spec/fault_reader.h
@@ -1,5 +1,5 @@
-// Reads the faults of an experiment file: which keys each kind of fault takes, and what a deployment must
-// have for it.
+// Reads the faults of an experiment file and checks the keys of each kind of fault and what it requires of
+// the deployment.
 #pragma once
 
 #include "lab/spec/experiment.h"
@@ -7,9 +7,9 @@
 
 namespace lb::lab {
 
-// Reads every [[fault]] of `file` into experiment.faults, in order of time; the rest of `experiment` has to
-// be read already. Throws ExperimentError, with the line, for a fault that is malformed or that the
-// deployment cannot have.
+// Reads every [[fault]] of `file` into experiment.faults, in order of time. The rest of `experiment` must
+// have been read before. Throws ExperimentError with the line if a fault is malformed or can't be injected
+// into the deployment.
 void ReadFaults(TableReader& file, Experiment& experiment);
 
 }  // namespace lb::lab
--- a/lab/spec/growth_spec.cpp
+++ b/lab/spec/growth_spec.cpp
@@ -85,7 +85,7 @@
   for (const KindSpec& kind : experiment.upstreams.kinds) {
     if (LargeFleetCores(experiment, kind)) continue;
     table.Fail("upstreams", "the " + std::to_string(kind.cores) + " cores of kind \"" + kind.name +
-                                "\" don't become a whole number in the large fleet");
+                                "\" do not scale to a whole number in the large fleet");
   }
 }
 
--- a/lab/spec/growth_spec.h
+++ b/lab/spec/growth_spec.h
@@ -1,4 +1,4 @@
-// [growth] and [[growth_limit]] of an experiment file.
+// Reads and checks the tables [growth] and [[growth_limit]] of an experiment file.
 #pragma once
 
 #include "lab/spec/experiment.h"
@@ -6,12 +6,12 @@
 
 namespace lb::lab {
 
-// Reads both into `experiment.growth`; it stays absent where the file has neither. Throws ExperimentError for
-// what they can't hold by themselves.
+// Reads both tables into `experiment.growth`, which stays absent if the file has neither. Throws
+// ExperimentError for errors within the two tables.
 void ReadGrowth(TableReader& file, Experiment& experiment);
 
-// Whether it fits the rest of the experiment, which has been read and has sound sizes. Throws
-// ExperimentError.
+// Checks `experiment.growth` against the rest of the experiment, which must have been read and have valid
+// sizes. Throws ExperimentError if they do not fit together.
 void CheckGrowth(TableReader& file, const Experiment& experiment);
 
 }  // namespace lb::lab
--- a/lab/spec/schedule.cpp
+++ b/lab/spec/schedule.cpp
@@ -10,7 +10,7 @@
 namespace lb::lab {
 namespace {
 
-// Digits that tell any two drawn values apart as far as people care; restored at the end.
+// Sets a stream to fixed notation with the given digits after the point; the destructor restores its format.
 class FixedDigits {
  public:
   FixedDigits(std::ostream& out, int digits)
@@ -42,7 +42,7 @@
       << deployment.requests_per_s << " requests/s\n";
 }
 
-// When and what, without a line's end.
+// Prints a fault's kind, times and parameters without a line break.
 void PrintFault(std::ostream& out, const FaultEvent& event) {
   out << "fault " << FaultName(event.kind) << " from " << ToSeconds(event.at) << " s to "
       << ToSeconds(event.until) << " s";
--- a/lab/spec/schedule.h
+++ b/lab/spec/schedule.h
@@ -1,4 +1,5 @@
-// Drawn deployments as text: what is going to be where, and which fault strikes whom when.
+// Prints drawn deployments as text: the locations of upstreams and sidecars, and the time and targets of each
+// fault.
 #pragma once
 
 #include <iosfwd>
@@ -8,10 +9,11 @@
 
 namespace lb::lab {
 
-// A few lines for one size: how many of what, the load, and how many each fault strikes.
+// Prints a few lines: the numbers of machines, the load, and the number of targets of each fault.
 void PrintSummary(std::ostream& out, const Experiment& experiment, const Deployment& deployment);
 
-// Everything, a line for each upstream, sidecar and fault. The same file, size and seed give the same text.
+// Prints the whole deployment, one line for each upstream, sidecar and fault. The same file, size and seed
+// give the same text.
 void PrintSchedule(std::ostream& out, const Experiment& experiment, const Deployment& deployment);
 
 }  // namespace lb::lab
--- a/lab/spec/toml_reader.cpp
+++ b/lab/spec/toml_reader.cpp
@@ -8,7 +8,7 @@
 namespace lb::lab {
 namespace {
 
-// As people write numbers: no exponent for the usual ones, no trailing zeros.
+// Formats a number without trailing zeros, and without an exponent unless it is very large or small.
 std::string NumberText(double value) {
   std::ostringstream text;
   text << std::setprecision(12) << value;
@@ -31,11 +31,11 @@
 }
 
 void TableReader::ReadNumber(std::string_view key, double& target, Bounds bounds) {
-  if (const toml::node* node = Take(key)) target = NumberOf(key, *node, bounds);
+  if (const toml::node* node = FindAndMarkRead(key)) target = NumberOf(key, *node, bounds);
 }
 
 void TableReader::ReadRange(std::string_view key, Range& target, Bounds bounds) {
-  const toml::node* node = Take(key);
+  const toml::node* node = FindAndMarkRead(key);
   if (!node) return;
   const toml::array* pair = node->as_array();
   if (!pair) {
@@ -49,28 +49,28 @@
 }
 
 void TableReader::ReadTime(std::string_view key, Duration& target, Duration unit, Bounds bounds) {
-  const toml::node* node = Take(key);
+  const toml::node* node = FindAndMarkRead(key);
   if (!node) return;
   const double units = NumberOf(key, *node, bounds);
   target = Duration(std::llround(units * static_cast<double>(unit.count())));
 }
 
 void TableReader::ReadFlag(std::string_view key, bool& target) {
-  const toml::node* node = Take(key);
+  const toml::node* node = FindAndMarkRead(key);
   if (!node) return;
   if (!node->is_boolean()) Fail(key, std::string(key) + " has to be true or false");
   target = node->as_boolean()->get();
 }
 
 void TableReader::ReadText(std::string_view key, std::string& target) {
-  const toml::node* node = Take(key);
+  const toml::node* node = FindAndMarkRead(key);
   if (!node) return;
   if (!node->is_string()) Fail(key, std::string(key) + " has to be a text in quotes");
   target = node->as_string()->get();
 }
 
 void TableReader::ReadCounts(std::string_view key, std::vector<std::size_t>& target) {
-  const toml::node* node = Take(key);
+  const toml::node* node = FindAndMarkRead(key);
   if (!node) return;
   const toml::array* counts = node->as_array();
   if (!counts) Fail(key, std::string(key) + " has to be a list of whole numbers");
@@ -84,7 +84,7 @@
 TableReader TableReader::Table(std::string_view key) {
   static const toml::table kEmpty;
   const std::string title = "[" + std::string(key) + "]";
-  const toml::node* node = Take(key);
+  const toml::node* node = FindAndMarkRead(key);
   if (!node) return {kEmpty, file_, title};
   if (!node->is_table()) Fail(key, std::string(key) + " has to be a table, " + title);
   return {*node->as_table(), file_, title};
@@ -93,7 +93,7 @@
 std::vector<TableReader> TableReader::Tables(std::string_view key) {
   const std::string title = "[[" + std::string(key) + "]]";
   std::vector<TableReader> readers;
-  const toml::node* node = Take(key);
+  const toml::node* node = FindAndMarkRead(key);
   if (!node) return readers;
   if (!node->is_array()) Fail(key, std::string(key) + " has to be a list of tables, " + title);
   for (const toml::node& element : *node->as_array()) {
@@ -105,7 +105,7 @@
 
 void TableReader::Finish() const {
   for (const auto& [key, node] : table_) {
-    if (taken_.contains(key.str())) continue;
+    if (read_keys_.contains(key.str())) continue;
     const std::string where = title_.empty() ? "" : " in " + title_;
     FailAt(key.source(), "unknown key " + std::string(key.str()) + where);
   }
@@ -116,9 +116,9 @@
   FailAt(node ? node->source() : table_.source(), what);
 }
 
-const toml::node* TableReader::Take(std::string_view key) {
+const toml::node* TableReader::FindAndMarkRead(std::string_view key) {
   const toml::node* node = table_.get(key);
-  if (node) taken_.emplace(key);
+  if (node) read_keys_.emplace(key);
   return node;
 }
 
--- a/lab/spec/toml_reader.h
+++ b/lab/spec/toml_reader.h
@@ -16,43 +16,45 @@
 
 namespace lb::lab {
 
-// Inclusive. NaN lies in none.
+// Inclusive bounds of a number. NaN is outside any bounds.
 struct Bounds {
   double low = 0;
   double high = std::numeric_limits<double>::max();
   bool Contain(double value) const { return value >= low && value <= high; }
 };
 
-// A word of the file and what it stands for.
+// A string value allowed in the file, and the value that it stands for.
 template <typename T>
 struct NamedValue {
   std::string_view name;
   T value;
 };
 
-// Every read leaves its target as it is where the key is absent, and throws ExperimentError with the key's
-// line for another type or a value out of range. Not thread-safe; the table has to outlive the reader.
+// Every Read function leaves its target unchanged if the key is absent, and throws ExperimentError with the
+// key's line if the value has the wrong type or is out of range. Not thread-safe. The table has to outlive
+// the reader.
 class TableReader {
  public:
-  // `title` is what errors call the table, such as `[load]`; empty for the file itself.
+  // `title` names the table in error messages, such as `[load]`; empty for the top level of the file.
   TableReader(const toml::table& table, std::string file, std::string title);
 
   bool Has(std::string_view key) const { return table_.contains(key); }
-  // Throws where `key` is absent.
+  // Throws if any of `keys` is absent.
   void Require(std::initializer_list<std::string_view> keys) const;
 
   void ReadNumber(std::string_view key, double& target, Bounds bounds);
-  // A number, or a pair [low, high] of them.
+  // Reads a number, or a pair of numbers [low, high].
   void ReadRange(std::string_view key, Range& target, Bounds bounds);
-  // The key's value counts `unit`s; the bounds are in units, too.
+  // Reads a duration given as a number of `unit`s. The bounds are in the same unit.
   void ReadTime(std::string_view key, Duration& target, Duration unit, Bounds bounds);
   void ReadFlag(std::string_view key, bool& target);
   void ReadText(std::string_view key, std::string& target);
   void ReadCounts(std::string_view key, std::vector<std::size_t>& target);
-  // Whole numbers.
+  // Reads an integer from `low` to `high`.
   template <std::integral T>
   void ReadCount(std::string_view key, T& target, std::int64_t low, std::int64_t high) {
-    if (const toml::node* node = Take(key)) target = static_cast<T>(CountOf(key, *node, low, high));
+    if (const toml::node* node = FindAndMarkRead(key))
+      target = static_cast<T>(CountOf(key, *node, low, high));
   }
   template <typename T>
   void ReadChoice(std::string_view key, T& target, const std::vector<NamedValue<T>>& choices) {
@@ -70,18 +72,18 @@
     Fail(key, std::string(key) + " = \"" + word + "\" is none of " + names);
   }
 
-  // The sub-table `[key]`, or one that is empty.
+  // The sub-table `[key]`, or an empty table if it is absent.
   TableReader Table(std::string_view key);
-  // The tables `[[key]]`, none where the key is absent.
+  // The tables `[[key]]`; empty if the key is absent.
   std::vector<TableReader> Tables(std::string_view key);
 
-  // Throws for the first key that was not read.
+  // Throws for the first key of the table that has not been read, as an unknown key.
   void Finish() const;
-  // Throws with the line of `key`, or of the table where it has no such key.
+  // Throws with the line of `key`, or the line of the table if the key is absent.
   [[noreturn]] void Fail(std::string_view key, const std::string& what) const;
 
  private:
-  const toml::node* Take(std::string_view key);
+  const toml::node* FindAndMarkRead(std::string_view key);
   [[noreturn]] void FailAt(const toml::source_region& source, const std::string& what) const;
   double NumberOf(std::string_view key, const toml::node& node, Bounds bounds) const;
   std::int64_t CountOf(std::string_view key, const toml::node& node, std::int64_t low,
@@ -90,7 +92,7 @@
   const toml::table& table_;
   std::string file_;
   std::string title_;
-  std::set<std::string, std::less<>> taken_;
+  std::set<std::string, std::less<>> read_keys_;
 };
 
 }  // namespace lb::lab
--- a/tests/lab_client_model_test.cpp
+++ b/tests/lab_client_model_test.cpp
@@ -1,4 +1,4 @@
-// The model of the clients, on the virtual clock.
+// Tests of the client model on the virtual clock.
 #include <chrono>
 #include <cstddef>
 #include <cstdint>
@@ -19,8 +19,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-struct ClientRig {
-  ClientRig(Experiment given, double rate, ClientModel::OfferFunction offer)
+struct ClientFixture {
+  ClientFixture(Experiment given, double rate, ClientModel::OfferFunction offer)
       : experiment(std::move(given)),
         deployment(MakeSmallDeployment(experiment, 1, 2, rate)),
         clients(
@@ -43,18 +43,19 @@
 
 TEST(ClientModel, ArrivalsFollowTheRateAndTheLoadFactorAndWorkItsMean) {
   double work = 0;
-  ClientRig rig(SmallExperiment(), 50, [&](std::size_t, const OfferedRequest& request, const auto& answer) {
-    work += static_cast<double>(request.work.count());
-    answer({AnswerKind::kServed, {}});
-  });
-  rig.Play(seconds(100));
-  const auto usual = static_cast<double>(rig.results.size());
+  ClientFixture fixture(SmallExperiment(), 50,
+                        [&](std::size_t, const OfferedRequest& request, const auto& answer) {
+                          work += static_cast<double>(request.work.count());
+                          answer({AnswerKind::kServed, {}});
+                        });
+  fixture.Play(seconds(100));
+  const auto usual = static_cast<double>(fixture.results.size());
   EXPECT_NEAR(usual, 10000, 400);
   EXPECT_NEAR(work / usual, 20e3, 1000);
-  rig.clients.SetLoadFactor(3);
-  rig.Play(seconds(100));
-  EXPECT_NEAR(static_cast<double>(rig.results.size()) - usual, 30000, 700);
-  EXPECT_EQ(rig.clients.open(), 0u);
+  fixture.clients.SetLoadFactor(3);
+  fixture.Play(seconds(100));
+  EXPECT_NEAR(static_cast<double>(fixture.results.size()) - usual, 30000, 700);
+  EXPECT_EQ(fixture.clients.open(), 0u);
 }
 
 TEST(ClientModel, ClassesComeByTheirShares) {
@@ -64,43 +65,43 @@
   other.share = 3;
   experiment.classes.push_back(other);
   std::map<lb::ClassId, int> offered;
-  ClientRig rig(experiment, 50, [&](std::size_t, const OfferedRequest& request, const auto& answer) {
+  ClientFixture fixture(experiment, 50, [&](std::size_t, const OfferedRequest& request, const auto& answer) {
     ++offered[request.request_class];
     answer({AnswerKind::kServed, {}});
   });
-  rig.Play(seconds(100));
+  fixture.Play(seconds(100));
   const double first = offered[lb::ClassId{0}], second = offered[lb::ClassId{1}];
   EXPECT_NEAR(first / (first + second), 0.25, 0.02);
 }
 
-TEST(ClientModel, ARefusalIsRepeatedAfterItsAdviceAndCountsForTheFirstTry) {
+TEST(ClientModel, ARejectionIsRetriedAfterRetryAfterAndCountsFromTheFirstTry) {
   Experiment experiment = SmallExperiment();
   experiment.clients.retries = 2;
   std::map<bool, int> offered;
-  ClientRig rig(experiment, 10, [&](std::size_t, const OfferedRequest& request, const auto& answer) {
+  ClientFixture fixture(experiment, 10, [&](std::size_t, const OfferedRequest& request, const auto& answer) {
     ++offered[request.client_retry];
     answer(request.client_retry ? Answer{AnswerKind::kServed, {}}
                                 : Answer{AnswerKind::kRefused, milliseconds(300)});
   });
-  rig.Play(seconds(10));
-  ASSERT_GT(rig.results.size(), 100u);
+  fixture.Play(seconds(10));
+  ASSERT_GT(fixture.results.size(), 100u);
   EXPECT_EQ(offered[false], offered[true]);
-  EXPECT_EQ(rig.retries, rig.results.size());
-  for (const RequestResult& result : rig.results) {
+  EXPECT_EQ(fixture.retries, fixture.results.size());
+  for (const RequestResult& result : fixture.results) {
     EXPECT_EQ(result.outcome, RequestOutcome::kLate);
     EXPECT_EQ(result.ended - result.arrived, milliseconds(300));
   }
 }
 
-TEST(ClientModel, OnlyWhatMayBeRepeatedIsAndSilenceIsAFailure) {
+TEST(ClientModel, RetriesOnlyIdempotentRequestsAndCountsTimeoutsAsFailures) {
   for (const auto idempotency : {lb::Idempotency::kIdempotent, lb::Idempotency::kNotIdempotent}) {
     Experiment experiment = SmallExperiment();
     experiment.classes[0].idempotency = idempotency;
-    ClientRig rig(experiment, 10, [](std::size_t, const OfferedRequest&, const auto&) {});
-    rig.Play(seconds(10));
-    ASSERT_GT(rig.results.size(), 100u);
+    ClientFixture fixture(experiment, 10, [](std::size_t, const OfferedRequest&, const auto&) {});
+    fixture.Play(seconds(10));
+    ASSERT_GT(fixture.results.size(), 100u);
     const bool repeats = idempotency == lb::Idempotency::kIdempotent;
-    for (const RequestResult& result : rig.results) {
+    for (const RequestResult& result : fixture.results) {
       EXPECT_EQ(result.outcome, RequestOutcome::kFailed);
       EXPECT_EQ(result.tries, repeats ? 2 : 1);
       EXPECT_EQ(result.ended - result.arrived, milliseconds(repeats ? 1000 : 600));
--- a/tests/lab_experiment_test.cpp
+++ b/tests/lab_experiment_test.cpp
@@ -1,5 +1,5 @@
-// Experiment files, the deployments drawn from them, and the runner's exit codes with engines of the test's
-// own.
+// Tests of reading experiment files, of the deployments drawn from them, and of the runner's exit codes with
+// fake engines.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -23,7 +23,8 @@
 namespace lb::lab {
 namespace {
 
-// A sound file; what a test adds to it belongs to the class, up to the next table.
+// A valid file that ends inside [[class]]: text appended by a test belongs to that class, up to the next
+// table.
 const std::string kHead =
     "name = \"t\"\n"
     "length_s = 20\n"
@@ -46,10 +47,11 @@
 struct BadFile {
   std::string text;
   std::size_t line;
-  std::string what;  // part of the error
+  std::string what;  // a part of the error message
 };
 
-// Tests are listed by it: what the error says, without what a list of tests can't hold.
+// Names the parameter in the list of tests: the expected error, reduced to characters that test names may
+// contain.
 void PrintTo(const BadFile& bad, std::ostream* out) {
   *out << "line " << bad.line << ' ';
   std::copy_if(bad.what.begin(), bad.what.end(), std::ostream_iterator<char>(*out),
@@ -58,7 +60,7 @@
 
 class BadFiles : public testing::TestWithParam<BadFile> {};
 
-TEST_P(BadFiles, AreRefusedWithTheLineInOneLine) {
+TEST_P(BadFiles, AreRejectedWithTheLineInOneLine) {
   const BadFile& bad = GetParam();
   try {
     ParseExperiment(bad.text, "t.toml");
@@ -150,7 +152,7 @@
   EXPECT_EQ(e.must_hold[0].bound, 0.25);
 }
 
-TEST(ExperimentFile, AFileThatIsNotThereIsNamed) {
+TEST(ExperimentFile, AMissingFileIsNamed) {
   EXPECT_THROW(LoadExperiment("/nonexistent/x.toml"), ExperimentError);
   EXPECT_THROW(LoadExperiment("/"), ExperimentError);
 }
@@ -165,7 +167,7 @@
   return text.str();
 }
 
-TEST(Deployment, TheSameFileAndSeedGiveTheSame) {
+TEST(Deployment, IsDeterminedByFileAndSeed) {
   Experiment e = Parse(kTwoKinds + kCrash);
   const std::string first = ScheduleText(e, 24);
   EXPECT_EQ(ScheduleText(Parse(kTwoKinds + kCrash), 24), first);
@@ -173,17 +175,18 @@
   EXPECT_NE(ScheduleText(e, 24), first);
 }
 
-TEST(Deployment, AFaultAddedBeforeAnotherLeavesItsTargets) {
+TEST(Deployment, AnAddedFaultDoesNotChangeTheTargetsOfOthers) {
   const Experiment alone = Parse(kCrash);
   const Experiment both = Parse(kCrash + Fault("kind = \"hang\"\nat_s = 1\nlasts_s = 1\nshare = 0.5\n") +
                                 Fault("kind = \"crash\"\nat_s = 2\nlasts_s = 1\nshare = 0.25\n"));
   const Deployment of_both = MakeDeployment(both, 24);
   ASSERT_EQ(of_both.faults.size(), 3u);
   EXPECT_EQ(MakeDeployment(alone, 24).faults[0].upstreams, of_both.faults[2].upstreams);
-  EXPECT_NE(of_both.faults[1].upstreams, of_both.faults[2].upstreams) << "alike ones differ by their time";
+  EXPECT_NE(of_both.faults[1].upstreams, of_both.faults[2].upstreams)
+      << "faults of the same kind differ by their time";
 }
 
-TEST(Deployment, FaultsStrikeAsManyAsTheySay) {
+TEST(Deployment, FaultsHaveTheConfiguredNumberOfTargets) {
   const Experiment e = Parse(kCrash + Fault("kind = \"change\"\nat_s = 6\nlasts_s = 1\ncount = 30\n") +
                              Fault("kind = \"zone_lost\"\nat_s = 7\nlasts_s = 1\nzone = \"r2-z1\"\n") +
                              Fault("kind = \"zone_lost\"\nat_s = 9\nlasts_s = 1\n") +
@@ -218,7 +221,7 @@
     ids.insert(u.id);
     weights += u.weight;
   }
-  EXPECT_EQ(kinds["k"], 17) << "16.7 and 8.3: the larger remainder gets the odd one";
+  EXPECT_EQ(kinds["k"], 17) << "16.7 and 8.3: the remaining one goes to the larger remainder";
   EXPECT_EQ(services[0], 9);
   EXPECT_EQ(services[2], 8);
   EXPECT_EQ(zones.size(), 4u);
@@ -249,7 +252,7 @@
   EXPECT_EQ(real, (std::vector<std::size_t>{0, 4, 8}));
 }
 
-TEST(Deployment, SettingsOfASidecarAreSoundAndItsOwn) {
+TEST(Deployment, SettingsOfASidecarAreValidAndItsOwn) {
   const Experiment e =
       Parse("[sidecars]\nprobes = true\nmax_attempts = 2\n[upstreams]\ncold_from = 0.25\ncold_s = 4\n");
   const Deployment d = MakeDeployment(e, 12);
@@ -266,14 +269,14 @@
 
 TEST(Seeds, DifferByPurposeIndexAndSeed) {
   const std::uint64_t seed = DeriveSeed(1, "a", 0);
-  EXPECT_EQ(seed, 8240337072497608023u) << "on every machine";
+  EXPECT_EQ(seed, 8240337072497608023u) << "must be the same on every machine";
   EXPECT_EQ(DeriveSeed(1, "a"), seed);
   EXPECT_NE(DeriveSeed(1, "a", 1), seed);
   EXPECT_NE(DeriveSeed(1, "b", 0), seed);
   EXPECT_NE(DeriveSeed(2, "a", 0), seed);
 }
 
-// An engine that hands out one sample and these metrics.
+// Engines for the runner: the virtual one returns one sample and these metrics, the real one fails.
 Engines FakeEngines(double failed_share) {
   Engines engines;
   engines.on_virtual_clock = [=](const Experiment&, const Deployment&, const OnSample& on_sample) {
@@ -287,62 +290,61 @@
   return engines;
 }
 
-struct Played {
+struct RunResult {
   ExitCode code;
   std::string progress, report, records;
 };
 
-Played Play(const Experiment& experiment, const Engines& engines, const RunOptions& options = {}) {
+RunResult RunWith(const Experiment& experiment, const Engines& engines, const RunOptions& options = {}) {
   std::ostringstream progress, report, records;
-  const ExitCode code = PlayExperiment(experiment, options, {progress, report, &records}, engines);
+  const ExitCode code = RunExperiment(experiment, options, {progress, report, &records}, engines);
   return {code, progress.str(), report.str(), records.str()};
 }
 
 const std::string kFewFail = "[[must_hold]]\nmetric = \"failed_share\"\nat_most = 0.1\n";
 
-TEST(Run, ExitCodeSaysWhetherAllHeld) {
-  EXPECT_EQ(Play(Parse(kFewFail), FakeEngines(0.05)).code, ExitCode::kHeld);
-  EXPECT_EQ(Play(Parse(kFewFail), FakeEngines(0.2)).code, ExitCode::kNotHeld);
-  EXPECT_EQ(Play(Parse(""), FakeEngines(1)).code, ExitCode::kHeld) << "nothing had to hold";
+TEST(Run, ExitCodeTellsWhetherAllExpectationsHold) {
+  EXPECT_EQ(RunWith(Parse(kFewFail), FakeEngines(0.05)).code, ExitCode::kSuccess);
+  EXPECT_EQ(RunWith(Parse(kFewFail), FakeEngines(0.2)).code, ExitCode::kExpectationFailed);
+  EXPECT_EQ(RunWith(Parse(""), FakeEngines(1)).code, ExitCode::kSuccess) << "no expectations";
 }
 
-TEST(Run, EverySizeIsPlayedAndRecorded) {
-  const Played played = Play(Parse(kFewFail), FakeEngines(0));
-  EXPECT_EQ(std::count(played.records.begin(), played.records.end(), '\n'), 4) << played.records;
-  EXPECT_NE(played.progress.find("size 12"), std::string::npos);
-  EXPECT_NE(played.progress.find("size 24"), std::string::npos);
-  EXPECT_FALSE(played.report.empty());
+TEST(Run, EverySizeIsRunAndRecorded) {
+  const RunResult result = RunWith(Parse(kFewFail), FakeEngines(0));
+  EXPECT_EQ(std::count(result.records.begin(), result.records.end(), '\n'), 4) << result.records;
+  EXPECT_NE(result.progress.find("size 12"), std::string::npos);
+  EXPECT_NE(result.progress.find("size 24"), std::string::npos);
+  EXPECT_FALSE(result.report.empty());
 }
 
-TEST(Run, AnEngineThatFailsEndsItWithItsReason) {
+TEST(Run, EndsWithTheReasonOfAFailedEngine) {
   Experiment e = Parse("");
   e.clock = ClockKind::kReal;
   RunOptions options;
   options.program = "/the/program";
-  const Played played = Play(e, FakeEngines(0), options);
-  EXPECT_EQ(played.code, ExitCode::kRunFailed);
-  EXPECT_NE(played.progress.find("no /the/program"), std::string::npos);
-  EXPECT_EQ(played.progress.find("size 24"), std::string::npos);
+  const RunResult result = RunWith(e, FakeEngines(0), options);
+  EXPECT_EQ(result.code, ExitCode::kRunFailed);
+  EXPECT_NE(result.progress.find("no /the/program"), std::string::npos);
+  EXPECT_EQ(result.progress.find("size 24"), std::string::npos);
 }
 
-TEST(Run, AStopEndsItAfterTheSampleAndKeepsWhatIsDone) {
+TEST(Run, EndsAfterTheSampleOnAStopAndReportsCompletedSizes) {
   RunOptions options;
   int asked = 0;
-  options.stop_wanted = [&asked] { return ++asked == 2; };
-  const Played played = Play(Parse(kFewFail), FakeEngines(0), options);
-  EXPECT_EQ(played.code, ExitCode::kRunFailed);
-  EXPECT_FALSE(played.report.empty()) << "the first size was done";
-  EXPECT_EQ(std::count(played.records.begin(), played.records.end(), '\n'), 3);
+  options.stop_requested = [&asked] { return ++asked == 2; };
+  const RunResult result = RunWith(Parse(kFewFail), FakeEngines(0), options);
+  EXPECT_EQ(result.code, ExitCode::kRunFailed);
+  EXPECT_FALSE(result.report.empty()) << "the first size was completed";
+  EXPECT_EQ(std::count(result.records.begin(), result.records.end(), '\n'), 3);
 }
 
-TEST(Run, RecordsThatCantBeWrittenEndIt) {
+TEST(Run, EndsIfRecordsCannotBeWritten) {
   std::ostringstream progress, report, records;
   records.setstate(std::ios::badbit);
-  EXPECT_EQ(PlayExperiment(Parse(""), {}, {progress, report, &records}, FakeEngines(0)),
-            ExitCode::kRunFailed);
+  EXPECT_EQ(RunExperiment(Parse(""), {}, {progress, report, &records}, FakeEngines(0)), ExitCode::kRunFailed);
 }
 
-TEST(ExperimentFile, RefusesFaultsThatTheDeploymentCannotHave) {
+TEST(ExperimentFile, RejectsFaultsThatTheDeploymentCannotHave) {
   const std::string head =
       "name = \"f\"\nlength_s = 5\nsizes = [2]\n[[class]]\nname = \"a\"\n"
       "mean_work_ms = 1\naim_ms = 10\ndeadline_ms = 10\n[[fault]]\nat_s = 1\nkind = ";
--- a/tests/lab_growth_test.cpp
+++ b/tests/lab_growth_test.cpp
@@ -1,4 +1,5 @@
-// Growth experiments: their keys, the fleets that they play, the comparison, and a small one from end to end.
+// Tests of growth experiments: keys, the fleets that are run, the comparison with limits, and a small one end
+// to end.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -19,7 +20,7 @@
 
 const std::string kUsual =
     "name = \"g\"\nlength_s = 3\nwarm_up_s = 0\nsizes = [20]\nsidecars_per_upstream = 1.5\n";
-const std::string kDay = R"(
+const std::string kScenario = R"(
 [load]
 per_upstream = 15
 [[class]]
@@ -42,11 +43,11 @@
 const std::string kShare = "[[growth_limit]]\nmetric = \"in_time_share\"\npart = \"fleet\"\nfactor = 0.85\n";
 
 Experiment Parse(const std::string& text) { return ParseExperiment(text, "g.toml"); }
-Experiment Small() { return Parse(kUsual + kDay + kGrowth + kShare); }
+Experiment Small() { return Parse(kUsual + kScenario + kGrowth + kShare); }
 
 TEST(GrowthFile, IsReadWithItsLimits) {
   const Experiment e =
-      Parse(kUsual + kDay + kGrowth + kShare + "comparison = \"at_least\"\n" +
+      Parse(kUsual + kScenario + kGrowth + kShare + "comparison = \"at_least\"\n" +
             "[[growth_limit]]\nmetric = \"real_cpu_s\"\npart = \"real\"\nfactor = 1.4\nconstant = 0.02\n"
             "per_thousand = 0.03\n");
   ASSERT_TRUE(e.growth);
@@ -58,12 +59,12 @@
   EXPECT_EQ(e.growth->limits[1].comparison, Comparison::kAtMost);
   EXPECT_EQ(e.growth->limits[1].part, GrowthPart::kReal);
   EXPECT_EQ(e.growth->limits[1].per_thousand, 0.03);
-  EXPECT_FALSE(Parse(kUsual + kDay).growth);
+  EXPECT_FALSE(Parse(kUsual + kScenario).growth);
 }
 
-TEST(GrowthFile, RefusesWhatCantBePlayed) {
+TEST(GrowthFile, RejectsInvalidExperiments) {
   const auto with = [](const std::string& from, const std::string& to) {
-    std::string text = kUsual + kDay + kGrowth + kShare;
+    std::string text = kUsual + kScenario + kGrowth + kShare;
     return text.replace(text.find(from), from.size(), to);
   };
   const struct {
@@ -89,7 +90,7 @@
   for (const auto& each : bad) {
     try {
       Parse(each.text);
-      ADD_FAILURE() << "took one that should say: " << each.what;
+      ADD_FAILURE() << "accepted a file that must be rejected with: " << each.what;
     } catch (const ExperimentError& error) {
       const std::string what = error.what();
       EXPECT_NE(what.find(each.what), std::string::npos) << what;
@@ -99,8 +100,8 @@
   }
 }
 
-// Capacity and traffic of a sidecar are the same in both fleets, and so are the faults' times and shares.
-TEST(Growth, TheLargeFleetIsTheUsualOneForEachSidecar) {
+// Capacity and traffic per sidecar are the same in both fleets, and so are the faults' times and shares.
+TEST(Growth, TheLargeFleetKeepsConditionsPerSidecar) {
   const Experiment e = Small();
   double capacity[2], rate[2];
   std::size_t struck[2];
@@ -144,7 +145,7 @@
       {GrowthPart::kFleet, Comparison::kAtMost, 2.5, 40, 0, 10, 65, 65, true},
       {GrowthPart::kFleet, Comparison::kAtLeast, 0.85, 0, 0, 0.8, 0.69, 0.68, true},
       {GrowthPart::kFleet, Comparison::kAtLeast, 0.85, 0, 0, 0.8, 0.67, 0.68, false},
-      {GrowthPart::kFleet, Comparison::kAtMost, 2, 40, 0, 0, 0, 40, false},  // nothing was measured
+      {GrowthPart::kFleet, Comparison::kAtMost, 2, 40, 0, 0, 0, 40, false},  // the metric was not measured
       {GrowthPart::kFleet, Comparison::kAtMost, 2, 40, 0, 10, kNone, 60, false},
       {GrowthPart::kFleet, Comparison::kAtLeast, 0.85, 0, 0, kNone, 1, kNone, false},
   };
@@ -165,8 +166,8 @@
   }
 }
 
-// The exit code and the table, with engines that measure what the test says.
-TEST(Growth, TheExitCodeSaysWhetherAllHolds) {
+// The exit code and the table, with engines that return prescribed metrics.
+TEST(Growth, ExitCodeTellsWhetherAllLimitsHold) {
   std::string played;
   double large_share = 0.9;
   Engines engines;
@@ -188,26 +189,26 @@
   e.growth->limits[0].comparison = Comparison::kAtLeast;
   const auto play = [&] {
     std::ostringstream progress, report;
-    const ExitCode code = PlayExperiment(e, {}, {progress, report}, engines);
+    const ExitCode code = RunExperiment(e, {}, {progress, report}, engines);
     return std::make_pair(code, report.str());
   };
   const auto [held, table] = play();
-  EXPECT_EQ(held, ExitCode::kHeld);
-  EXPECT_EQ(played, "g-fleet 20, g-fleet 80, ") << "no limit asks for the real part";
+  EXPECT_EQ(held, ExitCode::kSuccess);
+  EXPECT_EQ(played, "g-fleet 20, g-fleet 80, ") << "no limit is on the real part";
   e.growth->limits.push_back({.metric = "real_cpu_s", .part = GrowthPart::kReal});
   played.clear();
-  EXPECT_EQ(play().first, ExitCode::kHeld);
+  EXPECT_EQ(play().first, ExitCode::kSuccess);
   EXPECT_EQ(played, "g-fleet 20, g-fleet 80, g-real 20, g-real 80, ");
   EXPECT_NE(table.find("in_time_share  fleet  share  at least 0.85 x"), std::string::npos) << table;
   large_share = 0.8;
   const auto [failed, failed_table] = play();
-  EXPECT_EQ(failed, ExitCode::kNotHeld);
+  EXPECT_EQ(failed, ExitCode::kExpectationFailed);
   EXPECT_NE(failed_table.find("FAILS"), std::string::npos) << failed_table;
   large_share = -1;
   EXPECT_EQ(play().first, ExitCode::kRunFailed);
 }
 
-TEST(Growth, TheFleetPartIsTheSameEachTime) {
+TEST(Growth, TheFleetPartIsReproducible) {
   for (const FleetSize fleet : {FleetSize::kUsual, FleetSize::kLarge}) {
     const Experiment played = GrowthExperiment(Small(), fleet, GrowthPart::kFleet);
     const Deployment d = MakeDeployment(played, played.sizes.front());
@@ -222,19 +223,20 @@
   }
 }
 
-// Real sidecars of both fleets measure every quantity; how much is the machine's matter.
-TEST(Growth, RealSidecarsMeasureWhatTheyNeed) {
+// Real sidecars of both fleets yield every quantity. The values depend on the machine and are not checked
+// exactly.
+TEST(Growth, RealSidecarsYieldEveryMetric) {
   for (const FleetSize fleet : {FleetSize::kUsual, FleetSize::kLarge}) {
     const Experiment played = GrowthExperiment(Small(), fleet, GrowthPart::kReal);
     const Deployment d = MakeDeployment(played, played.sizes.front());
     const Metrics metrics = RunReal(played, d, LB_SIDECAR_PROGRAM, {});
-    EXPECT_EQ(metrics.sidecars, 2) << "the hollow ones are not played";
+    EXPECT_EQ(metrics.sidecars, 2) << "the hollow sidecars are not run";
     EXPECT_GT(metrics.requests, 0);
     EXPECT_GT(metrics.real_cpu_s, 0);
     EXPECT_GE(metrics.real_peak_memory_mb, metrics.real_memory_mb);
     EXPECT_GT(metrics.real_descriptors, 3);
     EXPECT_GT(metrics.connects_per_sidecar, 0);
-    // Each entry struck is told of as draining at least, in a hundred bytes or more.
+    // Each restarted upstream is announced as draining at least, which takes at least 100 bytes.
     EXPECT_GT(metrics.real_list_bytes, 100.0 * static_cast<double>(d.faults[0].upstreams.size()));
   }
 }
--- a/tests/lab_membership_entries.h
+++ b/tests/lab_membership_entries.h
@@ -10,7 +10,7 @@
 
 namespace lb::lab {
 
-// `count` entries u0, u1, ... that take turns in belonging to `services` services.
+// Returns `count` entries u0, u1, ... assigned to `services` services in rotation.
 inline std::vector<MembershipEntry> SomeEntries(std::size_t count, std::size_t services = 1) {
   std::vector<MembershipEntry> entries;
   for (std::size_t index = 0; index < count; ++index) {
@@ -25,7 +25,7 @@
   return entries;
 }
 
-// The same entry with another weight.
+// Returns the entry with its weight replaced.
 inline MembershipEntry WithWeight(MembershipEntry entry, double weight) {
   entry.weight = weight;
   return entry;
--- a/tests/lab_membership_test.cpp
+++ b/tests/lab_membership_test.cpp
@@ -1,4 +1,4 @@
-// The emulator's registry of upstreams, and its log of how changes reach the sidecars.
+// Tests of the emulator's membership registry and of the log of deliveries of changes to sidecars.
 #include <chrono>
 #include <optional>
 #include <stdexcept>
@@ -15,7 +15,7 @@
 
 using std::chrono::milliseconds;
 
-TEST(MembershipRegistry, KnowsEachRevisionAsItWas) {
+TEST(MembershipRegistry, ReturnsEntriesAsOfEachRevision) {
   MembershipRegistry registry(SomeEntries(4, 2));
   auto gone = registry.Find("u1");
   gone.state = UpstreamState::kGone;
@@ -25,7 +25,7 @@
 
   const auto changes = registry.Since(1, std::nullopt);
   EXPECT_FALSE(changes.whole);
-  ASSERT_EQ(changes.entries.size(), 2u);  // each entry once, as it is now
+  ASSERT_EQ(changes.entries.size(), 2u);  // each changed entry once, in its latest state
   EXPECT_EQ(changes.entries[0].weight, 3);
   EXPECT_EQ(changes.entries[1].state, UpstreamState::kGone);
   EXPECT_EQ(registry.Since(std::nullopt, std::nullopt).entries.size(), 3u);
@@ -39,7 +39,7 @@
   EXPECT_EQ(registry.SinceAsOf(1, 2, std::nullopt).entries.size(), 1u);
 }
 
-TEST(MembershipRegistry, ForgetsOldRevisionsAndThenTellsTheWhole) {
+TEST(MembershipRegistry, ReturnsTheWholeListForRevisionsBeyondTheHistory) {
   MembershipRegistry registry(SomeEntries(2));
   for (std::size_t change = 0; change <= MembershipRegistry::kHistory; ++change) {
     registry.Change(WithWeight(registry.Find("u0"), 1 + static_cast<double>(change)));
@@ -49,15 +49,15 @@
   EXPECT_EQ(registry.SinceAsOf(std::nullopt, 1, std::nullopt).revision, 2u);
 }
 
-TEST(MembershipRegistry, RefusesDoubledAndUnknownIds) {
-  auto doubled = SomeEntries(2);
-  doubled[1].id = doubled[0].id;
-  EXPECT_THROW(MembershipRegistry{doubled}, std::invalid_argument);
+TEST(MembershipRegistry, RejectsDuplicateAndUnknownIds) {
+  auto duplicate = SomeEntries(2);
+  duplicate[1].id = duplicate[0].id;
+  EXPECT_THROW(MembershipRegistry{duplicate}, std::invalid_argument);
   MembershipRegistry registry(SomeEntries(1));
   EXPECT_THROW(registry.Find("u9"), std::out_of_range);
 }
 
-TEST(PropagationLog, OwesRunningSidecarsWhatChangesInTheirService) {
+TEST(PropagationLog, CountsUndeliveredChangesOfRunningSidecars) {
   const TimePoint begun(std::chrono::seconds(1));
   PropagationLog log;
   log.Start(0, std::nullopt);
@@ -73,7 +73,7 @@
   EXPECT_EQ(log.Missing(begun + milliseconds(10)), 1u);
   log.Stop(0);
   EXPECT_EQ(log.Missing(begun + milliseconds(10)), 0u);
-  log.Start(0, std::nullopt);  // of the earlier changes its first list tells
+  log.Start(0, std::nullopt);  // earlier changes are part of its first list
   EXPECT_EQ(log.Missing(begun + milliseconds(10)), 0u);
 }
 
--- a/tests/lab_metrics_test.cpp
+++ b/tests/lab_metrics_test.cpp
@@ -1,3 +1,4 @@
+// Tests of distributions, metrics, verdicts, tables, slopes and the model of call chains.
 #include <chrono>
 #include <cmath>
 #include <initializer_list>
@@ -188,7 +189,7 @@
   for (const auto& c : cases) EXPECT_EQ(FormatNumber(c.value), c.text);
 }
 
-TEST(Tables, AlignAColumnForEachSizeAndLeaveOutWhatIsZeroInAll) {
+TEST(Tables, AlignAColumnForEachSizeAndOmitMetricsThatAreZeroInAll) {
   std::vector<Metrics> runs(2);
   runs[0].upstreams = 30;
   runs[0].in_time_share = 0.98765;
@@ -248,7 +249,7 @@
   }
 }
 
-TEST(Chain, AddsTheHopsUp) {
+TEST(Chain, SumsTheHops) {
   const Distribution constant = SimulateChain(Of({0.5}), 29, 100, 1);
   EXPECT_EQ(constant.count(), 100u);
   EXPECT_EQ(constant.Percentile(0), 14.5);
@@ -261,14 +262,14 @@
   EXPECT_NE(chain.mean(), SimulateChain(hop, 8, kMaxChainDraws, 4).mean());
 }
 
-TEST(Chain, RefusesWhatItCannotDraw) {
+TEST(Chain, RejectsInvalidArguments) {
   EXPECT_THROW(SimulateChain(Distribution(), 2, 1, 1), std::invalid_argument);
   EXPECT_THROW(SimulateChain(Of({1}), 0, 1, 1), std::invalid_argument);
   EXPECT_THROW(SimulateChain(Of({1}), 2, 0, 1), std::invalid_argument);
   EXPECT_THROW(SimulateChain(Of({1}), 2, kMaxChainDraws + 1, 1), std::invalid_argument);
 }
 
-TEST(Chain, TellsTheShareOfChainsWithASlowHop) {
+TEST(Chain, ComputesTheShareOfChainsWithASlowHop) {
   struct {
     double hop_share;
     std::size_t depth;
@@ -285,7 +286,7 @@
       {{1, 3, 0.5, 10}, 1.75, 3, 1.75, 11},                   // 1 + 1/2 + 1/4, the budget is not reached
       {{2, 2, 0.5, 10}, 1.875, 4, 1.875, 121},                // 1 + 1/2 + 1/4 + 1/8
       {{2, 3, 0, 0.1}, 1, 9, 1, 1.21},                        // nothing fails
-      {{2, 3, 1, 0.1}, 9, 9, 1.21, 1.21},                     // all fails
+      {{2, 3, 1, 0.1}, 9, 9, 1.21, 1.21},                     // every attempt fails
       {{8, 3, 1, 0.1}, 6561, 6561, 2.14358881, 2.14358881},   //
       {{2, 3, 0.5, 0.1}, 1.99609375, 9, 1.21, 1.21},          // 2 - 2^-8
       {{2, 2, 0.1, 0.1}, 1.111, 4, 1.1 * 1.01, 1.21},         // the budget is reached exactly at the leaf
@@ -306,13 +307,13 @@
 }
 
 TEST(Chain, PrintsAColumnForEachDepth) {
-  ChainQuestion question;
-  question.depths = {2, 8};
-  question.draws = 10;
-  question.leaf_failures = {1};
-  question.deadline = 100ms;
+  ChainParameters parameters;
+  parameters.depths = {2, 8};
+  parameters.draws = 10;
+  parameters.leaf_failures = {1};
+  parameters.deadline = 100ms;
   std::ostringstream out;
-  PrintChains(out, Of({2}), question);
+  PrintChains(out, Of({2}), parameters);
   const char* const rows[] = {"added, p99", "chains with a hop over 1 ms",
                               "leaf attempts, leaf fails 1, no budget",
                               "leaf attempts, bound of the mean, budget 0.1", "left of 100 ms"};
--- a/tests/lab_scheduler_test.cpp
+++ b/tests/lab_scheduler_test.cpp
@@ -1,4 +1,4 @@
-// The schedulers of both clocks, and the delays of the network.
+// Tests of the virtual and the real scheduler, and of the network model's delays.
 #include <algorithm>
 #include <boost/asio/io_context.hpp>
 #include <chrono>
@@ -14,7 +14,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST(VirtualScheduler, RunsTasksByTimeAndThoseOfOneTimeInOrder) {
+TEST(VirtualScheduler, RunsTasksByTimeThenInSchedulingOrder) {
   VirtualScheduler scheduler;
   const TimePoint start = scheduler.Now();
   std::string order;
@@ -40,12 +40,12 @@
   scheduler.At(start + milliseconds(10), [&] { order += 'b'; });
   scheduler.At(start - seconds(1), [&] { order += 'a'; });
   EXPECT_EQ(order, "");
-  io.run();  // until nothing is scheduled any more
+  io.run();  // returns when no tasks are left
   EXPECT_EQ(order, "abc");
   EXPECT_GE(scheduler.Now(), start + milliseconds(20));
 }
 
-TEST(NetworkModel, DelaysFollowZonesAndRegionsAndACutRegionIsNotReached) {
+TEST(NetworkModel, DelaysDependOnZoneAndRegionAndACutRegionIsUnreachable) {
   NetworkSpec spec;
   NetworkModel network(spec, 7);
   const Location here{0, "r1-z1"}, near{0, "r1-z2"}, far{1, "r2-z1"};
--- a/tests/lab_small_fleet.h
+++ b/tests/lab_small_fleet.h
@@ -1,4 +1,4 @@
-// A small experiment and its deployment, for tests of the lab.
+// A small experiment and its deployment, for tests of the emulator.
 #pragma once
 
 #include <chrono>
@@ -33,8 +33,8 @@
   return experiment;
 }
 
-// Upstreams and sidecars spread evenly over services, regions and two zones. `rate`: requests a second of
-// each sidecar. The deployment refers to `experiment`.
+// A deployment with upstreams and sidecars spread evenly over services, regions and two zones. `rate` is the
+// requests per second of each sidecar. The deployment refers to `experiment`, which must outlive it.
 inline Deployment MakeSmallDeployment(const Experiment& experiment, std::size_t upstreams,
                                       std::size_t sidecars, double rate) {
   Deployment deployment;
--- a/tests/lab_upstream_model_test.cpp
+++ b/tests/lab_upstream_model_test.cpp
@@ -1,4 +1,4 @@
-// The model of an upstream, on the virtual clock.
+// Tests of the upstream model on the virtual clock.
 #include <chrono>
 #include <cstddef>
 #include <map>
@@ -38,12 +38,13 @@
     });
   }
   void Run(Duration time) { scheduler_.RunUntil(scheduler_.Now() + time); }
-  // Keeps it busy with `held` requests for so long; returns the work done a second, on a core of speed 1.
-  double Saturate(std::size_t held, Duration time) {
+  // Keeps `count` requests running or queued for the given time. Returns the work done per second, in seconds
+  // on a core of speed 1.
+  double Saturate(std::size_t count, Duration time) {
     const double before = Model().served_work();
     const TimePoint until = scheduler_.Now() + time;
     while (scheduler_.Now() < until) {
-      while (Model().held() < held) Serve(milliseconds(10));
+      while (Model().held() < count) Serve(milliseconds(10));
       Run(milliseconds(1));
     }
     return (Model().served_work() - before) / static_cast<double>(time.count());
@@ -75,7 +76,7 @@
   EXPECT_NEAR(static_cast<double>((last_end_ - again).count()), 60e3, 10);
 }
 
-TEST_F(UpstreamTest, BeyondTheSlotsItQueuesAndBeyondTheQueueItTurnsAway) {
+TEST_F(UpstreamTest, QueuesBeyondTheSlotsAndRejectsBeyondTheQueue) {
   for (int i = 0; i < 13; ++i) Serve(milliseconds(10));
   EXPECT_EQ(Model().held(), 10u);
   EXPECT_EQ(Model().Report().queued, 6);
@@ -87,7 +88,7 @@
   EXPECT_EQ(Model().turned_away(), 3u);
 }
 
-TEST_F(UpstreamTest, AHandshakeIsAheadOfWaitingRequests) {
+TEST_F(UpstreamTest, AHandshakeIsQueuedAheadOfRequests) {
   for (int i = 0; i < 10; ++i) Serve(milliseconds(10));
   TimePoint connected;
   Model().Connect([&](ConnectResult result) {
@@ -96,10 +97,10 @@
   });
   Run(seconds(1));
   EXPECT_LT(connected, last_end_ - milliseconds(10));
-  EXPECT_GT(connected, last_end_ - milliseconds(50));  // after those that were in work
+  EXPECT_GT(connected, last_end_ - milliseconds(50));  // after the calls that were already running
 }
 
-TEST_F(UpstreamTest, AFullTableRefusesAndTakesItsShareOfTheCapacity) {
+TEST_F(UpstreamTest, AFullConnectionTableRefusesAndReducesCapacity) {
   spec_.full_table_cost = 0.4;
   int accepted = 0, refused = 0;
   for (int i = 0; i < 12; ++i) {
@@ -114,7 +115,7 @@
   EXPECT_NEAR(Saturate(8, seconds(5)), 2 * 0.8, 0.02);
 }
 
-TEST_F(UpstreamTest, AFreshProcessIsColdAndWarmsEvenly) {
+TEST_F(UpstreamTest, ANewProcessStartsSlowAndSpeedsUpLinearly) {
   spec_.slow_start_initial_share = 0.2;
   spec_.slow_start_duration = seconds(10);
   EXPECT_NEAR(Saturate(8, seconds(2)), 2, 0.03);
@@ -125,20 +126,21 @@
   EXPECT_NEAR(Saturate(8, seconds(5)), 2, 0.03);
 }
 
-TEST_F(UpstreamTest, CrowdingSlowsItUntilItHasRested) {
-  spec_.crowded_at = 2;
-  spec_.crowded_after = seconds(1);
-  spec_.crowded_slowdown = 4;
-  spec_.rested_below = 0.3;
-  spec_.rest_time = seconds(2);
+TEST_F(UpstreamTest, SustainedOverloadSlowsItUntilRecovery) {
+  spec_.overload_at = 2;
+  spec_.overload_after = seconds(1);
+  spec_.overload_slowdown = 4;
+  spec_.recovered_below = 0.3;
+  spec_.recovery_time = seconds(2);
   Saturate(4, seconds(3));
-  EXPECT_FALSE(Model().crowded());  // no more than two a core
+  EXPECT_FALSE(Model().crowded());  // not more than two requests per core
   Saturate(10, milliseconds(900));
   EXPECT_FALSE(Model().crowded());
   Saturate(10, milliseconds(200));
   EXPECT_TRUE(Model().crowded());
   EXPECT_NEAR(Saturate(10, seconds(4)), 0.5, 0.05);
-  EXPECT_NEAR(Saturate(1, seconds(5)), 0.25, 0.05);  // half a call a core is no rest
+  EXPECT_NEAR(Saturate(1, seconds(5)), 0.25,
+              0.05);  // half a request per core is not below the recovery bound
   EXPECT_TRUE(Model().crowded());
   Run(milliseconds(1900));
   EXPECT_TRUE(Model().crowded());
@@ -146,7 +148,7 @@
   EXPECT_FALSE(Model().crowded());
 }
 
-TEST_F(UpstreamTest, ACrashResetsWhatItHoldsAndDropsItsConnections) {
+TEST_F(UpstreamTest, ACrashResetsRequestsAndDropsConnections) {
   Model().Connect([](ConnectResult) {});
   Run(seconds(1));
   Serve(seconds(1));
@@ -165,11 +167,11 @@
   EXPECT_EQ(Model().last_reset_process(), 1u);
 }
 
-TEST_F(UpstreamTest, AHangingMachineTakesRequestsAndAnswersNoneUntilItIsOver) {
+TEST_F(UpstreamTest, AHangingMachineAcceptsRequestsAndAnswersNone) {
   Serve(milliseconds(10));
   Model().SetHanging(true);
   Serve(milliseconds(10));
-  Model().Connect([](ConnectResult) { ADD_FAILURE() << "it hangs"; });
+  Model().Connect([](ConnectResult) { ADD_FAILURE() << "a hanging upstream answered"; });
   Run(seconds(5));
   EXPECT_TRUE(results_.empty());
   EXPECT_EQ(Model().held(), 2u);
@@ -178,7 +180,7 @@
   EXPECT_EQ(results_[ServeResult::kServed], 2);
 }
 
-TEST_F(UpstreamTest, ASlowOneASilentOneAndADrainingOne) {
+TEST_F(UpstreamTest, SlowSilentAndDrainingMachines) {
   Model().SetSlowdown(4);
   EXPECT_NEAR(Saturate(8, seconds(4)), 0.5, 0.05);
   Model().SetSlowdown(1);
@@ -195,14 +197,14 @@
   Serve(milliseconds(10));
   Model().SetSilent(true);
   Serve(milliseconds(10));
-  Model().Probe([](const lb::LoadReport&) { ADD_FAILURE() << "it is silent"; });
+  Model().Probe([](const lb::LoadReport&) { ADD_FAILURE() << "a silent upstream answered"; });
   Model().Crash();
   Run(seconds(1));
   EXPECT_TRUE(results_.empty());
-  EXPECT_EQ(Model().last_reset_process(), 0u);  // nobody heard of it
+  EXPECT_EQ(Model().last_reset_process(), 0u);  // connections to a silent machine are not reset
 }
 
-TEST_F(UpstreamTest, AbandonedWorkGoesOnUnlessTheSpecSaysOtherwise) {
+TEST_F(UpstreamTest, AbandonedWorkContinuesUnlessCancelStopsWork) {
   Model().Abandon(Serve(milliseconds(100)));
   EXPECT_EQ(Model().held(), 1u);
   Run(seconds(1));
@@ -221,17 +223,17 @@
   EXPECT_EQ(results_[ServeResult::kServed], 4);
 }
 
-TEST_F(UpstreamTest, AProbeCostsWorkAndTellsWhatItHolds) {
+TEST_F(UpstreamTest, AProbeTakesWorkAndReturnsTheLoad) {
   for (int i = 0; i < 6; ++i) Serve(milliseconds(100));
   lb::LoadReport report;
   const TimePoint start = scheduler_.Now();
-  TimePoint told;
+  TimePoint answered;
   Model().Probe([&](const lb::LoadReport& load) {
     report = load;
-    told = scheduler_.Now();
+    answered = scheduler_.Now();
   });
   Run(seconds(1));
-  EXPECT_GT(told, start + milliseconds(200));  // behind the four in work
+  EXPECT_GT(answered, start + milliseconds(200));  // after the four running requests
   EXPECT_EQ(report.in_flight, 2);
   EXPECT_EQ(report.queued, 0);
 }
