--- a/lab/real/http_client_connection.cpp
+++ b/lab/real/http_client_connection.cpp
@@ -16,9 +16,9 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-// An idle connection's end that comes so soon after a request was written has crossed it: the sidecar need
-// not have read it.
-constexpr Duration kCrossingTime = std::chrono::milliseconds(200);
+// If a reused connection ends within this time after a request was written, the sidecar's close may have
+// crossed the request on the wire, and the sidecar may not have read the request.
+constexpr Duration kCloseCrossingTime = std::chrono::milliseconds(200);
 
 }  // namespace
 
@@ -30,7 +30,7 @@
   message_ = std::move(message);
   on_end_ = std::move(on_end);
   if (is_connected_) return Write();
-  // Close() may come before its completion.
+  // Close() may be called before the handler runs.
   socket_.async_connect(sidecar_, [self = shared_from_this()](error_code error) {
     if (self->is_closed_) return;
     if (error) return self->Finish(End::kNotConnected);
@@ -55,11 +55,11 @@
 }
 
 void HttpClientConnection::Write() {
-  // Close() may come before its completion.
+  // Close() may be called before the handler runs.
   boost::asio::async_write(socket_, boost::asio::buffer(message_),
                            [self = shared_from_this()](error_code error, std::size_t) {
                              if (self->is_closed_) return;
-                             if (error) return self->HandleBreak(false);
+                             if (error) return self->HandleConnectionError(false);
                              self->written_at_ = sidecar::Now();
                              self->Read();
                            });
@@ -67,19 +67,20 @@
 
 void HttpClientConnection::Read() {
   parser_.emplace();
-  // Close() may come before its completion.
+  // Close() may be called before the handler runs.
   http::async_read(socket_, buffer_, *parser_, [self = shared_from_this()](error_code error, std::size_t) {
     if (self->is_closed_) return;
-    if (error) return self->HandleBreak(true);
+    if (error) return self->HandleConnectionError(true);
     self->Finish(End::kAnswered);
   });
 }
 
-void HttpClientConnection::HandleBreak(bool is_written) {
+void HttpClientConnection::HandleConnectionError(bool is_written) {
   const bool has_begun = parser_ && parser_->got_some();
   if (has_begun) return Finish(End::kBroken);
-  const bool has_crossed = exchanges_ > 0 && (!is_written || sidecar::Now() - written_at_ < kCrossingTime);
-  if (has_crossed) return Finish(End::kUnread);
+  const bool has_crossed_close =
+      exchanges_ > 0 && (!is_written || sidecar::Now() - written_at_ < kCloseCrossingTime);
+  if (has_crossed_close) return Finish(End::kUnread);
   Finish(is_written ? End::kDropped : End::kBroken);
 }
 
@@ -105,7 +106,7 @@
 void HttpClientConnection::WatchWhileIdle() {
   if (is_watching_) return;
   is_watching_ = true;
-  // Close() and the next request may come before its completion.
+  // Close() may be called, or the next request sent, before the handler runs.
   socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code error) {
     self->is_watching_ = false;
     if (error || self->is_closed_ || self->on_end_) return;
--- a/lab/real/http_client_connection.h
+++ b/lab/real/http_client_connection.h
@@ -1,4 +1,4 @@
-// One HTTP/1.1 connection of an application to its sidecar.
+// One HTTP/1.1 connection from an emulated application to its sidecar, carrying one request at a time.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -18,8 +18,8 @@
 
 namespace lb::lab {
 
-// All on the thread of one io_context. Connects with its first request, and is kept after a response that
-// allows it.
+// Connects when the first request is sent, and stays open after a response that allows keep-alive. Not
+// thread-safe: call it only on the thread of its io_context.
 class HttpClientConnection : public std::enable_shared_from_this<HttpClientConnection> {
  public:
   using Response = boost::beast::http::response<boost::beast::http::string_body>;
@@ -28,10 +28,11 @@
   enum class End {
     kAnswered,      // the response is complete
     kNotConnected,  // the connect failed
-    kBroken,        // the connection ended in the middle of the response, or the request was not written
-    kUnread,   // the connection had been used before, and ended as the request was written: the sidecar need
-               // not have read it
-    kDropped,  // the request was written whole, did not cross the end, and no byte of a response came
+    kBroken,        // the connection ended in the middle of the response or before the request was written
+    kUnread,   // a reused connection ended while the request was being written or shortly afterwards, so the
+               // sidecar may not have read the request
+    kDropped,  // the request was written completely, the connection ended without a byte of the response, and
+               // the case is not kUnread
   };
   using OnEnd = std::function<void(End, const Response&)>;
 
@@ -39,21 +40,21 @@
   HttpClientConnection(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& sidecar,
                        std::function<void()> on_idle_end);
 
-  // Sends a request; not while another one is in flight. Calls `on_end` once, unless Close() comes before.
+  // Sends a request. No other request may be in flight. Calls `on_end` once, unless Close() is called first.
   void Send(std::string message, OnEnd on_end);
 
-  // Calls neither `on_end` nor `on_idle_end` from then on.
+  // Closes the connection. Neither `on_end` nor `on_idle_end` is called afterwards.
   void Close();
 
-  // True if another request can be sent.
+  // True if the connection is open with no data to read, so that another request can be sent on it.
   bool IsUsable();
 
  private:
   void Write();
   void Read();
-  void HandleBreak(bool is_written);
+  void HandleConnectionError(bool is_written);
   void Finish(End end);
-  // The sidecar may close it between requests, and waits for this side's close, too.
+  // Closes this side when the sidecar closes an idle connection; the sidecar waits for that close.
   void WatchWhileIdle();
 
   boost::asio::ip::tcp::socket socket_;
@@ -64,10 +65,10 @@
   std::string message_;
   OnEnd on_end_;  // empty while no request is in flight
   std::size_t exchanges_ = 0;
-  TimePoint written_at_;  // the whole request
+  TimePoint written_at_;  // when the whole request had been written
   bool is_connected_ = false;
   bool is_closed_ = false;
-  bool is_watching_ = false;  // a wait of WatchWhileIdle() is out; it may outlast the next request
+  bool is_watching_ = false;  // a wait of WatchWhileIdle() is pending; it may outlast the next request
 };
 
 }  // namespace lb::lab
--- a/lab/real/http_load.cpp
+++ b/lab/real/http_load.cpp
@@ -29,16 +29,16 @@
 
 enum class TryOutcome {
   kServed,
-  kRefused,     // nothing was done
-  kNotSent,     // there was no connection, so nothing was done
-  kFailed,      // it may have run
-  kUnanswered,  // likewise, and no response came in time
+  kRefused,     // 429 or 503: the request was not processed
+  kNotSent,     // no connection, so the request was not processed
+  kFailed,      // the request may have been processed
+  kUnanswered,  // no response before the time-out; the request may have been processed
 };
 
 struct TryResult {
   TryOutcome outcome = TryOutcome::kFailed;
   std::optional<Duration> retry_after;
-  std::optional<Duration> service;  // that the upstream took
+  std::optional<Duration> service;  // time that the upstream took
 };
 
 std::optional<Duration> ParseSeconds(string_view text) {
@@ -114,7 +114,7 @@
 
   LoadWindow Take() { return std::exchange(window_, {}); }
   std::uint64_t begun() const { return begun_; }
-  std::size_t under_way() const { return under_way_ + listening_; }
+  std::size_t in_flight() const { return in_flight_ + listening_; }
   std::size_t connections() const {
     std::size_t count = 0;
     for (const Application& application : applications_) count += application.connections->size();
@@ -131,7 +131,8 @@
     std::unique_ptr<ClientConnections> connections;
   };
 
-  // One try. It may take two connections, if the sidecar closed the first one as the request came.
+  // One try. If the sidecar closes a reused connection while the request is being sent, the try continues on
+  // a second connection.
   struct Try {
     RequestPointer request;
     std::string message;
@@ -140,7 +141,8 @@
   };
   using TryPointer = std::shared_ptr<Try>;
 
-  // Anew for all: a Poisson process has no memory of how long it has waited.
+  // Draws new arrival times for all applications. The time already waited does not matter, as the gaps of a
+  // Poisson process are memoryless.
   void ScheduleArrivals() {
     ++arrivals_;
     for (std::size_t i = 0; i < applications_.size(); ++i) ScheduleArrival(i, scheduler_.Now());
@@ -166,64 +168,66 @@
     const auto request = std::make_shared<LoadRequest>(requests_.Draw(application.random, scheduler_.Now()));
     request->application = index;
     ++begun_;
-    ++under_way_;
+    ++in_flight_;
     BeginTry(request);
   }
 
   void BeginTry(const RequestPointer& request) {
     ++request->tries;
     const TimePoint now = scheduler_.Now();
-    const auto patience = std::chrono::duration_cast<Duration>(
+    const auto try_timeout = std::chrono::duration_cast<Duration>(
         std::chrono::duration<double, Duration::period>(request->spec->deadline) * clients_.try_share);
     const Duration wait =
-        std::clamp<Duration>(patience, kMinTimeout, std::max(kMinTimeout, request->deadline - now));
+        std::clamp<Duration>(try_timeout, kMinTimeout, std::max(kMinTimeout, request->deadline - now));
     const Application& application = applications_[request->application];
     const auto current = std::make_shared<Try>();
     current->request = request;
     current->message = requests_.ToText(*request, wait, application.target.index);
     scheduler_.At(now + wait, [weak = weak_from_this(), weak_try = std::weak_ptr<Try>(current)] {
       const auto self = weak.lock();
-      const auto late = weak_try.lock();
-      if (self && late && !late->ended) self->GiveUp(late);
+      const auto timed_out = weak_try.lock();
+      if (self && timed_out && !timed_out->ended) self->HandleTimeout(timed_out);
     });
     const ConnectionPointer connection = application.connections->Take();
     if (connection) return Send(current, connection);
     EndTry(current, {TryOutcome::kNotSent, {}, {}});
   }
 
-  // The client's time is over. If clients listen on, the connection stays for them alone.
-  void GiveUp(const TryPointer& late) {
+  // Handles the client's time-out. With ClientSpec::listens_on, the connection stays open for that time, but
+  // is not reused.
+  void HandleTimeout(const TryPointer& timed_out) {
     if (clients_.listens_on <= Duration::zero()) {
-      ConnectionsOf(*late).Discard(std::exchange(late->connection, nullptr));
+      ConnectionsOf(*timed_out).Discard(std::exchange(timed_out->connection, nullptr));
     } else {
       ++listening_;
-      scheduler_.After(clients_.listens_on, [weak = weak_from_this(), weak_try = std::weak_ptr<Try>(late)] {
-        const auto self = weak.lock();
-        const auto silent = weak_try.lock();
-        if (!self || !silent || !silent->connection) return;
-        ++self->window_.dropped;
-        --self->listening_;
-        self->ConnectionsOf(*silent).Discard(std::exchange(silent->connection, nullptr));
-      });
+      scheduler_.After(
+          clients_.listens_on, [weak = weak_from_this(), weak_try = std::weak_ptr<Try>(timed_out)] {
+            const auto self = weak.lock();
+            const auto unanswered = weak_try.lock();
+            if (!self || !unanswered || !unanswered->connection) return;
+            ++self->window_.dropped;
+            --self->listening_;
+            self->ConnectionsOf(*unanswered).Discard(std::exchange(unanswered->connection, nullptr));
+          });
     }
-    EndTry(late, {TryOutcome::kUnanswered, {}, {}});
+    EndTry(timed_out, {TryOutcome::kUnanswered, {}, {}});
   }
 
   ClientConnections& ConnectionsOf(const Try& current) {
     return *applications_[current.request->application].connections;
   }
 
-  void Send(const TryPointer& current, const ConnectionPointer& connection, bool again = false) {
+  void Send(const TryPointer& current, const ConnectionPointer& connection, bool is_resend = false) {
     current->connection = connection;
     connection->Send(current->message,
-                     [weak = weak_from_this(), current, again](
+                     [weak = weak_from_this(), current, is_resend](
                          HttpClientConnection::End end, const HttpClientConnection::Response& response) {
                        const auto self = weak.lock();
-                       if (self) self->OnExchangeEnd(current, again, end, response);
+                       if (self) self->OnExchangeEnd(current, is_resend, end, response);
                      });
   }
 
-  void OnExchangeEnd(const TryPointer& current, bool again, HttpClientConnection::End end,
+  void OnExchangeEnd(const TryPointer& current, bool is_resend, HttpClientConnection::End end,
                      const HttpClientConnection::Response& response) {
     ClientConnections& connections = ConnectionsOf(*current);
     const ConnectionPointer connection = std::exchange(current->connection, nullptr);
@@ -233,13 +237,13 @@
       connections.Discard(connection);
     }
     if (end == HttpClientConnection::End::kDropped) ++window_.dropped;
-    if (current->ended) {  // its client had given up, and listened on
+    if (current->ended) {  // the client had timed out, but kept the connection
       --listening_;
       if (end == HttpClientConnection::End::kUnread) ++window_.dropped;
       return;
     }
-    // The sidecar closed the connection before it read this.
-    if (end == HttpClientConnection::End::kUnread && !again) {
+    // The sidecar closed the connection before it read the request, so the request is sent once more.
+    if (end == HttpClientConnection::End::kUnread && !is_resend) {
       if (connections.is_connecting()) return Send(current, connections.Open(), true);
       return EndTry(current, {TryOutcome::kNotSent, {}, {}});
     }
@@ -263,7 +267,7 @@
     if (result.outcome == TryOutcome::kUnanswered) ++window_.unanswered;
   }
 
-  // Nothing where there is no further try.
+  // The pause before the next try, or nullopt if the request is not tried again.
   std::optional<Duration> WaitBeforeRetry(const LoadRequest& request, const TryResult& result) const {
     if (request.tries > clients_.retries) return std::nullopt;
     Duration wait = clients_.backoff * (std::int64_t{1} << std::min(request.tries - 1, kMaxBackoffDoublings));
@@ -294,7 +298,7 @@
 
   void EndRequest() {
     ++window_.traffic.requests;
-    --under_way_;
+    --in_flight_;
   }
 
   Scheduler& scheduler_;
@@ -304,10 +308,10 @@
   LoadWindow window_;
   double factor_ = 1;
   bool running_ = false;
-  std::uint64_t arrivals_ = 0;  // arrivals scheduled before the last change of the rates are void
+  std::uint64_t arrivals_ = 0;  // generation; arrivals scheduled under an earlier one are ignored
   std::uint64_t begun_ = 0;
-  std::size_t under_way_ = 0;
-  std::size_t listening_ = 0;  // tries whose clients have given up, but listen on
+  std::size_t in_flight_ = 0;
+  std::size_t listening_ = 0;  // tries whose clients have timed out, but keep the connection
 };
 
 HttpLoad::HttpLoad(boost::asio::io_context& io, Scheduler& scheduler, const ClientSpec& clients,
@@ -331,7 +335,7 @@
 
 std::uint64_t HttpLoad::begun() const { return implementation_->begun(); }
 
-std::size_t HttpLoad::under_way() const { return implementation_->under_way(); }
+std::size_t HttpLoad::in_flight() const { return implementation_->in_flight(); }
 
 std::size_t HttpLoad::connections() const { return implementation_->connections(); }
 
--- a/lab/real/http_load.h
+++ b/lab/real/http_load.h
@@ -1,5 +1,5 @@
-// The applications next to real sidecars: requests at random times (a Poisson process for each sidecar),
-// however long the answers take, with the clients' retries and deadlines.
+// Open-loop load generator that emulates the applications next to real sidecars: requests arrive as a Poisson
+// process for each sidecar, independently of response times, with the clients' retries and deadlines.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -19,43 +19,49 @@
 struct LoadTarget {
   boost::asio::ip::tcp::endpoint sidecar;
   double requests_per_s = 0;
-  std::size_t index = 0;  // of the sidecar; each request tells it in kSidecarHeader (http_upstream.h)
+  // Index of the sidecar, sent with each request in kSidecarHeader (http_upstream_messages.h).
+  std::size_t index = 0;
 };
 
-// What ended since the last look. A request counts when its last try has ended: `traffic.requests` is the sum
-// of in_time, late, refused and failed. Of `traffic`, only these and client_retries are filled.
+// Counts since the last call of HttpLoad::Take(). A request is counted when its last try has ended:
+// `traffic.requests` is the sum of in_time, late, refused and failed. Of `traffic`, only these counters and
+// client_retries are set.
 struct LoadWindow {
   TrafficCounters traffic;
-  std::uint64_t unanswered = 0;  // of the failed, those without a response when the client gave up
-  // Tries that were written whole, by clients that stayed, and got no byte of an answer: the sidecar closed
-  // the connection (not one that rested, as they came), or ClientSpec::listens_on was over.
+  std::uint64_t unanswered = 0;  // failed requests without a response when the client timed out
+  // Tries that were written completely, whose client kept the connection open, and that got no byte of a
+  // response before the sidecar closed the connection or ClientSpec::listens_on had passed. Tries that
+  // crossed the close of an idle connection are not counted.
   std::uint64_t dropped = 0;
-  Distribution latency_ms;  // of served requests, from the first try's start
-  // Of requests served at their first try: the latency without what the answer's upstream took
-  // (X-Service-Us).
+  Distribution latency_ms;  // of served requests, from the start of the first try
+  // Of requests served at their first try: the latency minus the time at the upstream (X-Service-Us).
   Distribution added_ms;
 };
 
-// All on the thread of one io_context: every call has to be made there, or while it does not run.
+// Generates the load of all targets. Not thread-safe: call it only on the thread of its io_context, or while
+// the io_context is not running.
 class HttpLoad {
  public:
-  // `scheduler`, which has to go by the same io_context, `clients` and `classes` have to outlive it.
+  // `scheduler` has to run on the same io_context. `scheduler`, `clients` and `classes` have to outlive this
+  // object.
   HttpLoad(boost::asio::io_context& io, Scheduler& scheduler, const ClientSpec& clients,
            const std::vector<ClassSpec>& classes, const std::vector<LoadTarget>& targets, std::uint64_t seed);
   ~HttpLoad();
 
   void Start();
-  // No new requests; those under way go on.
+  // Begins no new requests; requests in flight continue.
   void Stop();
-  // Whether the application of the sidecar `index` (LoadTarget::index) opens connections, as it does at the
-  // start. Without them it goes on with those that it has, and begins nothing where none is idle.
+  // Sets whether the application of the sidecar `index` (LoadTarget::index) opens new connections; initially
+  // it does. While it does not, it uses only its open connections, and skips a request if none is idle.
   void SetConnecting(std::size_t index, bool connecting);
-  // Of all rates, from now on; 1 at the start.
+  // Multiplies all request rates from now on; 1 initially.
   void SetFactor(double factor);
+  // Returns the counts since the last call and resets them.
   LoadWindow Take();
-  std::uint64_t begun() const;      // requests, since the start
-  std::size_t under_way() const;    // requests that have not ended, and clients that listen on
-  std::size_t connections() const;  // open
+  std::uint64_t begun() const;  // requests begun since the start
+  // Requests that have not ended, plus timed-out tries that keep their connection.
+  std::size_t in_flight() const;
+  std::size_t connections() const;  // open connections
 
  private:
   class Implementation;
--- a/lab/real/http_upstream.cpp
+++ b/lab/real/http_upstream.cpp
@@ -27,7 +27,8 @@
 
 HttpUpstreams::~HttpUpstreams() = default;
 
-// Connections that have stood idle for the time allowed are closed, a little before it is over.
+// Periodically closes idle connections. The sweep runs at intervals, so it closes a connection up to one
+// interval before UpstreamSpec::idle_close has passed.
 void HttpUpstreams::SweepIdle() {
   const Duration pause =
       std::clamp<Duration>(spec_.idle_close / kSweepsPerIdleClose, kMinSweepInterval, kMaxSweepInterval);
--- a/lab/real/http_upstream.h
+++ b/lab/real/http_upstream.h
@@ -1,8 +1,8 @@
-// Upstreams that real sidecars can call: HTTP servers on loopback, each in front of an UpstreamModel, which
+// Upstreams that real sidecars can call: HTTP servers on loopback, each backed by an UpstreamModel, which
 // decides when and how a request is answered.
 //
-// A request names its work in the header X-Work-Us, in microseconds on a core of speed 1. The response says
-// in X-Service-Us how long after the request's arrival it was sent.
+// The request header X-Work-Us gives the service time in microseconds on a core of speed 1. The response
+// header X-Service-Us gives the microseconds from the request's arrival to the response.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -22,29 +22,29 @@
 
 namespace lb::lab {
 
-// All upstreams of a deployment, on the thread of one io_context: every call has to be made there, or while
-// it does not run.
+// All upstreams of a deployment. Not thread-safe: call it only on the thread of its io_context, or while the
+// io_context is not running.
 class HttpUpstreams {
  public:
-  // Listens for all of them at once. `deployment`, `spec` and `scheduler`, which has to go by the same
-  // io_context, have to outlive it, and it has to outlive the last run of the io_context. Throws
-  // boost::system::system_error where it can't listen.
+  // Starts listening for all upstreams. `scheduler` has to run on the same io_context; `deployment`, `spec`
+  // and `scheduler` have to outlive this object, and this object has to outlive the last run of the
+  // io_context. Throws boost::system::system_error if a socket cannot listen.
   HttpUpstreams(boost::asio::io_context& io, Scheduler& scheduler, const Deployment& deployment,
                 const UpstreamSpec& spec, const HttpUpstreamOptions& options);
   ~HttpUpstreams();
 
   std::size_t size() const;
-  // Stays the same over crashes.
+  // The address of an upstream; a crash does not change it.
   boost::asio::ip::tcp::endpoint endpoint(std::size_t upstream) const;
   std::string address(std::size_t upstream) const;  // `127.0.0.1:port`
-  // For measurements; faults go through the functions below, as they concern the sockets, too.
+  // For measurements only. Faults have to use the functions below, which also act on the sockets.
   const UpstreamModel& model(std::size_t upstream) const;
   const HttpUpstreamCounters& counters(std::size_t upstream) const;
   HttpUpstreamCounters TotalCounters() const;
   std::size_t open_connections() const;
 
   // ---- Faults ----
-  // See HttpUpstreamServer for these.
+  // Inject a fault at one upstream; see HttpUpstreamServer and UpstreamModel.
   void Crash(std::size_t upstream);
   void Start(std::size_t upstream);
   void SetHanging(std::size_t upstream, bool hanging);
--- a/lab/real/http_upstream_connection.cpp
+++ b/lab/real/http_upstream_connection.cpp
@@ -23,7 +23,7 @@
 void HttpUpstreamConnection::Start() {
   error_code ignored;
   socket_.set_option(tcp::no_delay(true), ignored);
-  if (server_.options.answer_at_once) {
+  if (server_.options.bypass_model) {
     admission_ = Admission::kAccepted;
   } else {
     Connect();
@@ -45,11 +45,11 @@
 }
 
 void HttpUpstreamConnection::HandleProcessDeath() {
-  has_place_ = false;
+  has_table_entry_ = false;
   call_.reset();
 }
 
-tcp::socket HttpUpstreamConnection::LeaveBehind() {
+tcp::socket HttpUpstreamConnection::ReleaseSocket() {
   End();
   error_code ignored;
   socket_.cancel(ignored);
@@ -66,8 +66,8 @@
 
 void HttpUpstreamConnection::HandleAdmission(ConnectResult result) {
   if (result == ConnectResult::kSilent) return;
-  has_place_ = result == ConnectResult::kAccepted;
-  admission_ = has_place_ ? Admission::kAccepted : Admission::kRefused;
+  has_table_entry_ = result == ConnectResult::kAccepted;
+  admission_ = has_table_entry_ ? Admission::kAccepted : Admission::kRefused;
   if (state_ == State::kServing) Serve();
 }
 
@@ -75,7 +75,7 @@
   state_ = State::kReading;
   idle_since_ = server_.scheduler.Now();
   parser_.emplace();
-  // Close(), Reset() and LeaveBehind() may come before its completion.
+  // Close(), Reset() or ReleaseSocket() may be called before the handler runs.
   http::async_read(socket_, buffer_, *parser_,
                    [self = shared_from_this()](error_code error, std::size_t bytes) {
                      if (self->is_closed_) return;
@@ -85,7 +85,7 @@
 }
 
 void HttpUpstreamConnection::HandleReadError(error_code error) {
-  if (IsMalformedMessage(error)) ++server_.counters.bad;
+  if (IsMalformedMessage(error)) ++server_.counters.invalid;
   Close();
 }
 
@@ -97,7 +97,7 @@
   request_bytes_ = bytes;
   if (!is_probe_) {
     const bool has_id = request.find("X-Request-ID") != request.end();
-    ++(has_id ? server_.counters.requests : server_.counters.bad);
+    ++(has_id ? server_.counters.requests : server_.counters.invalid);
     if (!has_id) return Write(NotFoundResponse());
     ReportAttempt();
   }
@@ -115,7 +115,7 @@
 void HttpUpstreamConnection::Serve() {
   if (admission_ == Admission::kRefused) return RejectRequest(true);
   if (is_probe_) return AnswerProbe();
-  if (server_.options.answer_at_once) return HandleServed(ServeResult::kServed);
+  if (server_.options.bypass_model) return HandleServed(ServeResult::kServed);
   const Duration work = ParseWork(parser_->get()[kWorkHeader]);
   call_ = server_.model.Serve(work, [weak = weak_from_this()](ServeResult result) {
     const auto self = weak.lock();
@@ -135,7 +135,7 @@
 }
 
 void HttpUpstreamConnection::RejectRequest(bool close) {
-  if (!is_probe_) ++server_.counters.turned_away;
+  if (!is_probe_) ++server_.counters.rejected;
   Write(NotProcessedResponse(close));
 }
 
@@ -151,16 +151,16 @@
     self->server_.counters.probe_bytes += ToText(response).size();
     self->Write(response);
   };
-  if (server_.options.answer_at_once) return answer({});
+  if (server_.options.bypass_model) return answer({});
   server_.model.Probe(answer);
 }
 
 void HttpUpstreamConnection::Write(const UpstreamResponse& response) {
-  if (server_.is_silent()) return;  // the connection ends at the machine's return
+  if (server_.is_silent()) return;  // the connection is ended when the machine is reachable again
   state_ = State::kWriting;
   outgoing_ = ToText(response);
   const bool close = response.close || !parser_->get().keep_alive();
-  // Close(), Reset() and LeaveBehind() may come before its completion.
+  // Close(), Reset() or ReleaseSocket() may be called before the handler runs.
   boost::asio::async_write(socket_, boost::asio::buffer(outgoing_),
                            [self = shared_from_this(), close](error_code error, std::size_t) {
                              if (self->is_closed_) return;
@@ -185,7 +185,7 @@
   is_closed_ = true;
   if (state_ == State::kServing && !is_probe_) ++server_.counters.abandoned;
   if (const auto call = std::exchange(call_, std::nullopt)) server_.model.Abandon(*call);
-  if (std::exchange(has_place_, false)) server_.model.Disconnect();
+  if (std::exchange(has_table_entry_, false)) server_.model.Disconnect();
   server_.Remove(shared_from_this());
 }
 
--- a/lab/real/http_upstream_connection.h
+++ b/lab/real/http_upstream_connection.h
@@ -1,5 +1,5 @@
-// One connection to an emulated upstream. It reads a request, has the model serve it, writes the response,
-// and reads the next.
+// One connection to an emulated upstream: reads a request, lets the model serve it, writes the response, and
+// then reads the next request.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -19,21 +19,22 @@
 namespace lb::lab {
 
 // States: kReading -> kServing (a request is complete) -> kWriting (its response) -> kReading. Close(),
-// Reset() and LeaveBehind() end it in any state. The model's admission of the connection is independent of
-// the state: a request may be complete before it.
+// Reset() and ReleaseSocket() end the connection in any state. The model admits the connection independently
+// of the state: a request may be complete before the connection is admitted.
 class HttpUpstreamConnection : public std::enable_shared_from_this<HttpUpstreamConnection> {
  public:
-  // `server` has to outlive it.
+  // `server` has to outlive this object.
   HttpUpstreamConnection(HttpUpstreamServer& server, boost::asio::ip::tcp::socket socket);
 
   void Start();
-  // An orderly close by the upstream, or what follows the caller's.
+  // Closes the connection in an orderly way, on the upstream's initiative or after the caller's close.
   void Close();
+  // Closes the connection with a TCP reset.
   void Reset();
-  // The process behind it dies: the connection has no place in the model's table any more.
+  // Called when the emulated process dies, which clears the model's connection table and its calls.
   void HandleProcessDeath();
-  // Ends the connection for this side, but the caller does not notice it. Returns its socket.
-  boost::asio::ip::tcp::socket LeaveBehind();
+  // Ends the connection on this side without notice to the caller: returns the socket, still open.
+  boost::asio::ip::tcp::socket ReleaseSocket();
 
   bool IsIdleSince(TimePoint time) const { return state_ == State::kReading && idle_since_ <= time; }
 
@@ -53,7 +54,8 @@
   void RejectRequest(bool close);
   void AnswerProbe();
   void Write(const UpstreamResponse& response);
-  // Notices when the caller gives up. The wait may outlast the request and then tells of the next one.
+  // Closes the connection if the caller closes it while a request is being served. The wait may outlast that
+  // request and then applies to the next one.
   void WatchForClose();
   void End();
 
@@ -64,10 +66,10 @@
   std::string outgoing_;
   State state_ = State::kReading;
   Admission admission_ = Admission::kPending;
-  bool has_place_ = false;  // in the model's connection table
+  bool has_table_entry_ = false;  // whether it occupies an entry of the model's connection table
   bool is_closed_ = false;
-  bool is_watching_ = false;  // a wait of WatchForClose() is out, in whatever state
-  bool is_probe_ = false;     // of the request that is served
+  bool is_watching_ = false;  // a wait of WatchForClose() is pending, in any state
+  bool is_probe_ = false;     // whether the current request is a probe
   std::size_t request_bytes_ = 0;
   std::optional<UpstreamModel::CallId> call_;
   TimePoint arrived_;
--- a/lab/real/http_upstream_server.cpp
+++ b/lab/real/http_upstream_server.cpp
@@ -16,8 +16,8 @@
 using boost::system::error_code;
 
 constexpr int kBacklog = 4096;
-constexpr auto kAcceptPause =
-    std::chrono::milliseconds(100);  // after a failure, such as too many descriptors
+// Pause after a failed accept, for example because of too many open descriptors.
+constexpr auto kAcceptPause = std::chrono::milliseconds(100);
 
 }  // namespace
 
@@ -25,9 +25,9 @@
   connections += other.connections;
   requests += other.requests;
   served += other.served;
-  turned_away += other.turned_away;
+  rejected += other.rejected;
   abandoned += other.abandoned;
-  bad += other.bad;
+  invalid += other.invalid;
   probes += other.probes;
   probe_bytes += other.probe_bytes;
   return *this;
@@ -63,21 +63,21 @@
 
 void HttpUpstreamServer::Accept() {
   acceptor_.async_accept(io_, [this](error_code error, tcp::socket socket) {
-    if (error == boost::asio::error::operation_aborted) return;  // this may have gone
+    if (error == boost::asio::error::operation_aborted) return;  // `this` may have been destroyed
     OnAccept(error, std::move(socket));
   });
 }
 
 void HttpUpstreamServer::OnAccept(error_code error, tcp::socket socket) {
-  // Accepted already when the machine fell silent, or the process died.
+  // The kernel had completed the connection before the machine became silent or the process died.
   if (is_silent_ || !is_running_) {
-    if (!error) (is_silent_ ? left_behind_.push_back(std::move(socket)) : ResetConnection(socket));
+    if (!error) (is_silent_ ? released_sockets_.push_back(std::move(socket)) : ResetConnection(socket));
     return;
   }
   if (error) return RetryAccept();
-  error_code gone;
-  const auto caller = socket.remote_endpoint(gone);
-  if (!gone && !IsFiller(caller)) {
+  error_code endpoint_error;
+  const auto caller = socket.remote_endpoint(endpoint_error);
+  if (!endpoint_error && !IsFiller(caller)) {
     ++counters.connections;
     const auto connection = std::make_shared<HttpUpstreamConnection>(*this, std::move(socket));
     connections_.insert(connection);
@@ -106,7 +106,7 @@
   for (const auto& connection : connections) {
     connection->HandleProcessDeath();
     if (is_silent_) {
-      left_behind_.push_back(connection->LeaveBehind());
+      released_sockets_.push_back(connection->ReleaseSocket());
     } else {
       connection->Reset();
     }
@@ -135,7 +135,7 @@
     if (acceptor_.is_open()) FillBacklog();
     return;
   }
-  ResetLeftBehind();
+  ResetReleasedSockets();
   if (!is_running_) {
     acceptor_.close(ignored);
     fillers_.clear();
@@ -155,14 +155,14 @@
   acceptor_.listen(0, ignored);
   tcp::socket& filler = fillers_.emplace_back(io_, tcp::v4());
   filler.native_non_blocking(true, ignored);
-  // Not through Asio, which would wait for it.
-  [[maybe_unused]] const int begun =
+  // Calls connect() directly: async_connect() would wait for the connection to be established.
+  [[maybe_unused]] const int connect_result =
       ::connect(filler.native_handle(), endpoint().data(), static_cast<socklen_t>(endpoint().size()));
 }
 
-void HttpUpstreamServer::ResetLeftBehind() {
-  for (tcp::socket& socket : left_behind_) ResetConnection(socket);
-  left_behind_.clear();
+void HttpUpstreamServer::ResetReleasedSockets() {
+  for (tcp::socket& socket : released_sockets_) ResetConnection(socket);
+  released_sockets_.clear();
 }
 
 void HttpUpstreamServer::CloseIdleSince(TimePoint time) {
--- a/lab/real/http_upstream_server.h
+++ b/lab/real/http_upstream_server.h
@@ -21,67 +21,69 @@
 
 namespace lb::lab {
 
-// A request that arrived whole, with an id.
+// A complete request with a request id, as it arrived at an upstream.
 struct ArrivedAttempt {
   std::size_t upstream = 0;
-  std::optional<std::size_t> sidecar;  // as kSidecarHeader says
-  Duration work{};                     // on a core of speed 1
+  std::optional<std::size_t> sidecar;  // from kSidecarHeader
+  Duration work{};                     // service time on a core of speed 1
   TimePoint at;
 };
 
 struct HttpUpstreamOptions {
-  bool probes = false;          // else they are answered with 404
-  bool answer_at_once = false;  // the model is not asked: for measuring what else takes time
-  // Empty: not called.
+  bool probes = false;        // whether probes are answered; otherwise they get 404
+  bool bypass_model = false;  // bypass the model, to measure the cost of everything else
+  // Optional callbacks. `on_start` reports the start of a new, cold process.
   std::function<void(const ArrivedAttempt&)> on_attempt = {};
-  std::function<void(std::size_t upstream, TimePoint at)> on_start = {};  // of a new process, cold
+  std::function<void(std::size_t upstream, TimePoint at)> on_start = {};
 };
 
-// Since the start of the run.
+// Counts since the start of the run.
 struct HttpUpstreamCounters {
-  std::uint64_t connections = 0;  // that were opened
-  std::uint64_t requests = 0;     // that arrived whole, with an id
+  std::uint64_t connections = 0;  // accepted connections
+  std::uint64_t requests = 0;     // complete requests with a request id
   std::uint64_t served = 0;       // answered with 200
-  std::uint64_t turned_away = 0;
-  std::uint64_t abandoned = 0;  // whose connection was closed by the caller, or reset, before the answer
-  std::uint64_t bad = 0;        // without an id, or no request at all
+  std::uint64_t rejected = 0;     // answered as not processed: draining, full or not admitted
+  std::uint64_t abandoned = 0;    // requests whose connection ended before the response
+  std::uint64_t invalid = 0;      // requests without an id, and malformed messages
   std::uint64_t probes = 0;
-  std::uint64_t probe_bytes = 0;  // of probes and their answers
+  std::uint64_t probe_bytes = 0;  // of probes and their responses
   HttpUpstreamCounters& operator+=(const HttpUpstreamCounters& other);
 };
 
 class HttpUpstreamConnection;
 
-// On the thread of one io_context: every call has to be made there, or while it does not run.
+// The listening socket and the connections of one emulated upstream. Not thread-safe: call it only on the
+// thread of its io_context, or while the io_context is not running.
 class HttpUpstreamServer {
  public:
-  // Listens at once. `scheduler`, which has to go by the same io_context, `instance` and `spec` have to
-  // outlive it. Throws boost::system::system_error if it can't listen.
+  // Starts listening. `run_scheduler` has to run on the same io_context; `run_scheduler`, `instance` and
+  // `spec` have to outlive this object. Throws boost::system::system_error if the socket cannot listen.
   HttpUpstreamServer(boost::asio::io_context& io, Scheduler& run_scheduler, const UpstreamInstance& instance,
                      const UpstreamSpec& spec, HttpUpstreamOptions run_options);
   ~HttpUpstreamServer();
   HttpUpstreamServer(const HttpUpstreamServer&) = delete;
   HttpUpstreamServer& operator=(const HttpUpstreamServer&) = delete;
 
-  // The process dies: its connections are reset and new ones are refused. Those of a silent machine are reset
-  // once it is back.
+  // Emulates the death of the process: open connections are reset and new ones are refused. While the machine
+  // is silent, the resets are delayed until it is reachable again.
   void Crash();
-  // A new process, cold, at the same address; the one before must have crashed.
+  // Starts a new, cold process at the same address; the previous one must have crashed.
   void Start();
-  // Nothing comes back: open connections are silent, new ones don't come up (but for one or two that the
-  // system completes).
+  // Emulates an unreachable machine: open connections get no data, and new ones are not established, except
+  // for one or two that the kernel completes.
   void SetSilent(bool silent);
+  // Closes connections that have been idle since `time` or longer.
   void CloseIdleSince(TimePoint time);
 
   bool is_silent() const { return is_silent_; }
-  // Stays the same over crashes.
+  // The listening address; a crash does not change it.
   const boost::asio::ip::tcp::endpoint& endpoint() const { return port_.endpoint(); }
   std::size_t open_connections() const { return connections_.size(); }
 
-  // Called by a connection that has ended.
+  // Called by a connection when it ends.
   void Remove(const std::shared_ptr<HttpUpstreamConnection>& connection) { connections_.erase(connection); }
 
-  // Shared with the connections, which count and ask the model themselves.
+  // Public for the connections, which update the counters and call the model directly.
   Scheduler& scheduler;
   UpstreamModel model;
   const HttpUpstreamOptions options;
@@ -93,18 +95,18 @@
   void OnAccept(boost::system::error_code error, boost::asio::ip::tcp::socket socket);
   void RetryAccept();
   bool IsFiller(const boost::asio::ip::tcp::endpoint& caller) const;
-  // Keeps the system from completing connections: its backlog is full.
+  // Fills the listen backlog, so that the kernel completes no further connections.
   void FillBacklog();
-  void ResetLeftBehind();
+  void ResetReleasedSockets();
 
   boost::asio::io_context& io_;
   const PortReservation port_;
   boost::asio::ip::tcp::acceptor acceptor_;
   boost::asio::steady_timer accept_timer_;
   std::set<std::shared_ptr<HttpUpstreamConnection>> connections_;
-  std::vector<boost::asio::ip::tcp::socket> fillers_;  // that fill a silent machine's backlog
-  std::vector<boost::asio::ip::tcp::socket>
-      left_behind_;  // of a process that died while its machine was silent
+  std::vector<boost::asio::ip::tcp::socket> fillers_;  // fill the backlog of a silent machine
+  // Sockets of a process that died while its machine was silent, to be reset once it is reachable again.
+  std::vector<boost::asio::ip::tcp::socket> released_sockets_;
   bool is_running_ = true;
   bool is_silent_ = false;
 };
--- a/lab/real/load_request.cpp
+++ b/lab/real/load_request.cpp
@@ -11,7 +11,7 @@
 namespace lb::lab {
 namespace {
 
-constexpr char kBody[] = "an order of two items";  // of every request that has one
+constexpr char kBody[] = "an order of two items";  // body of every request that is not idempotent
 constexpr double kMinVariance = 1e-12;             // keeps the logarithm finite for a class without variation
 
 std::string ToHexadecimal(std::uint64_t number) {
@@ -31,7 +31,8 @@
   text += "\r\n";
 }
 
-// A lognormal distribution by its mean and its standard deviation over its mean.
+// The lognormal distribution of service times in microseconds, from the mean and the coefficient of
+// variation.
 std::lognormal_distribution<double> WorkDistribution(const ClassSpec& spec) {
   const double variance = std::log1p(spec.work_variation * spec.work_variation);
   const double mean = static_cast<double>(std::max<std::int64_t>(spec.mean_work.count(), 1));
--- a/lab/real/load_request.h
+++ b/lab/real/load_request.h
@@ -1,4 +1,4 @@
-// The requests of the HTTP load: how they are drawn, and their text on the wire.
+// Requests of the HTTP load generator: random drawing from a class mix, and serialization to HTTP/1.1.
 #pragma once
 
 #include <cstddef>
@@ -11,30 +11,30 @@
 
 namespace lb::lab {
 
-// What a client wants, over all of its tries.
+// One logical request of a client, over all of its tries.
 struct LoadRequest {
   std::size_t application = 0;      // index of the application that sends it
   const ClassSpec* spec = nullptr;  // its class
   std::string target;               // its path
   std::string idempotency_key;      // empty if the class has none
-  std::int64_t work_us = 0;         // on a core of speed 1
+  std::int64_t work_us = 0;         // service time in microseconds on a core of speed 1
   bool heeds_retry_after = true;
   TimePoint started;
   TimePoint deadline;
   int tries = 0;
 };
 
-// Draws requests of a class mix. Every request comes from the random numbers that are handed in; the ids of
-// tries come from the generator's own.
+// Draws requests of a class mix from the random generator passed in. The ids of tries come from a generator
+// of its own.
 class LoadRequestGenerator {
  public:
-  // `clients` and `classes` have to outlive it.
+  // `clients` and `classes` have to outlive this object.
   LoadRequestGenerator(const ClientSpec& clients, const std::vector<ClassSpec>& classes, std::uint64_t seed);
 
   LoadRequest Draw(std::mt19937_64& random, TimePoint now);
 
-  // The text of one try with an id of its own. `timeout`: how long the client waits for it. `sidecar`: the
-  // index that goes into kSidecarHeader (http_upstream.h).
+  // The HTTP text of one try, with a new request id. `timeout` is how long the client waits for a response;
+  // `sidecar` is the index written into kSidecarHeader (http_upstream_messages.h).
   std::string ToText(const LoadRequest& request, Duration timeout, std::size_t sidecar);
 
  private:
--- a/lab/real/process.cpp
+++ b/lab/real/process.cpp
@@ -25,8 +25,8 @@
 namespace lb::lab {
 namespace {
 
-constexpr auto kPollEvery = std::chrono::milliseconds(2);
-constexpr int kFailurePipe = 3;  // of the child: the first descriptor behind the standard ones
+constexpr auto kPollInterval = std::chrono::milliseconds(2);
+constexpr int kFailurePipe = 3;  // descriptor number in the child: the first after the standard ones
 constexpr double kKilobytesPerMegabyte = 1024;
 
 std::system_error SystemError(const std::string& what) {
@@ -48,7 +48,7 @@
   int number_;
 };
 
-// The lab's environment, with `additions` in place of those of the same name.
+// The environment of the lab, in which `additions` replace variables of the same name.
 std::vector<std::string> MergedEnvironment(const std::map<std::string, std::string>& additions) {
   std::vector<std::string> merged;
   for (char** entry = environ; *entry != nullptr; ++entry) {
@@ -72,44 +72,44 @@
   return pointers;
 }
 
-// What the child needs, made ready before the fork: behind it nothing may be allocated, as another thread may
-// have held the allocator's lock.
-struct ChildPlan {
+// Everything that the child needs, prepared before fork(): the child must not allocate memory, as another
+// thread may have held the allocator's lock at the fork.
+struct ChildParameters {
   const char* program;
   char* const* arguments;
   char* const* environment;
-  const char* folder;  // null: the lab's
+  const char* folder;  // working directory; null: the lab's
   int output;
   int failure_pipe;
   pid_t parent;
 };
 
-// The child's part. Returns only where it failed.
-void BecomeProgram(const ChildPlan& plan) {
+// Runs in the child and replaces it with the program. Returns only on failure, with errno set.
+void ExecuteProgram(const ChildParameters& parameters) {
   ::setpgid(0, 0);
   ::prctl(PR_SET_PDEATHSIG, SIGKILL);
-  if (::getppid() != plan.parent) ::_exit(1);  // the lab ended before it could be watched
-  if (plan.folder != nullptr && ::chdir(plan.folder) != 0) return;
+  if (::getppid() != parameters.parent) ::_exit(1);  // the lab ended before PR_SET_PDEATHSIG was set
+  if (parameters.folder != nullptr && ::chdir(parameters.folder) != 0) return;
   const int input = ::open("/dev/null", O_RDONLY);
   if (input < 0 || ::dup2(input, STDIN_FILENO) < 0) return;
-  if (::dup2(plan.output, STDOUT_FILENO) < 0 || ::dup2(plan.output, STDERR_FILENO) < 0) return;
-  // Sockets of the lab would live on in the child, and what they listen for would be taken.
+  if (::dup2(parameters.output, STDOUT_FILENO) < 0 || ::dup2(parameters.output, STDERR_FILENO) < 0) return;
+  // Sockets inherited from the lab would stay open in the child and keep their addresses in use.
   ::close_range(kFailurePipe + 1, ~0U, 0);
   ::signal(SIGPIPE, SIG_DFL);
   sigset_t none;
   ::sigemptyset(&none);
   ::sigprocmask(SIG_SETMASK, &none, nullptr);
-  ::execve(plan.program, plan.arguments, plan.environment);
+  ::execve(parameters.program, parameters.arguments, parameters.environment);
 }
 
-// Tells the parent why, in the one way that it listens to.
-[[noreturn]] void RunChild(ChildPlan plan) {
-  // The pipe moves to a known place, out of the way of the standard descriptors.
-  const int output = ::fcntl(plan.output, F_DUPFD_CLOEXEC, kFailurePipe + 1);
-  const int pipe = ::fcntl(plan.failure_pipe, F_DUPFD_CLOEXEC, kFailurePipe + 1);
+// Runs the program in the child; on failure, writes errno to the failure pipe and exits with 127.
+[[noreturn]] void RunChild(ChildParameters parameters) {
+  // Moves the pipe to a fixed descriptor that does not collide with the standard ones.
+  const int output = ::fcntl(parameters.output, F_DUPFD_CLOEXEC, kFailurePipe + 1);
+  const int pipe = ::fcntl(parameters.failure_pipe, F_DUPFD_CLOEXEC, kFailurePipe + 1);
   if (output >= 0 && pipe >= 0 && ::dup3(pipe, kFailurePipe, O_CLOEXEC) == kFailurePipe) {
-    plan.output = output;
-    BecomeProgram(plan);
+    parameters.output = output;
+    ExecuteProgram(parameters);
     const int error = errno;
     [[maybe_unused]] const ssize_t written = ::write(kFailurePipe, &error, sizeof error);
   }
@@ -123,7 +123,7 @@
 
 std::string ProcFile(pid_t pid, const char* name) { return "/proc/" + std::to_string(pid) + "/" + name; }
 
-// Of all threads, also of those that have ended.
+// Processor time of all threads, including those that ended; nullopt if the process does not exist.
 std::optional<double> CpuSeconds(pid_t pid) {
   constexpr double kNanosecondsPerSecond = 1e9;
   clockid_t clock{};
@@ -132,7 +132,8 @@
   return static_cast<double>(spent.tv_sec) + static_cast<double>(spent.tv_nsec) / kNanosecondsPerSecond;
 }
 
-// The line `wanted KILOBYTES kB` of a file of proc(5).
+// The value, in MB, of the line `wanted KILOBYTES kB` in a per-process file of proc(5); nullopt without such
+// a line.
 std::optional<double> MegabytesOf(pid_t pid, const char* file, std::string_view wanted) {
   std::ifstream stream(ProcFile(pid, file));
   std::string line;
@@ -167,7 +168,7 @@
 }  // namespace
 
 Process::Process(const ProcessOptions& options) : log_file_(options.log_file) {
-  // Taken against the lab's folder, not the one it works in.
+  // Relative paths refer to the working directory of the lab, not to that of the child.
   std::string program = std::filesystem::absolute(options.program).string();
   std::vector<std::string> argument_texts = {program};
   argument_texts.insert(argument_texts.end(), options.arguments.begin(), options.arguments.end());
@@ -183,15 +184,16 @@
   const Descriptor read_end(ends[0]);
   Descriptor write_end(ends[1]);
 
-  const ChildPlan plan = {program.c_str(),    arguments.data(),
-                          environment.data(), options.folder.empty() ? nullptr : options.folder.c_str(),
-                          output.number(),    write_end.number(),
-                          ::getpid()};
+  const ChildParameters parameters = {
+      program.c_str(),    arguments.data(),
+      environment.data(), options.folder.empty() ? nullptr : options.folder.c_str(),
+      output.number(),    write_end.number(),
+      ::getpid()};
   pid_ = ::fork();
   if (pid_ < 0) throw SystemError("fork");
-  if (pid_ == 0) RunChild(plan);
+  if (pid_ == 0) RunChild(parameters);
   write_end.Close();
-  // Ends without a byte once the program runs, as the pipe's other end is closed by then.
+  // The read returns without data once the program runs, as execve() closes the other end of the pipe.
   int error = 0;
   ssize_t size = 0;
   do {
@@ -224,7 +226,7 @@
 std::optional<ExitStatus> Process::Poll() {
   if (status_ || pid_ <= 0) return status_;
   siginfo_t info{};
-  // It is left to be waited for, so that the number of its group can't be given to another yet.
+  // WNOWAIT keeps the process as a zombie, so that the kernel cannot reuse its process group id yet.
   if (::waitid(P_PID, static_cast<id_t>(pid_), &info, WEXITED | WNOHANG | WNOWAIT) != 0) return std::nullopt;
   if (info.si_pid == 0) return std::nullopt;
   EndGroup();
@@ -250,19 +252,19 @@
 
 ExitStatus Process::Wait() {
   if (pid_ <= 0) throw std::logic_error("the process was moved away");
-  while (!Poll()) std::this_thread::sleep_for(kPollEvery);
+  while (!Poll()) std::this_thread::sleep_for(kPollInterval);
   return *status_;
 }
 
-std::optional<ExitStatus> Process::WaitFor(Duration patience) {
-  const auto end = std::chrono::steady_clock::now() + patience;
-  while (!Poll() && std::chrono::steady_clock::now() < end) std::this_thread::sleep_for(kPollEvery);
+std::optional<ExitStatus> Process::WaitFor(Duration timeout) {
+  const auto end = std::chrono::steady_clock::now() + timeout;
+  while (!Poll() && std::chrono::steady_clock::now() < end) std::this_thread::sleep_for(kPollInterval);
   return status_;
 }
 
-ExitStatus Process::Stop(Duration patience) {
+ExitStatus Process::Stop(Duration timeout) {
   Signal(SIGTERM);
-  if (WaitFor(patience)) return *status_;
+  if (WaitFor(timeout)) return *status_;
   return Kill();
 }
 
--- a/lab/real/process.h
+++ b/lab/real/process.h
@@ -1,4 +1,5 @@
-// A program that the lab starts, watches and ends. Nothing here ever touches a process that it did not start.
+// Starts, monitors and ends a child process. Signals are only ever sent to processes started here and to
+// their process groups.
 #pragma once
 
 #include <sys/types.h>
@@ -16,58 +17,58 @@
 using lb::Duration;
 
 struct ProcessOptions {
-  std::string program;  // a path
+  std::string program;  // path of the executable
   std::vector<std::string> arguments;
-  std::map<std::string, std::string> environment;  // on top of the lab's own
-  std::string folder;                              // that it works in; empty: the lab's
-  std::string log_file;  // takes its standard output and error, from the start on; empty: they are dropped
+  std::map<std::string, std::string> environment;  // added to the environment of the lab
+  std::string folder;                              // working directory; empty: the lab's
+  std::string log_file;  // receives standard output and standard error; empty: both are discarded
 };
 
 struct ExitStatus {
-  int code = 0;    // of a process that ended by itself
-  int signal = 0;  // that killed it; 0: it ended by itself
+  int code = 0;    // exit code of a process that was not killed by a signal
+  int signal = 0;  // signal that killed the process; 0 if none did
 };
 
-// What a process has used and holds. Its children are not included.
+// Resource usage of a process, without its children.
 struct ProcessUsage {
-  double cpu_s = 0;  // processor time since its start, user and system
-  // MB of memory: the proportional set size, where pages that several processes map are shared out among
-  // them; the resident set size where the system doesn't tell the former.
+  double cpu_s = 0;  // processor time since the start, user and system
+  // Proportional set size in MB, in which a page mapped by several processes is divided among them. If the
+  // kernel does not report it, the resident set size.
   double memory_mb = 0;
-  double peak_memory_mb = 0;    // the most that was ever resident, pages of others included
-  std::size_t descriptors = 0;  // open
+  double peak_memory_mb = 0;    // peak resident set size in MB, including shared pages
+  std::size_t descriptors = 0;  // open file descriptors
 };
 
-// One started process, the leader of a group of its own. It gets none of the lab's descriptors. It is killed
-// when the thread that started it ends, so that thread has to outlive it. For one thread at a time.
+// A child process that leads its own process group and inherits no descriptors of the lab. The kernel kills
+// it when the thread that started it ends, so that thread has to outlive it. Not thread-safe.
 class Process {
  public:
-  // Throws std::system_error where it can't be started.
+  // Starts the process. Throws std::system_error if that fails.
   explicit Process(const ProcessOptions& options);
-  // Kills what still runs of its group, and waits for it.
+  // Kills the process group if the process still runs, and waits for the process.
   ~Process();
   Process(Process&& other) noexcept;
   Process& operator=(Process&& other) noexcept;
 
-  pid_t pid() const { return pid_; }  // also after its end
+  pid_t pid() const { return pid_; }  // remains valid after the process ended
   bool Running() { return !Poll(); }
-  // How it ended; nothing while it runs.
+  // The exit status; nullopt while the process runs.
   std::optional<ExitStatus> Poll();
-  // To the process alone, not its group. Nothing happens once it has ended.
+  // Sends a signal to the process, not to its group. Has no effect after the process ended.
   void Signal(int number);
   ExitStatus Wait();
-  // Waits so long at most; nothing where it still runs then.
-  std::optional<ExitStatus> WaitFor(Duration patience);
-  // SIGTERM, then SIGKILL where it still runs after `patience`.
-  ExitStatus Stop(Duration patience);
+  // Waits for the exit status; nullopt if the process still runs after `timeout`.
+  std::optional<ExitStatus> WaitFor(Duration timeout);
+  // Sends SIGTERM, and kills the process group if the process still runs after `timeout`.
+  ExitStatus Stop(Duration timeout);
   ExitStatus Kill();
-  // Nothing once it has ended.
+  // nullopt after the process ended.
   std::optional<ProcessUsage> Usage();
-  // What it has written so far; empty where it has no log file.
+  // The content of the log file; empty without a log file.
   std::string Log() const;
 
  private:
-  void EndGroup();  // throws std::logic_error where the process was moved away
+  void EndGroup();  // throws std::logic_error if this object was moved from
   void KillGroupAndReap() noexcept;
 
   pid_t pid_ = -1;  // -1: moved from
--- a/lab/real/real_engine.cpp
+++ b/lab/real/real_engine.cpp
@@ -1,9 +1,9 @@
-// RunReal(): the phases of a run on the machine's clock. What it measures: real_measurements.h; what it may
-// take of the machine: machine_limits.h.
+// RunReal(): the phases of a run on the real clock. real_measurements.h declares the measurements,
+// machine_limits.h the limits on the machine's resources.
 //
-// Threads: discovery; the hollow sidecars with their models, clients and the faults; a few for their control
-// clients; the HTTP upstreams and the HTTP load of real sidecars. The caller's thread starts processes, takes
-// samples and watches the limits.
+// Threads: one for discovery; one for the hollow sidecars with their models, clients and the faults; several
+// for the control clients of hollow sidecars; one each for the HTTP upstreams and the HTTP load of real
+// sidecars. The caller's thread starts processes, takes samples and checks the limits.
 #include <algorithm>
 #include <boost/asio/executor_work_guard.hpp>
 #include <boost/asio/io_context.hpp>
@@ -37,21 +37,21 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// A run that takes so many times the planned time is given up.
+// A run is aborted when it takes longer than this multiple of the planned time.
 constexpr int kTimeLimitFactor = 3;
 
 // ---- Phases ----
-constexpr Duration kStartTime = seconds(10);  // planned, until all hold lists
-constexpr Duration kRestTime = 2 * sidecar::kAgentWatch;
-constexpr Duration kSettleTime = milliseconds(500);
-constexpr int kTrialChanges = 6;  // one by one, before the load
+constexpr Duration kStartTime = seconds(10);  // planned, until all hollow sidecars have an endpoint list
+constexpr Duration kIdleTime = 2 * sidecar::kAgentWatch;
+constexpr Duration kStabilizationTime = milliseconds(500);
+constexpr int kTrialChanges = 6;  // list changes made one at a time before the load starts
 constexpr Duration kResultsMargin = seconds(1);
-// Beyond the end, for notices in flight; what is not received by then counts as missing.
+// Time to wait for membership notices in flight; notices not received by then count as missing.
 constexpr Duration kNoticesMargin = seconds(15);
-constexpr Duration kThreadTimeout = seconds(10);  // of a busy thread
+constexpr Duration kThreadTimeout = seconds(10);  // for a call on another, possibly busy thread
 constexpr Duration kCheckInterval = milliseconds(200);
 
-constexpr const char* kUnusedEndpoint = "127.0.0.1:9";  // of upstreams that no real sidecar calls
+constexpr const char* kUnusedEndpoint = "127.0.0.1:9";  // for upstreams that no real sidecar calls
 
 std::unique_ptr<RealFleet> MakeRealFleet(const Experiment& experiment, const Deployment& deployment,
                                          const std::string& program, FleetRules& rules) {
@@ -72,7 +72,7 @@
   return longest;
 }
 
-std::vector<MembershipEntry> FirstEntries(const Deployment& deployment, const RealFleet* real) {
+std::vector<MembershipEntry> InitialEntries(const Deployment& deployment, const RealFleet* real) {
   std::vector<MembershipEntry> entries;
   for (const UpstreamInstance& upstream : deployment.upstreams) {
     MembershipEntry entry;
@@ -97,9 +97,9 @@
   options.notice_delay_s = experiment.discovery.notice_delay_s;
   options.seed = DeriveSeed(experiment.seed, "notices");
   for (const SidecarInstance& sidecar : deployment.sidecars) {
-    // Those that are not played get the list of a service without upstreams: an empty one.
-    const bool played = sidecar.real || !experiment.hollow_absent;
-    options.services.push_back(played ? ListedService(experiment, sidecar) : experiment.services);
+    // Sidecars that are not emulated are assigned a service without upstreams, and so get an empty list.
+    const bool emulated = sidecar.real || !experiment.hollow_absent;
+    options.services.push_back(emulated ? ListedService(experiment, sidecar) : experiment.services);
   }
   return options;
 }
@@ -114,42 +114,44 @@
  private:
   std::unique_ptr<SidecarOperator> MakeOperator();
   void StartSidecars();
-  void MeasureRest();
-  void MeasureChanges();
+  void MeasureIdleCost();
+  void MeasureChangeCost();
   void ChangeAndWait(std::size_t upstream, double factor);
   ControlCost ControlCostSoFar();
-  void PlayUntil(TimePoint end);  // taking samples
+  void RunLoadUntil(TimePoint end);  // takes samples
   void BeginMeasuring();
   void EndMeasuring();
-  void PlayOut();  // until all requests have their results and all notices had their time
+  // Stops the load and waits, with time limits, for open requests, stalled clients, restarting sidecars and
+  // notices.
+  void FinishRequests();
 
   void RunTasksUntil(TimePoint end);
-  bool Await(const std::function<bool()>& condition, Duration patience);
+  bool Await(const std::function<bool()>& condition, Duration timeout);
   void CheckLimits();
   Duration PlannedTime() const;
 
   void TakeSample();
   Metrics Totals();
 
-  // On the hollow sidecars' thread.
+  // Runs `read` on the thread of the hollow sidecars and returns its result.
   template <typename Read>
-  auto AskHollow(Read read) {
+  auto CallOnHollowThread(Read read) {
     return hollow_thread_.Ask(std::move(read), kThreadTimeout);
   }
 
   const Experiment& experiment_;
   const Deployment& deployment_;
   const OnSample& on_sample_;
-  const TimePoint began_ = sidecar::Now();
-  const TimePoint time_limit_ = began_ + kTimeLimitFactor * PlannedTime();
+  const TimePoint started_at_ = sidecar::Now();
+  const TimePoint time_limit_ = started_at_ + kTimeLimitFactor * PlannedTime();
   const double memory_limit_mb_ = MemoryLimitMb();
 
-  boost::asio::io_context tasks_{1};  // what other threads ask of the caller's thread
-  const boost::asio::executor_work_guard<boost::asio::io_context::executor_type> tasks_stay_{
+  boost::asio::io_context tasks_{1};  // tasks that other threads post to the caller's thread
+  const boost::asio::executor_work_guard<boost::asio::io_context::executor_type> tasks_work_guard_{
       tasks_.get_executor()};
   FleetRules rules_;
   const std::unique_ptr<RealFleet> real_;
-  const MembershipRegistry first_registry_;
+  const MembershipRegistry initial_registry_;
   DiscoveryServer discovery_;
   WorkerThread hollow_thread_{"the thread of the hollow sidecars"};
   RealScheduler scheduler_{hollow_thread_.io()};
@@ -169,17 +171,17 @@
       on_sample_(on_sample),
       rules_(experiment, deployment, SidecarSettings(experiment, deployment, deployment.sidecars.front())),
       real_(MakeRealFleet(experiment, deployment, program, rules_)),
-      first_registry_(FirstEntries(deployment, real_.get())),
-      discovery_(FirstEntries(deployment, real_.get()), ServerOptions(experiment, deployment, rules_)),
+      initial_registry_(InitialEntries(deployment, real_.get())),
+      discovery_(InitialEntries(deployment, real_.get()), ServerOptions(experiment, deployment, rules_)),
       hollow_(hollow_thread_.io(), scheduler_, experiment, deployment, discovery_),
-      upstreams_(deployment, first_registry_, scheduler_, discovery_, hollow_, real_.get()),
+      upstreams_(deployment, initial_registry_, scheduler_, discovery_, hollow_, real_.get()),
       real_operator_(MakeOperator()),
       fault_target_(deployment, scheduler_, discovery_, hollow_, real_.get(), real_operator_.get(),
                     upstreams_),
       faults_(deployment, scheduler_, fault_target_),
       measurements_(experiment, deployment) {}
 
-// Its handlers refer to all the rest.
+// Stops the thread before the members are destroyed, as its handlers refer to them.
 RealRun::~RealRun() { hollow_thread_.Stop(); }
 
 std::unique_ptr<SidecarOperator> RealRun::MakeOperator() {
@@ -187,30 +189,31 @@
   return std::make_unique<SidecarOperator>(
       tasks_, *real_, discovery_, ShutdownTime(LongestDeadline(experiment_)), [this](std::size_t sidecar) {
         const auto service = ListedService(experiment_, deployment_.sidecars[sidecar]);
-        return AskHollow([&] { return ToJson(upstreams_.registry().Since(std::nullopt, service)); });
+        return CallOnHollowThread([&] { return ToJson(upstreams_.registry().Since(std::nullopt, service)); });
       });
 }
 
 Metrics RealRun::Run() {
   StartSidecars();
-  MeasureRest();
-  MeasureChanges();
+  MeasureIdleCost();
+  MeasureChangeCost();
   const TimePoint start = sidecar::Now();
   measurements_.StartLoad(start);
-  AskHollow([this, start] {
+  CallOnHollowThread([this, start] {
     hollow_.Take();
     hollow_.StartLoad();
     faults_.Schedule(start);
   });
   if (real_) real_->StartLoad();
-  PlayUntil(start + experiment_.warm_up);
+  RunLoadUntil(start + experiment_.warm_up);
   BeginMeasuring();
-  PlayUntil(measurements_.measured_until());
+  RunLoadUntil(measurements_.measured_until());
   EndMeasuring();
-  PlayOut();
+  FinishRequests();
   if (measurements_.saturated() > Duration::zero()) {
-    std::cerr << "warning: for " << ToSeconds(measurements_.saturated())
-              << " s one thread could not carry the hollow sidecars; their requests took longer for it\n";
+    std::cerr
+        << "warning: for " << ToSeconds(measurements_.saturated())
+        << " s the hollow sidecars' thread was saturated; the latencies of their requests are too high\n";
   }
   return Totals();
 }
@@ -219,28 +222,30 @@
 
 void RealRun::StartSidecars() {
   const double before_mb = ResidentMemoryMb();
-  hollow_.StartSidecars(first_registry_);
+  hollow_.StartSidecars(initial_registry_);
   hollow_thread_.Start();
-  const bool all = Await([this] { return AskHollow([this] { return hollow_.AllHoldLists(); }); }, kStartTime);
-  if (!all && !experiment_.discovery.on_request) throw std::runtime_error("hollow sidecars got no list");
+  const bool all =
+      Await([this] { return CallOnHollowThread([this] { return hollow_.AllHoldLists(); }); }, kStartTime);
+  if (!all && !experiment_.discovery.on_request)
+    throw std::runtime_error("not all hollow sidecars received an endpoint list");
   measurements_.SetHollowMemory(std::max(0.0, ResidentMemoryMb() - before_mb));
-  if (real_) real_->StartSidecars(discovery_, first_registry_);
+  if (real_) real_->StartSidecars(discovery_, initial_registry_);
   measurements_.SetDiscoveryCounters(discovery_.Counters());
 }
 
-void RealRun::MeasureRest() {
+void RealRun::MeasureIdleCost() {
   if (hollow_.sidecars() == 0) return;
-  RunTasksUntil(sidecar::Now() + kSettleTime);
+  RunTasksUntil(sidecar::Now() + kStabilizationTime);
   const TimePoint from = sidecar::Now();
   const ControlCost before = ControlCostSoFar();
-  RunTasksUntil(from + kRestTime);
+  RunTasksUntil(from + kIdleTime);
   const ControlCost after = ControlCostSoFar();
-  measurements_.SetRest(ToSeconds(sidecar::Now() - from), after - before);
+  measurements_.SetIdleCost(ToSeconds(sidecar::Now() - from), after - before);
 }
 
-// Those of an experiment's changes, ahead of time: each alone, with no load beside it. Every second one takes
-// the one before back.
-void RealRun::MeasureChanges() {
+// Makes changes like those of the experiment's first change fault before the load starts, one at a time.
+// Every second change reverts the one before.
+void RealRun::MeasureChangeCost() {
   const auto fault = std::find_if(
       deployment_.faults.begin(), deployment_.faults.end(),
       [](const FaultEvent& event) { return event.kind == FaultKind::kChange && !event.upstreams.empty(); });
@@ -252,20 +257,23 @@
     ChangeAndWait(upstream, i % 2 == 0 ? kChangedWeight : 1);
   }
   const ControlCost after = ControlCostSoFar();
-  measurements_.SetChanges(ToSeconds(sidecar::Now() - from), after - before);
+  measurements_.SetChangeCost(ToSeconds(sidecar::Now() - from), after - before);
 }
 
 void RealRun::ChangeAndWait(std::size_t upstream, double factor) {
-  AskHollow([=, this] { upstreams_.ChangeWeight(upstream, factor); });
+  CallOnHollowThread([=, this] { upstreams_.ChangeWeight(upstream, factor); });
   const double longest_delay_s = experiment_.discovery.notice_delay_s.high;
-  RunTasksUntil(sidecar::Now() + kSettleTime +
+  RunTasksUntil(sidecar::Now() + kStabilizationTime +
                 std::chrono::duration_cast<Duration>(std::chrono::duration<double>(longest_delay_s)));
-  Await([this] { return AskHollow([this] { return hollow_.propagation().Missing(sidecar::Now()); }) == 0; },
-        kNoticesMargin);
+  Await(
+      [this] {
+        return CallOnHollowThread([this] { return hollow_.propagation().Missing(sidecar::Now()); }) == 0;
+      },
+      kNoticesMargin);
 }
 
 ControlCost RealRun::ControlCostSoFar() {
-  ControlCost cost = AskHollow([this] {
+  ControlCost cost = CallOnHollowThread([this] {
     return ControlCost{hollow_.CpuSeconds(), 0,
                        static_cast<double>(hollow_.propagation().delays_ms().count())};
   });
@@ -277,7 +285,7 @@
   return cost;
 }
 
-void RealRun::PlayUntil(TimePoint end) {
+void RealRun::RunLoadUntil(TimePoint end) {
   while (sidecar::Now() < end) {
     RunTasksUntil(
         std::min(end, measurements_.sample_start() + std::max(experiment_.sample_every, kCheckInterval)));
@@ -287,20 +295,20 @@
 
 void RealRun::BeginMeasuring() {
   const TimePoint now = sidecar::Now();
-  AskHollow([this, now] { hollow_.BeginMeasuring(now, now + experiment_.length); });
+  CallOnHollowThread([this, now] { hollow_.BeginMeasuring(now, now + experiment_.length); });
   measurements_.BeginMeasuring(now, discovery_.Counters());
 }
 
 void RealRun::EndMeasuring() {
   measurements_.EndMeasuring(discovery_.Counters());
-  AskHollow([this] { hollow_.EndMeasuring(); });
+  CallOnHollowThread([this] { hollow_.EndMeasuring(); });
 }
 
-void RealRun::PlayOut() {
-  AskHollow([this] { hollow_.StopLoad(); });
+void RealRun::FinishRequests() {
+  CallOnHollowThread([this] { hollow_.StopLoad(); });
   if (real_) real_->StopLoad();
   const Duration longest = LongestDeadline(experiment_);
-  Await([this] { return AskHollow([this] { return hollow_.open_requests(); }) == 0; },
+  Await([this] { return CallOnHollowThread([this] { return hollow_.open_requests(); }) == 0; },
         longest + kResultsMargin);
   if (real_) {
     Await([this] { return real_->OpenRequests() == 0; },
@@ -308,8 +316,11 @@
     Await([this] { return real_->StalledClientsOpen() == 0; }, kStalledClientLimit + kResultsMargin);
     Await([this] { return real_operator_->idle(); }, kStartTime);
   }
-  Await([this] { return AskHollow([this] { return hollow_.propagation().Missing(sidecar::Now()); }) == 0; },
-        kNoticesMargin);
+  Await(
+      [this] {
+        return CallOnHollowThread([this] { return hollow_.propagation().Missing(sidecar::Now()); }) == 0;
+      },
+      kNoticesMargin);
 }
 
 // ---- The caller's thread ----
@@ -321,8 +332,8 @@
   } while (sidecar::Now() < end);
 }
 
-bool RealRun::Await(const std::function<bool()>& condition, Duration patience) {
-  const TimePoint end = sidecar::Now() + patience;
+bool RealRun::Await(const std::function<bool()>& condition, Duration timeout) {
+  const TimePoint end = sidecar::Now() + timeout;
   while (!condition()) {
     if (sidecar::Now() >= end) return false;
     RunTasksUntil(sidecar::Now() + kCheckInterval);
@@ -333,19 +344,19 @@
 void RealRun::CheckLimits() {
   hollow_thread_.RethrowFailure();
   hollow_.RethrowFailure();
-  if (sidecar::Now() > time_limit_) throw std::runtime_error("the run takes far longer than planned");
+  if (sidecar::Now() > time_limit_) throw std::runtime_error("the run exceeds its time limit");
   const double resident_mb = ResidentMemoryMb();
   if (resident_mb > memory_limit_mb_) {
-    throw std::runtime_error("the run has grown to " + std::to_string(resident_mb) + " MB, more than " +
-                             std::to_string(memory_limit_mb_));
+    throw std::runtime_error("the run uses " + std::to_string(resident_mb) + " MB of memory, more than " +
+                             std::to_string(memory_limit_mb_) + " MB");
   }
 }
 
 Duration RealRun::PlannedTime() const {
   const auto trial = std::chrono::duration_cast<Duration>(
-      std::chrono::duration<double>(experiment_.discovery.notice_delay_s.high) + kSettleTime);
+      std::chrono::duration<double>(experiment_.discovery.notice_delay_s.high) + kStabilizationTime);
   const Duration deadline = LongestDeadline(experiment_);
-  return kStartTime + kRestTime + kTrialChanges * trial + experiment_.warm_up + experiment_.length +
+  return kStartTime + kIdleTime + kTrialChanges * trial + experiment_.warm_up + experiment_.length +
          deadline + kResultsMargin;
 }
 
@@ -353,7 +364,7 @@
 
 void RealRun::TakeSample() {
   RealWindows windows;
-  windows.hollow = AskHollow([this] { return hollow_.Take(); });
+  windows.hollow = CallOnHollowThread([this] { return hollow_.Take(); });
   if (real_) windows.real = real_->Take();
   windows.discovery = discovery_.Counters();
   const Sample sample = measurements_.AddWindows(windows, sidecar::Now());
@@ -362,18 +373,18 @@
 
 Metrics RealRun::Totals() {
   RealRunEnd end;
-  end.notices_missing =
-      static_cast<double>(AskHollow([this] { return hollow_.propagation().Missing(sidecar::Now()); }));
+  end.notices_missing = static_cast<double>(
+      CallOnHollowThread([this] { return hollow_.propagation().Missing(sidecar::Now()); }));
   hollow_thread_.Stop();
   end.hollow = hollow_.totals();
   end.notice_delays_ms = hollow_.propagation().delays_ms();
   if (real_) {
-    measurements_.AddRest(real_->Take());
+    measurements_.AddRemaining(real_->Take());
     end.rules = rules_.counters();
     end.stops = real_operator_->counters();
     for (const std::size_t i : real_->SidecarIndices()) end.sidecars_ended += real_->SidecarRuns(i) ? 0 : 1;
   }
-  end.seconds = ToSeconds(sidecar::Now() - began_);
+  end.seconds = ToSeconds(sidecar::Now() - started_at_);
   return measurements_.Totals(end);
 }
 
--- a/lab/real/real_fault_target.cpp
+++ b/lab/real/real_fault_target.cpp
@@ -5,7 +5,7 @@
 namespace lb::lab {
 namespace {
 
-// With fewer configurations than this none of them is malformed.
+// Minimum number of configurations in a fault for one of them to be malformed.
 constexpr std::size_t kMinUpstreamsWithMalformed = 3;
 
 }  // namespace
@@ -39,7 +39,7 @@
   if (!real.empty()) real_operator_->Kill(std::move(real));
 }
 
-// A hollow sidecar holds no requests to answer: it ends at once.
+// A planned stop restarts a hollow sidecar immediately, as it has no requests to finish.
 void RealFaultTarget::StopSidecars(const std::vector<std::size_t>& sidecars, Duration over) {
   SpreadEvenly(scheduler_, over, sidecars.size(), [this, &sidecars](std::size_t i) {
     const std::size_t sidecar = sidecars[i];
@@ -58,7 +58,8 @@
   SpreadEvenly(scheduler_, over, count, [this](std::size_t i) { real_operator_->StallClients(i); });
 }
 
-// The last configuration is sound: it is what counts in the end.
+// The malformed configuration is the middle one, so that the last configuration sent is valid and takes
+// effect.
 void RealFaultTarget::SendConfigurations(std::size_t count, Duration over) {
   if (real_operator_ == nullptr) return;
   SpreadEvenly(scheduler_, over, count, [this, count](std::size_t i) {
--- a/lab/real/real_fault_target.h
+++ b/lab/real/real_fault_target.h
@@ -1,4 +1,4 @@
-// Faults on the machine's clock: strikes the hollow sidecars, the real ones, their upstreams and discovery.
+// Applies the faults of a run on the real clock to hollow and real sidecars, upstreams and discovery.
 #pragma once
 
 #include <cstddef>
@@ -15,11 +15,12 @@
 
 namespace lb::lab {
 
-// On the hollow fleet's thread. Regions are cut off from each other for hollow sidecars alone: the real ones'
-// network is the loopback.
+// Call it only on the hollow fleet's thread. A network partition between regions affects hollow sidecars
+// only, as real sidecars communicate over loopback.
 class RealFaultTarget : public FaultTarget {
  public:
-  // References have to outlive it; `real` and `real_operator` are null where there are no real sidecars.
+  // The referenced objects have to outlive this object. `real` and `real_operator` are null without real
+  // sidecars.
   RealFaultTarget(const Deployment& deployment, Scheduler& scheduler, DiscoveryServer& discovery,
                   HollowFleet& hollow, RealFleet* real, SidecarOperator* real_operator,
                   UpstreamOperator& upstreams);
@@ -27,8 +28,8 @@
   void CrashUpstream(std::size_t upstream) override { upstreams_.Crash(upstream); }
   void StartUpstream(std::size_t upstream) override { upstreams_.Start(upstream); }
   void RestartUpstream(std::size_t upstream) override { upstreams_.Restart(upstream); }
-  void LoseUpstream(std::size_t upstream) override { upstreams_.Vanish(upstream); }
-  void ReturnUpstream(std::size_t upstream) override { upstreams_.Return(upstream); }
+  void LoseUpstream(std::size_t upstream) override { upstreams_.MakeUnreachable(upstream); }
+  void ReturnUpstream(std::size_t upstream) override { upstreams_.MakeReachable(upstream); }
   void SetHanging(std::size_t upstream, bool hanging) override { upstreams_.SetHanging(upstream, hanging); }
   void SetSlowdown(std::size_t upstream, double factor) override { upstreams_.SetSlowdown(upstream, factor); }
   void ChangeWeight(std::size_t upstream, double factor) override {
--- a/lab/real/real_fleet.cpp
+++ b/lab/real/real_fleet.cpp
@@ -13,9 +13,9 @@
 namespace lb::lab {
 namespace {
 
-constexpr Duration kReadyPatience = std::chrono::seconds(30);
-// Of a busy thread, for an answer.
-constexpr Duration kAskPatience = std::chrono::seconds(10);
+constexpr Duration kReadyTimeout = std::chrono::seconds(30);
+// For a call on another, possibly busy thread.
+constexpr Duration kThreadTimeout = std::chrono::seconds(10);
 
 std::string ToText(const lb::Endpoint& endpoint) {
   return endpoint.address().to_string() + ":" + std::to_string(endpoint.port());
@@ -65,12 +65,12 @@
     config.known = ToJson(registry.Since(std::nullopt, ListedService(experiment_, instance)));
     config.settings = SidecarSettings(experiment_, deployment_, instance);
     members_.push_back({instance.index, SidecarProcess(program_, folder_.path(), std::move(config))});
-    if (clocks_are_stepped) members_.back().process.HaveOwnClock(folder_.path());
+    if (clocks_are_stepped) members_.back().process.UseOwnWallClock(folder_.path());
     members_.back().process.Start();
     targets.push_back({members_.back().process.listen(), instance.requests_per_s, instance.index});
   }
   for (Member& member : members_) {
-    if (member.process.AwaitReady(kReadyPatience)) continue;
+    if (member.process.AwaitReady(kReadyTimeout)) continue;
     throw std::runtime_error("sidecar " + member.process.config().name + " is not ready");
   }
   load_ =
@@ -88,14 +88,14 @@
 }
 
 std::size_t RealFleet::OpenRequests() {
-  return load_thread_.Ask([this] { return load_->under_way(); }, kAskPatience);
+  return load_thread_.Ask([this] { return load_->in_flight(); }, kThreadTimeout);
 }
 
 void RealFleet::SetLoadFactor(double factor) {
   load_thread_.Post([this, factor] { load_->SetFactor(factor); });
 }
 
-void RealFleet::AtUpstreams(std::function<void(HttpUpstreams&)> task) {
+void RealFleet::PostToUpstreams(std::function<void(HttpUpstreams&)> task) {
   upstream_thread_.Post([this, task = std::move(task)] { task(*upstreams_); });
 }
 
@@ -109,13 +109,13 @@
   if (Member* const member = Find(sidecar)) member->process.process().Kill();
 }
 
-void RealFleet::StartSidecar(std::size_t sidecar, nlohmann::json known) {
+void RealFleet::StartSidecar(std::size_t sidecar, nlohmann::json endpoint_list) {
   Member* const member = Find(sidecar);
   if (member == nullptr) return;
-  member->process.SetKnown(std::move(known));
+  member->process.SetEndpointList(std::move(endpoint_list));
   member->process.SetSeed(DeriveSeed(deployment_.sidecars[sidecar].seed, "restart", ++member->starts));
   member->process.Start();
-  member->cpu_at_look_s = 0;
+  member->cpu_at_last_sample_s = 0;
 }
 
 void RealFleet::SignalSidecar(std::size_t sidecar, int number) {
@@ -127,21 +127,21 @@
   return member != nullptr && member->process.process().Running();
 }
 
-bool RealFleet::AwaitReady(std::size_t sidecar, Duration patience) {
+bool RealFleet::AwaitReady(std::size_t sidecar, Duration timeout) {
   Member* const member = Find(sidecar);
-  return member != nullptr && member->process.AwaitReady(patience);
+  return member != nullptr && member->process.AwaitReady(timeout);
 }
 
-void RealFleet::MoveDiscovery(std::size_t sidecar, const lb::Endpoint& discovery) {
-  if (Member* const member = Find(sidecar)) member->process.MoveDiscovery(ToText(discovery));
+void RealFleet::ChangeDiscoveryAddress(std::size_t sidecar, const lb::Endpoint& discovery) {
+  if (Member* const member = Find(sidecar)) member->process.ChangeDiscoveryAddress(ToText(discovery));
 }
 
-void RealFleet::SpoilConfiguration(std::size_t sidecar) {
-  if (Member* const member = Find(sidecar)) member->process.SpoilConfiguration();
+void RealFleet::WriteMalformedConfiguration(std::size_t sidecar) {
+  if (Member* const member = Find(sidecar)) member->process.WriteMalformedConfiguration();
 }
 
-void RealFleet::StepClock(std::size_t sidecar, Duration by) {
-  if (Member* const member = Find(sidecar)) member->process.StepClock(by);
+void RealFleet::StepClock(std::size_t sidecar, Duration step) {
+  if (Member* const member = Find(sidecar)) member->process.StepClock(step);
 }
 
 void RealFleet::SetConnecting(std::size_t sidecar, bool connecting) {
@@ -157,7 +157,7 @@
 }
 
 std::size_t RealFleet::StalledClientsOpen() {
-  return load_thread_.Ask([this] { return stalled_clients_.open(); }, kAskPatience);
+  return load_thread_.Ask([this] { return stalled_clients_.open(); }, kThreadTimeout);
 }
 
 std::vector<std::size_t> RealFleet::SidecarIndices() const {
@@ -173,13 +173,13 @@
         window.load = load_->Take();
         window.stalled = stalled_clients_.Take();
       },
-      kAskPatience);
-  TakeUpstreams(window);
-  TakeProcesses(window);
+      kThreadTimeout);
+  SampleUpstreams(window);
+  SampleProcesses(window);
   return window;
 }
 
-void RealFleet::TakeProcesses(RealWindow& window) {
+void RealFleet::SampleProcesses(RealWindow& window) {
   double memory_mb = 0;
   std::size_t running = 0;
   for (Member& member : members_) {
@@ -189,7 +189,7 @@
     memory_mb += usage->memory_mb;
     member.peak_memory_mb = std::max(member.peak_memory_mb, usage->peak_memory_mb);
     member.peak_descriptors = std::max(member.peak_descriptors, usage->descriptors);
-    window.cpu_s += usage->cpu_s - std::exchange(member.cpu_at_look_s, usage->cpu_s);
+    window.cpu_s += usage->cpu_s - std::exchange(member.cpu_at_last_sample_s, usage->cpu_s);
   }
   if (running > 0) window.memory_mb = memory_mb / static_cast<double>(running);
   for (const Member& member : members_) {
@@ -199,7 +199,7 @@
   }
 }
 
-void RealFleet::TakeUpstreams(RealWindow& window) {
+void RealFleet::SampleUpstreams(RealWindow& window) {
   const HttpUpstreamCounters now = upstream_thread_.Ask(
       [this, &window] {
         for (std::size_t i = 0; i < upstreams_->size(); ++i) {
@@ -208,10 +208,10 @@
         }
         return upstreams_->TotalCounters();
       },
-      kAskPatience);
-  const HttpUpstreamCounters before = std::exchange(upstreams_at_look_, now);
+      kThreadTimeout);
+  const HttpUpstreamCounters before = std::exchange(upstream_counters_at_last_sample_, now);
   window.traffic.attempts = now.requests - before.requests;
-  window.traffic.attempts_full = now.turned_away - before.turned_away;
+  window.traffic.attempts_full = now.rejected - before.rejected;
   window.traffic.connects = now.connections - before.connections;
   window.traffic.probes = now.probes - before.probes;
 }
--- a/lab/real/real_fleet.h
+++ b/lab/real/real_fleet.h
@@ -1,5 +1,5 @@
-// The real part of a run on the real clock: sidecar processes, the HTTP upstreams that they call, and the
-// applications that call them.
+// The real sidecars of a run on the real clock: their processes, the HTTP upstreams that they call, and the
+// emulated applications that send them requests.
 #pragma once
 
 #include <cstddef>
@@ -23,7 +23,7 @@
 
 namespace lb::lab {
 
-// A folder of its own for files of one run, removed with it.
+// A temporary directory for the files of one run, removed with the object.
 class TemporaryFolder {
  public:
   TemporaryFolder();  // throws std::system_error
@@ -36,76 +36,78 @@
   std::string path_;
 };
 
-// What happened since the last look.
+// Measurements since the last call of RealFleet::Take().
 struct RealWindow {
   LoadWindow load;
   StalledClientCounters stalled;
-  TrafficCounters traffic;  // seen at the upstreams; no results
-  double cpu_s = 0;         // of the sidecar processes together
-  double memory_mb = 0;     // of each in the mean, now
-  // The most that each has had so far, in the mean: resident memory, and descriptors seen at a look.
+  TrafficCounters traffic;  // counted at the upstreams; the fields for request results stay zero
+  double cpu_s = 0;         // of all sidecar processes together
+  double memory_mb = 0;     // current mean per running sidecar process
+  // Means over the sidecars of each one's peak since the start: resident memory, and open descriptors as
+  // sampled by Take().
   double peak_memory_mb = 0;
   double peak_descriptors = 0;
-  std::uint64_t crowded_upstreams = 0;
-  std::uint64_t held = 0;
+  std::uint64_t crowded_upstreams = 0;  // at the sampling time
+  std::uint64_t held = 0;               // requests at the upstreams at the sampling time
 };
 
-// For the thread that made it, which has to outlive it, but for what says otherwise.
+// Call it only on the thread that created it, which has to outlive it, unless a method says otherwise.
 class RealFleet {
  public:
-  // The upstreams listen from then on, on a thread of their own. References have to outlive it.
+  // Starts the upstreams on a thread of their own. The referenced objects have to outlive this object.
   RealFleet(const Experiment& experiment, const Deployment& deployment, std::string program,
             HttpUpstreamOptions options = {});
   ~RealFleet();
 
-  // `127.0.0.1:port`; the same for the whole run.
+  // `127.0.0.1:port`; constant for the whole run.
   std::string UpstreamAddress(std::size_t upstream) const { return upstreams_->address(upstream); }
 
-  // Starts the processes, each with what `registry` lists, and waits until they are ready. Throws
-  // std::runtime_error where one is not.
+  // Starts the processes, each with the endpoint list of its service in `registry`, and waits until all are
+  // ready. Throws std::runtime_error if one does not become ready.
   void StartSidecars(const DiscoveryServer& discovery, const MembershipRegistry& registry);
   void StartLoad();
   void StopLoad();
   std::size_t OpenRequests();
-  // Kills a process, and restarts it; nothing happens for a hollow sidecar. `known`: the list it is given.
+  // Kills or starts the process of a real sidecar; no effect for a hollow one. `endpoint_list` is what
+  // the process starts with.
   void KillSidecar(std::size_t sidecar);
-  void StartSidecar(std::size_t sidecar, nlohmann::json known);
-  // As above, nothing happens for a hollow one.
+  void StartSidecar(std::size_t sidecar, nlohmann::json endpoint_list);
+  // Sends a signal to the process of a real sidecar; no effect for a hollow one.
   void SignalSidecar(std::size_t sidecar, int number);
   bool SidecarRuns(std::size_t sidecar);
-  bool AwaitReady(std::size_t sidecar, Duration patience);  // blocks
-  // Replaces its configuration file: discovery is at another address, or the file is malformed. Throws
-  // std::runtime_error where it can't be written.
-  void MoveDiscovery(std::size_t sidecar, const lb::Endpoint& discovery);
-  void SpoilConfiguration(std::size_t sidecar);
-  // The wall clock of its machine goes on from a time that is so much later.
-  void StepClock(std::size_t sidecar, Duration by);
-  // Whether its application opens connections.
+  bool AwaitReady(std::size_t sidecar, Duration timeout);  // blocks; false if it is not ready in time
+  // Replace the sidecar's configuration file by one with another discovery address, or by a malformed one.
+  // Throw std::runtime_error if the file cannot be written.
+  void ChangeDiscoveryAddress(std::size_t sidecar, const lb::Endpoint& discovery);
+  void WriteMalformedConfiguration(std::size_t sidecar);
+  // Steps the wall clock of the sidecar's machine forward by `step`.
+  void StepClock(std::size_t sidecar, Duration step);
+  // Sets whether the sidecar's application opens new connections.
   void SetConnecting(std::size_t sidecar, bool connecting);
-  // A client of each sidecar stops there.
+  // For each sidecar, starts a client that stops writing its request at `point`.
   void StallClients(StallPoint point);
   std::size_t StalledClientsOpen();
   std::vector<std::size_t> SidecarIndices() const;
   RealWindow Take();
   std::size_t sidecars() const { return members_.size(); }
 
-  // From any thread: carried out later, in order.
+  // Callable from any thread: the calls run asynchronously, in order.
   void SetLoadFactor(double factor);
-  void AtUpstreams(std::function<void(HttpUpstreams&)> task);
+  void PostToUpstreams(std::function<void(HttpUpstreams&)> task);
 
  private:
   struct Member {
     std::size_t sidecar = 0;
     SidecarProcess process;
-    double cpu_at_look_s = 0;
+    double cpu_at_last_sample_s = 0;
     std::uint64_t starts = 0;
     double peak_memory_mb = 0;
     std::size_t peak_descriptors = 0;
   };
 
   Member* Find(std::size_t sidecar);
-  void TakeProcesses(RealWindow& window);
-  void TakeUpstreams(RealWindow& window);
+  void SampleProcesses(RealWindow& window);
+  void SampleUpstreams(RealWindow& window);
 
   const Experiment& experiment_;
   const Deployment& deployment_;
@@ -114,7 +116,7 @@
   WorkerThread upstream_thread_{"the thread of the HTTP upstreams"};
   RealScheduler upstream_scheduler_{upstream_thread_.io()};
   std::unique_ptr<HttpUpstreams> upstreams_;
-  HttpUpstreamCounters upstreams_at_look_;
+  HttpUpstreamCounters upstream_counters_at_last_sample_;
   WorkerThread load_thread_{"the thread of the HTTP load"};
   RealScheduler load_scheduler_{load_thread_.io()};
   std::unique_ptr<HttpLoad> load_;  // null before the sidecars are ready
--- a/lab/real/real_measurements.cpp
+++ b/lab/real/real_measurements.cpp
@@ -9,16 +9,16 @@
 namespace lb::lab {
 namespace {
 
-// The hollow sidecars' thread has nothing to spare if it is so busy.
+// Share of one core from which the hollow sidecars' thread counts as saturated.
 constexpr double kSaturatedShare = 0.97;
-// A sample with fewer requests does not count for the worst second.
+// Samples with fewer requests do not count for the worst second.
 constexpr std::uint64_t kMinRequestsOfASecond = 100;
 
 }  // namespace
 
 ControlCost ControlCost::operator-(const ControlCost& before) const {
   return {cpu_s - before.cpu_s, bytes_to_sidecars - before.bytes_to_sidecars,
-          changes_heard - before.changes_heard};
+          changes_received - before.changes_received};
 }
 
 RealMeasurements::RealMeasurements(const Experiment& experiment, const Deployment& deployment)
@@ -27,14 +27,14 @@
       hollow_sidecars_(static_cast<double>(CountHollowSidecars(experiment, deployment))),
       real_sidecars_(static_cast<double>(CountRealSidecars(deployment))) {}
 
-void RealMeasurements::SetRest(double seconds, const ControlCost& cost) {
-  rest_s_ = seconds;
-  rest_ = cost;
+void RealMeasurements::SetIdleCost(double seconds, const ControlCost& cost) {
+  idle_s_ = seconds;
+  idle_cost_ = cost;
 }
 
-void RealMeasurements::SetChanges(double seconds, const ControlCost& cost) {
-  changes_s_ = seconds;
-  changes_ = cost;
+void RealMeasurements::SetChangeCost(double seconds, const ControlCost& cost) {
+  change_s_ = seconds;
+  change_cost_ = cost;
 }
 
 // ---- Samples ----
@@ -68,7 +68,7 @@
   latency_ms.Merge(windows.real.load.latency_ms);
   sample.latency_p50_ms = latency_ms.Percentile(0.5);
   sample.latency_p99_ms = latency_ms.Percentile(0.99);
-  AddRest(windows.real);
+  AddRemaining(windows.real);
   real_cpu_s_ += windows.real.cpu_s;
   if (is_measuring_) CountMeasured(windows.real, sample, now);
   sample_start_ = now;
@@ -76,7 +76,7 @@
   return sample;
 }
 
-void RealMeasurements::AddRest(const RealWindow& window) {
+void RealMeasurements::AddRemaining(const RealWindow& window) {
   dropped_ += window.load.dropped;
   stalled_ += window.stalled;
 }
@@ -148,21 +148,21 @@
   return metrics;
 }
 
-// The cost of changes is what they took beyond as long a rest.
+// The cost of changes is the cost while they were made minus the idle cost over the same time.
 void RealMeasurements::AddControlTotals(Metrics& metrics) const {
   const double length_s = ToSeconds(experiment_.length);
-  metrics.hollow_cpu = Share(rest_.cpu_s, rest_s_ * hollow_sidecars_);
+  metrics.hollow_cpu = Share(idle_cost_.cpu_s, idle_s_ * hollow_sidecars_);
   metrics.hollow_memory_mb = Share(hollow_memory_mb_, hollow_sidecars_);
   metrics.discovery_cpu =
       Share(ToSeconds(discovery_at_end_.processor_time - discovery_at_start_.processor_time), length_s);
   const auto bytes = discovery_at_end_.Total().bytes() - discovery_at_start_.Total().bytes();
   metrics.control_bytes_per_s = Share(static_cast<double>(bytes), length_s * metrics.sidecars);
-  const double rest_share = Share(changes_s_, rest_s_);
-  const double change_cpu_s = std::max(0.0, changes_.cpu_s - rest_.cpu_s * rest_share);
+  const double idle_ratio = Share(change_s_, idle_s_);
+  const double change_cpu_s = std::max(0.0, change_cost_.cpu_s - idle_cost_.cpu_s * idle_ratio);
   const double change_bytes =
-      std::max(0.0, changes_.bytes_to_sidecars - rest_.bytes_to_sidecars * rest_share);
-  metrics.change_cpu_ms = 1e3 * Share(change_cpu_s, changes_.changes_heard);
-  metrics.change_bytes = Share(change_bytes, changes_.changes_heard);
+      std::max(0.0, change_cost_.bytes_to_sidecars - idle_cost_.bytes_to_sidecars * idle_ratio);
+  metrics.change_cpu_ms = 1e3 * Share(change_cpu_s, change_cost_.changes_received);
+  metrics.change_bytes = Share(change_bytes, change_cost_.changes_received);
 }
 
 void RealMeasurements::AddRequestTotals(const HollowTotals& hollow, Metrics& metrics) const {
@@ -214,7 +214,7 @@
   metrics.real_list_bytes = Share(bytes, real_sidecars_);
 }
 
-// Crossings of zones are known of hollow sidecars alone.
+// Zone crossings are counted for hollow sidecars only.
 void RealMeasurements::AddTrafficTotals(const HollowTotals& hollow, Metrics& metrics) const {
   const auto requests = static_cast<std::uint64_t>(metrics.requests);
   TrafficCounters traffic = hollow.traffic;
--- a/lab/real/real_measurements.h
+++ b/lab/real/real_measurements.h
@@ -1,4 +1,4 @@
-// What a run on the real clock has measured: samples of its windows, and the totals of the measured time.
+// Measurements of a run on the real clock: builds the samples and the totals over the measured time.
 #pragma once
 
 #include <cstddef>
@@ -15,58 +15,61 @@
 
 namespace lb::lab {
 
-// The cost of control traffic to the hollow sidecars together, over some time.
+// Cost of the control traffic to all hollow sidecars together, accumulated over a period.
 struct ControlCost {
   double cpu_s = 0;
   double bytes_to_sidecars = 0;
-  double changes_heard = 0;  // over all sidecars
+  double changes_received = 0;  // list changes received, summed over all sidecars
 
   ControlCost operator-(const ControlCost& before) const;
 };
 
-// The parts of one sample, each since the one before.
+// The inputs of one sample; the windows cover the time since the previous sample.
 struct RealWindows {
   HollowWindow hollow;
   RealWindow real;
   DiscoveryCounters discovery;  // since the start of the run
 };
 
-// What is known only at the end of a run.
+// Results that are available only at the end of a run.
 struct RealRunEnd {
   HollowTotals hollow;
   Distribution notice_delays_ms;
   double notices_missing = 0;
-  // Of real sidecars.
+  // For real sidecars only:
   FleetRuleCounters rules;
   SidecarOperatorCounters stops;
-  double sidecars_ended = 0;  // that should run and do not
-  double seconds = 0;         // that the run took
+  double sidecars_ended = 0;  // processes that ended unexpectedly
+  double seconds = 0;         // duration of the run
 };
 
+// Accumulates the windows of a run and computes its samples and totals.
 class RealMeasurements {
  public:
-  // The references have to outlive it.
+  // `experiment` and `deployment` have to outlive this object.
   RealMeasurements(const Experiment& experiment, const Deployment& deployment);
 
   // ---- Before the load ----
-  // Of all hollow sidecars, without the models.
+  // Memory of all hollow sidecars together, without the models.
   void SetHollowMemory(double memory_mb) { hollow_memory_mb_ = memory_mb; }
-  // What the first sample's discovery traffic is counted from.
+  // Sets the baseline of the first sample's discovery traffic.
   void SetDiscoveryCounters(const DiscoveryCounters& discovery) { discovery_at_sample_ = discovery; }
-  void SetRest(double seconds, const ControlCost& cost);
-  void SetChanges(double seconds, const ControlCost& cost);
+  // Set the cost without list changes, and the cost while changes are made, each over a period of `seconds`.
+  void SetIdleCost(double seconds, const ControlCost& cost);
+  void SetChangeCost(double seconds, const ControlCost& cost);
 
   // ---- Under load ----
   void StartLoad(TimePoint now);
   void BeginMeasuring(TimePoint now, const DiscoveryCounters& discovery);
   void EndMeasuring(const DiscoveryCounters& discovery);
   Sample AddWindows(const RealWindows& windows, TimePoint now);
-  // What real sidecars and their clients did after the last sample.
-  void AddRest(const RealWindow& window);
+  // Adds the counts of real sidecars and their clients after the last sample.
+  void AddRemaining(const RealWindow& window);
 
   TimePoint sample_start() const { return sample_start_; }
   TimePoint measured_until() const { return measured_until_; }
-  // Time in which one thread could not carry the hollow sidecars: their requests took longer for it.
+  // Total length of the samples in which the hollow sidecars' thread was saturated, which lengthens the
+  // latencies of their requests.
   Duration saturated() const { return saturated_; }
 
   Metrics Totals(const RealRunEnd& end) const;
@@ -88,12 +91,12 @@
   const double hollow_sidecars_;
   const double real_sidecars_;
 
-  // Before the load.
+  // Measured before the load.
   double hollow_memory_mb_ = 0;
-  double rest_s_ = 0;
-  ControlCost rest_;
-  double changes_s_ = 0;
-  ControlCost changes_;
+  double idle_s_ = 0;
+  ControlCost idle_cost_;
+  double change_s_ = 0;
+  ControlCost change_cost_;
   // Over the whole run.
   TimePoint load_start_;
   TimePoint sample_start_;
@@ -101,15 +104,15 @@
   Duration saturated_{};
   std::uint64_t dropped_ = 0;
   StalledClientCounters stalled_;
-  double real_cpu_s_ = 0;  // of all real sidecars, since their start
-  // Of the measured time.
+  double real_cpu_s_ = 0;  // of all real sidecars since their start
+  // Measured between BeginMeasuring() and EndMeasuring().
   bool is_measuring_ = false;
   TimePoint measured_until_;
   double worst_second_ = 1;
-  bool has_full_second_ = false;  // one with enough requests to count in `worst_second_`
+  bool has_full_second_ = false;  // a sample with enough requests to count in `worst_second_`
   RealWindow measured_real_;
   TrafficCounters real_last_third_;
-  RealWindow last_real_;  // for what each real sidecar has now, or has had at most
+  RealWindow last_real_;  // last window, for current and peak values per sidecar
   DiscoveryCounters discovery_at_start_;
   DiscoveryCounters discovery_at_end_;
 };
--- a/lab/real/sidecar_config.cpp
+++ b/lab/real/sidecar_config.cpp
@@ -27,11 +27,11 @@
 using boost::asio::ip::tcp;
 using nlohmann::json;
 
-constexpr auto kPollEvery = std::chrono::milliseconds(5);
-constexpr Duration kStartPatience = std::chrono::seconds(10);
-constexpr Duration kAnswerPatience = std::chrono::seconds(1);
-constexpr std::size_t kLogShown = 500;  // bytes of the log's end in an error
-constexpr char kListeningMark[] = ": listening address=";
+constexpr auto kPollInterval = std::chrono::milliseconds(5);
+constexpr Duration kStartTimeout = std::chrono::seconds(10);
+constexpr Duration kResponseTimeout = std::chrono::seconds(1);
+constexpr std::size_t kLogTailBytes = 500;  // of the end of the log, shown in an error
+constexpr char kListeningLogMarker[] = ": listening address=";
 
 const char* Name(lb::Idempotency idempotency) {
   switch (idempotency) {
@@ -113,12 +113,12 @@
 
 tcp::endpoint ToEndpoint(const std::string& text) {
   const auto endpoint = lb::ParseEndpoint(text);
-  if (!endpoint) throw std::invalid_argument("no address and port: " + text);
+  if (!endpoint) throw std::invalid_argument("not an address and port: " + text);
   return *endpoint;
 }
 
-// One call of GET /up; 0 where nothing comes back.
-unsigned AskUp(const tcp::endpoint& listen) {
+// The status of one `GET /up`; 0 without a response.
+unsigned RequestUpStatus(const tcp::endpoint& listen) {
   boost::asio::io_context io;
   boost::beast::tcp_stream stream(io);
   http::request<http::empty_body> request(http::verb::get, "/up", 11);
@@ -127,7 +127,7 @@
   boost::beast::flat_buffer buffer;
   http::response<http::string_body> response;
   unsigned status = 0;
-  stream.expires_after(kAnswerPatience);
+  stream.expires_after(kResponseTimeout);
   stream.async_connect(listen, [&](boost::system::error_code connect_error) {
     if (connect_error) return;
     http::async_write(stream, request, [&](boost::system::error_code write_error, std::size_t) {
@@ -182,11 +182,11 @@
           {"LB_CONFIG", config_path}};
 }
 
-bool IsReady(const tcp::endpoint& listen, Duration patience) {
-  const auto end = std::chrono::steady_clock::now() + patience;
-  while (AskUp(listen) != static_cast<unsigned>(http::status::ok)) {
+bool IsReady(const tcp::endpoint& listen, Duration timeout) {
+  const auto end = std::chrono::steady_clock::now() + timeout;
+  while (RequestUpStatus(listen) != static_cast<unsigned>(http::status::ok)) {
     if (std::chrono::steady_clock::now() >= end) return false;
-    std::this_thread::sleep_for(kPollEvery);
+    std::this_thread::sleep_for(kPollInterval);
   }
   return true;
 }
@@ -213,35 +213,35 @@
   AwaitListening();
 }
 
-void SidecarProcess::HaveOwnClock(const std::string& folder) {
+void SidecarProcess::UseOwnWallClock(const std::string& folder) {
   clock_.emplace(std::filesystem::absolute(folder + "/" + config_.name + ".clock").string());
 }
 
-void SidecarProcess::StepClock(Duration by) {
+void SidecarProcess::StepClock(Duration step) {
   if (!clock_) throw std::logic_error("sidecar " + config_.name + " has no wall clock of its own");
-  clock_->Step(by);
+  clock_->Step(step);
 }
 
-bool SidecarProcess::AwaitReady(Duration patience) { return IsReady(listen(), patience); }
+bool SidecarProcess::AwaitReady(Duration timeout) { return IsReady(listen(), timeout); }
 
 Process& SidecarProcess::process() {
   if (!process_) throw std::logic_error("sidecar " + config_.name + " was not started");
   return *process_;
 }
 
-void SidecarProcess::MoveDiscovery(std::string discovery) {
+void SidecarProcess::ChangeDiscoveryAddress(std::string discovery) {
   config_.discovery = std::move(discovery);
   WriteConfig();
 }
 
-void SidecarProcess::SpoilConfiguration() const {
+void SidecarProcess::WriteMalformedConfiguration() const {
   const std::string text = ToJson(config_).dump();
   ReplaceConfig(text.substr(0, text.size() / 2));
 }
 
 void SidecarProcess::WriteConfig() const { ReplaceConfig(ToJson(config_).dump()); }
 
-// By renaming another file over it: no reader sees half of it.
+// Replaces the file atomically by renaming a new one over it, so that no reader sees a partial file.
 void SidecarProcess::ReplaceConfig(const std::string& text) const {
   const std::string next = config_path_ + ".next";
   std::ofstream stream(next);
@@ -251,18 +251,18 @@
   std::filesystem::rename(next, config_path_);
 }
 
-// Its log says so.
+// Waits for the log line that the sidecar writes once it listens.
 void SidecarProcess::AwaitListening() {
-  const auto end = std::chrono::steady_clock::now() + kStartPatience;
+  const auto end = std::chrono::steady_clock::now() + kStartTimeout;
   while (true) {
     const bool running = process_->Running();
     const std::string log = process_->Log();
-    if (running && log.find(kListeningMark + config_.listen) != std::string::npos) return;
+    if (running && log.find(kListeningLogMarker + config_.listen) != std::string::npos) return;
     if (!running || std::chrono::steady_clock::now() >= end) {
       throw std::runtime_error("sidecar " + config_.name + " does not listen: " +
-                               log.substr(log.size() - std::min(log.size(), kLogShown)));
+                               log.substr(log.size() - std::min(log.size(), kLogTailBytes)));
     }
-    std::this_thread::sleep_for(kPollEvery);
+    std::this_thread::sleep_for(kPollInterval);
   }
 }
 
--- a/lab/real/sidecar_config.h
+++ b/lab/real/sidecar_config.h
@@ -1,4 +1,4 @@
-// The inputs of a real sidecar: its configuration file, its environment, and whether it is ready.
+// Configures and runs a real sidecar: its configuration file, its environment, its process and its readiness.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -16,56 +16,57 @@
 
 namespace lb::lab {
 
-// The settings under the wire's names: lb::adapter::ParseSettings() makes the same ones of it.
+// The settings under the names of the configuration format; lb::ParseSettings() is the inverse.
 nlohmann::json ToJson(const lb::Settings& settings);
 
 struct SidecarConfig {
   std::string name;
-  std::string listen = "127.0.0.1:0";  // port 0: the system picks one
+  std::string listen = "127.0.0.1:0";  // port 0: the kernel picks a free port
   std::string discovery;               // `address:port`
   std::uint64_t seed = 0;
   double cores = 1;
   int memory_mb = 64;
   std::size_t sockets = 1024;
-  nlohmann::json known;  // in discovery's form (`rev`, `all`, `targets`); null: nothing is known
+  nlohmann::json known;  // initial endpoint list in discovery's format (`rev`, `all`, `targets`); null: none
   lb::Settings settings;
 };
 
-// The configuration file.
+// The content of the configuration file.
 nlohmann::json ToJson(const SidecarConfig& config);
 
-// LB_NAME, LB_LISTEN, LB_DISCOVERY and LB_CONFIG.
+// The environment variables LB_NAME, LB_LISTEN, LB_DISCOVERY and LB_CONFIG.
 std::map<std::string, std::string> Environment(const SidecarConfig& config, const std::string& config_path);
 
-// Whether `GET /up` at that address answers 200 within that time. Blocks.
-bool IsReady(const boost::asio::ip::tcp::endpoint& listen, Duration patience);
+// Polls `GET /up` until it answers 200; false if it does not within `timeout`. Blocks.
+bool IsReady(const boost::asio::ip::tcp::endpoint& listen, Duration timeout);
 
-// A real sidecar, which keeps its name and address over restarts: the port is reserved while it does not run.
-// For one thread, which has to outlive it.
+// The process of a real sidecar. Its name and address stay the same over restarts, as the port is reserved
+// while the process does not run. Call it only on the thread that created it, which has to outlive it.
 class SidecarProcess {
  public:
-  // `program` is the sidecar's; its configuration and log are kept in `folder`, which has to exist, under its
-  // name. Throws std::invalid_argument where `config.listen` is no address and port, and std::system_error
-  // where that can't be had.
+  // `program` is the path of the sidecar's executable. The configuration and log files are named after the
+  // sidecar and written to `folder`, which has to exist. Throws std::invalid_argument if `config.listen` is
+  // not an address and port, and std::system_error if the port cannot be reserved.
   SidecarProcess(std::string program, const std::string& folder, SidecarConfig config);
 
-  // Restarts it and waits until it listens, for a few seconds at most. Throws std::runtime_error with its
-  // log's end where it does not, and std::system_error where the program can't be started.
+  // Starts or restarts the process and waits up to 10 s until it listens. Throws std::runtime_error with the
+  // end of its log if it does not, and std::system_error if the program cannot be started.
   void Start();
-  // Before the first start: its machine's wall clock is its own, kept in `folder`, and can be stepped.
-  void HaveOwnClock(const std::string& folder);
-  // Throws std::logic_error where it has none.
-  void StepClock(Duration by);
-  // Whether it answers that it is ready, within that time. Blocks.
-  bool AwaitReady(Duration patience);
-  // What is known is what a restarted sidecar begins with.
-  void SetKnown(nlohmann::json known) { config_.known = std::move(known); }
+  // Gives the sidecar a wall clock of its own, kept in `folder`, that StepClock() can change. Call it before
+  // the first start.
+  void UseOwnWallClock(const std::string& folder);
+  // Steps the sidecar's own wall clock forward by `step`. Throws std::logic_error if the sidecar has none.
+  void StepClock(Duration step);
+  // Waits until the sidecar reports that it is ready; false if it does not within `timeout`. Blocks.
+  bool AwaitReady(Duration timeout);
+  // Set the initial endpoint list and the seed for the next start.
+  void SetEndpointList(nlohmann::json list) { config_.known = std::move(list); }
   void SetSeed(std::uint64_t seed) { config_.seed = seed; }
-  // Replaces the configuration file, for a process that reads it again and for the next start.
-  // Throws std::runtime_error where it can't be written.
-  void MoveDiscovery(std::string discovery);
-  // Replaces the file by half of one, until the next replacement or start.
-  void SpoilConfiguration() const;
+  // Changes the discovery address and rewrites the configuration file, for a reload and for the next start.
+  // Throws std::runtime_error if the file cannot be written.
+  void ChangeDiscoveryAddress(std::string discovery);
+  // Truncates the configuration file to half of its content, until the next rewrite or start.
+  void WriteMalformedConfiguration() const;
 
   const SidecarConfig& config() const { return config_; }
   const boost::asio::ip::tcp::endpoint& listen() const { return port_.endpoint(); }
--- a/lab/real/sidecar_operator.cpp
+++ b/lab/real/sidecar_operator.cpp
@@ -17,10 +17,10 @@
 
 constexpr Duration kMaxCountedDeadline = std::chrono::seconds(3);
 constexpr Duration kShutdownMargin = milliseconds(700);
-// After SIGTERM, new connections keep coming for so long.
+// Time after SIGTERM during which applications still open connections.
 constexpr Duration kConnectsAfterTerm = milliseconds(300);
-constexpr auto kLookEvery = milliseconds(10);
-constexpr Duration kReadyPatience = std::chrono::seconds(10);
+constexpr auto kWatchInterval = milliseconds(10);
+constexpr Duration kReadyTimeout = std::chrono::seconds(10);
 
 }  // namespace
 
@@ -29,13 +29,13 @@
 }
 
 SidecarOperator::SidecarOperator(boost::asio::io_context& tasks, RealFleet& fleet, DiscoveryServer& discovery,
-                                 Duration shutdown_time, ListNow list_now)
+                                 Duration shutdown_time, ListSource list_source)
     : tasks_(tasks),
       fleet_(fleet),
       discovery_(discovery),
       shutdown_time_(shutdown_time),
-      list_now_(std::move(list_now)),
-      look_(tasks) {}
+      list_source_(std::move(list_source)),
+      watch_timer_(tasks) {}
 
 void SidecarOperator::Kill(std::vector<std::size_t> sidecars) {
   boost::asio::post(tasks_, [this, sidecars = std::move(sidecars)] {
@@ -50,41 +50,42 @@
   });
 }
 
-void SidecarOperator::StallClients(std::size_t turn) {
-  boost::asio::post(tasks_,
-                    [this, turn] { fleet_.StallClients(static_cast<StallPoint>(turn % kStallPoints)); });
+void SidecarOperator::StallClients(std::size_t stall_index) {
+  boost::asio::post(tasks_, [this, stall_index] {
+    fleet_.StallClients(static_cast<StallPoint>(stall_index % kStallPoints));
+  });
 }
 
 void SidecarOperator::Reconfigure(bool malformed) {
   boost::asio::post(tasks_, [this, malformed] { ReconfigureNow(malformed); });
 }
 
-void SidecarOperator::StepClocks(std::vector<std::size_t> sidecars, Duration by) {
-  boost::asio::post(tasks_, [this, sidecars = std::move(sidecars), by] {
-    for (const std::size_t sidecar : sidecars) fleet_.StepClock(sidecar, by);
+void SidecarOperator::StepClocks(std::vector<std::size_t> sidecars, Duration step) {
+  boost::asio::post(tasks_, [this, sidecars = std::move(sidecars), step] {
+    for (const std::size_t sidecar : sidecars) fleet_.StepClock(sidecar, step);
   });
 }
 
 void SidecarOperator::KillNow(std::size_t sidecar) {
-  if (!away_.insert(sidecar).second) return;
+  if (!unavailable_.insert(sidecar).second) return;
   fleet_.KillSidecar(sidecar);
   StartLater(sidecar);
 }
 
 void SidecarOperator::StopNow(std::size_t sidecar) {
-  if (!away_.insert(sidecar).second) return;
+  if (!unavailable_.insert(sidecar).second) return;
   ++counters_.stopped;
-  stopping_[sidecar].told = sidecar::Now();
+  stopping_[sidecar].signalled_at = sidecar::Now();
   fleet_.SignalSidecar(sidecar, SIGTERM);
 }
 
 void SidecarOperator::ReconfigureNow(bool malformed) {
   for (const std::size_t sidecar : fleet_.SidecarIndices()) {
-    if (away_.contains(sidecar)) continue;
+    if (unavailable_.contains(sidecar)) continue;
     if (malformed) {
-      fleet_.SpoilConfiguration(sidecar);
+      fleet_.WriteMalformedConfiguration(sidecar);
     } else {
-      fleet_.MoveDiscovery(sidecar, discovery_.Move(sidecar));
+      fleet_.ChangeDiscoveryAddress(sidecar, discovery_.Move(sidecar));
     }
     fleet_.SignalSidecar(sidecar, SIGHUP);
   }
@@ -100,8 +101,8 @@
     it = stopping_.erase(it);
   }
   if (stopping_.empty()) return;
-  look_.expires_after(kLookEvery);
-  look_.async_wait([this](boost::system::error_code error) {
+  watch_timer_.expires_after(kWatchInterval);
+  watch_timer_.async_wait([this](boost::system::error_code error) {
     if (!error) WatchStopping();
   });
 }
@@ -109,10 +110,10 @@
 bool SidecarOperator::HasEnded(std::size_t sidecar, Stopping& stopping) {
   const TimePoint now = sidecar::Now();
   if (!fleet_.SidecarRuns(sidecar)) return true;
-  if (now >= stopping.told + kConnectsAfterTerm && std::exchange(stopping.connecting, false)) {
+  if (now >= stopping.signalled_at + kConnectsAfterTerm && std::exchange(stopping.connecting, false)) {
     fleet_.SetConnecting(sidecar, false);
   }
-  if (now < stopping.told + shutdown_time_) return false;
+  if (now < stopping.signalled_at + shutdown_time_) return false;
   ++counters_.killed_at_limit;
   fleet_.KillSidecar(sidecar);
   return true;
@@ -123,12 +124,12 @@
   const auto timer = std::make_shared<boost::asio::steady_timer>(tasks_, kSidecarRestart);
   timer->async_wait([this, timer, sidecar](boost::system::error_code error) {
     if (error) return;
-    fleet_.StartSidecar(sidecar, list_now_(sidecar));
-    if (!fleet_.AwaitReady(sidecar, kReadyPatience)) {
-      throw std::runtime_error("a restarted sidecar is not ready within 10 s");
+    fleet_.StartSidecar(sidecar, list_source_(sidecar));
+    if (!fleet_.AwaitReady(sidecar, kReadyTimeout)) {
+      throw std::runtime_error("a restarted sidecar did not become ready within 10 s");
     }
     fleet_.SetConnecting(sidecar, true);
-    away_.erase(sidecar);
+    unavailable_.erase(sidecar);
   });
 }
 
--- a/lab/real/sidecar_operator.h
+++ b/lab/real/sidecar_operator.h
@@ -1,5 +1,5 @@
-// The one place where real sidecars are killed, stopped in good order, restarted and reconfigured during a
-// run, as an operator does it.
+// Kills, stops, restarts and reconfigures real sidecars during a run, as an operator does. All such actions
+// go through this class.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -18,47 +18,49 @@
 
 namespace lb::lab {
 
-// From SIGTERM to SIGKILL, where the deployment's longest deadline is this: the deadline (3 s at most) and
-// 0.7 s more.
+// Time from SIGTERM to SIGKILL: the deployment's longest request deadline, counted up to 3 s, plus 0.7 s.
 Duration ShutdownTime(Duration longest_deadline);
 
 struct SidecarOperatorCounters {
-  std::uint64_t stopped = 0;          // received SIGTERM
-  std::uint64_t killed_at_limit = 0;  // of these, still ran at the end of ShutdownTime()
+  std::uint64_t stopped = 0;          // sidecars that received SIGTERM
+  std::uint64_t killed_at_limit = 0;  // of these, still running after ShutdownTime()
 };
 
-// What does not say otherwise may be called from any thread, and is carried out on that of `tasks`, which has
-// to be the fleet's.
+// Unless a method says otherwise, it may be called from any thread and runs asynchronously on the thread of
+// `tasks`, which has to be the thread of the RealFleet.
 class SidecarOperator {
  public:
-  // What a sidecar's list holds now, in discovery's form; called on the thread of `tasks`.
-  using ListNow = std::function<nlohmann::json(std::size_t sidecar)>;
+  // Returns the current endpoint list of a sidecar in discovery's format; called on the thread of `tasks`.
+  using ListSource = std::function<nlohmann::json(std::size_t sidecar)>;
 
-  // References have to outlive it, and it has to outlive the last run of `tasks`.
+  // The referenced objects have to outlive this object, and it has to outlive the last run of `tasks`.
   SidecarOperator(boost::asio::io_context& tasks, RealFleet& fleet, DiscoveryServer& discovery,
-                  Duration shutdown_time, ListNow list_now);
+                  Duration shutdown_time, ListSource list_source);
 
-  // SIGKILL at once, and a new process after kSidecarRestart. What is away already stays so.
+  // Sends SIGKILL immediately, and starts a new process after kSidecarRestart. Ignores sidecars that are
+  // already being stopped or restarted.
   void Kill(std::vector<std::size_t> sidecars);
-  // SIGTERM; the applications go on, and open connections for a moment more; SIGKILL once it is due; then a
-  // new process after kSidecarRestart, whose application waits until it is ready.
+  // Performs a planned stop: sends SIGTERM, stops the application from opening connections 300 ms later,
+  // sends SIGKILL after the shutdown time, and starts a new process after kSidecarRestart. The application
+  // opens connections again once the new process is ready.
   void Stop(std::vector<std::size_t> sidecars);
-  // A client of each real sidecar stops in the middle of a request; where, goes by `turn`.
-  void StallClients(std::size_t turn);
-  // A new configuration for each that runs: the file is replaced, and SIGHUP sent. One that is malformed is
-  // to be refused whole; one that is not moves discovery to another address.
+  // For each real sidecar, starts a client that stops in the middle of a request. `stall_index` cycles
+  // through the StallPoint values.
+  void StallClients(std::size_t stall_index);
+  // Replaces the configuration file of each running sidecar and sends SIGHUP. A valid configuration moves
+  // discovery to another address; a malformed one has to be rejected as a whole by the sidecar.
   void Reconfigure(bool malformed);
 
-  // The wall clocks of their machines go on from a time that is so much later. Hollow ones have none.
-  void StepClocks(std::vector<std::size_t> sidecars, Duration by);
+  // Steps the wall clocks of the sidecars' machines forward by `step`. Hollow sidecars have no wall clock.
+  void StepClocks(std::vector<std::size_t> sidecars, Duration step);
 
-  // On the thread of `tasks`.
+  // Call these only on the thread of `tasks`.
   const SidecarOperatorCounters& counters() const { return counters_; }
-  bool idle() const { return away_.empty(); }  // all run
+  bool idle() const { return unavailable_.empty(); }  // true if all sidecars run
 
  private:
   struct Stopping {
-    TimePoint told;
+    TimePoint signalled_at;
     bool connecting = true;
   };
 
@@ -73,10 +75,10 @@
   RealFleet& fleet_;
   DiscoveryServer& discovery_;
   const Duration shutdown_time_;
-  const ListNow list_now_;
-  std::set<std::size_t> away_;  // killed, stopping or not started yet
+  const ListSource list_source_;
+  std::set<std::size_t> unavailable_;  // killed, stopping or not started yet
   std::map<std::size_t, Stopping> stopping_;
-  boost::asio::steady_timer look_;
+  boost::asio::steady_timer watch_timer_;
   SidecarOperatorCounters counters_;
 };
 
--- a/lab/real/stalled_clients.cpp
+++ b/lab/real/stalled_clients.cpp
@@ -13,7 +13,7 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-std::string Beginning(const std::string& class_name, StallPoint point) {
+std::string PartialRequest(const std::string& class_name, StallPoint point) {
   const std::string line = "POST /" + class_name + "/stalled HTTP/1.1\r\n";
   const std::string headers = "Host: api.internal\r\nX-Request-ID: stalled\r\nX-Timeout-Ms: 500\r\n";
   switch (point) {
@@ -48,8 +48,8 @@
 
   void Start(const tcp::endpoint& sidecar) {
     socket_.async_connect(sidecar, [self = shared_from_this()](error_code error) {
-      if (error) return self->Leave();
-      self->Limit();
+      if (error) return self->Remove();
+      self->StartTimeout();
       boost::asio::async_write(self->socket_, boost::asio::buffer(self->text_),
                                [self](error_code write_error, std::size_t) {
                                  if (const auto state = self->state_.lock()) ++state->counters.begun;
@@ -65,13 +65,13 @@
   }
 
  private:
-  void Limit() {
+  void StartTimeout() {
     scheduler_.After(kStalledClientLimit, [weak = weak_from_this()] {
       if (const auto self = weak.lock()) self->End(false);
     });
   }
 
-  // An answer or an end: the first byte of either counts.
+  // Ends the client on the first bytes of a response or on the end of the connection.
   void AwaitEnd() {
     socket_.async_read_some(boost::asio::buffer(answer_),
                             [self = shared_from_this()](error_code, std::size_t) { self->End(true); });
@@ -82,10 +82,10 @@
     if (const auto state = state_.lock()) {
       ++(in_time ? state->counters.in_time : state->counters.unanswered);
     }
-    Leave();
+    Remove();
   }
 
-  void Leave() {
+  void Remove() {
     ended_ = true;
     Close();
     if (const auto state = state_.lock()) state->open.erase(shared_from_this());
@@ -108,7 +108,7 @@
 }
 
 void StalledClients::Begin(const tcp::endpoint& sidecar, const std::string& class_name, StallPoint point) {
-  const auto client = std::make_shared<Client>(io_, scheduler_, state_, Beginning(class_name, point));
+  const auto client = std::make_shared<Client>(io_, scheduler_, state_, PartialRequest(class_name, point));
   state_->open.insert(client);
   client->Start(sidecar);
 }
--- a/lab/real/stalled_clients.h
+++ b/lab/real/stalled_clients.h
@@ -1,4 +1,5 @@
-// Clients that stop in the middle of a request and stay: whether a sidecar answers or closes in time.
+// Clients that stop writing in the middle of a request and keep the connection open, to check whether a
+// sidecar responds or closes the connection in time.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -13,8 +14,8 @@
 
 namespace lb::lab {
 
-// An error or a close is owed to such a client so long after it has connected, with the slack that the
-// protocol gives on sockets.
+// Time after connecting within which the sidecar has to send an error response or close the connection,
+// including the tolerance that the protocol grants for sockets.
 inline constexpr Duration kStalledClientLimit = std::chrono::milliseconds(3050);
 
 enum class StallPoint {
@@ -24,27 +25,27 @@
 };
 inline constexpr std::size_t kStallPoints = 3;
 
-// Since the last look.
+// Counts since the last call of StalledClients::Take().
 struct StalledClientCounters {
-  std::uint64_t begun = 0;       // that were connected, and have written what they write
-  std::uint64_t in_time = 0;     // of these, ended by the sidecar within kStalledClientLimit
-  std::uint64_t unanswered = 0;  // of these, not ended within it
+  std::uint64_t begun = 0;       // clients that connected and wrote the beginning of a request
+  std::uint64_t in_time = 0;     // clients answered or closed by the sidecar within kStalledClientLimit
+  std::uint64_t unanswered = 0;  // clients neither answered nor closed within that time
   StalledClientCounters& operator+=(const StalledClientCounters& other);
 };
 
-// All on the thread of one io_context, by which `scheduler` has to go, too: every call has to be made there,
-// or while it does not run.
+// Not thread-safe: call it only on the thread of its io_context, or while the io_context is not running.
 class StalledClients {
  public:
-  // Both have to outlive it.
+  // `scheduler` has to run on `io`. Both have to outlive this object.
   StalledClients(boost::asio::io_context& io, Scheduler& scheduler);
   ~StalledClients();
 
-  // A client connects, writes a request of that class up to `point`, and waits for its end. What does not
-  // connect is not counted.
+  // Starts a client that connects, writes a request of the class `class_name` up to `point`, and waits for a
+  // response or a close. A client that fails to connect is not counted.
   void Begin(const boost::asio::ip::tcp::endpoint& sidecar, const std::string& class_name, StallPoint point);
+  // Returns the counts since the last call and resets them.
   StalledClientCounters Take();
-  std::size_t open() const;  // that wait
+  std::size_t open() const;  // clients that are still connecting or waiting
 
  private:
   class Client;
--- a/lab/real/upstream_operator.cpp
+++ b/lab/real/upstream_operator.cpp
@@ -29,21 +29,21 @@
       real_(real) {}
 
 template <typename OnModel, typename OnHttp>
-void UpstreamOperator::Both(std::size_t upstream, OnModel on_model, OnHttp on_http) {
+void UpstreamOperator::ApplyToBoth(std::size_t upstream, OnModel on_model, OnHttp on_http) {
   on_model(hollow_.model(upstream));
   if (real_ == nullptr) return;
-  real_->AtUpstreams([upstream, on_http](HttpUpstreams& upstreams) { on_http(upstreams, upstream); });
+  real_->PostToUpstreams([upstream, on_http](HttpUpstreams& upstreams) { on_http(upstreams, upstream); });
 }
 
 void UpstreamOperator::Crash(std::size_t upstream) {
-  Both(
+  ApplyToBoth(
       upstream, [](UpstreamModel& model) { model.Crash(); },
       [](HttpUpstreams& upstreams, std::size_t i) { upstreams.Crash(i); });
 }
 
 void UpstreamOperator::Start(std::size_t upstream) {
-  // Faults may overlap: where it runs already, that process ends.
-  Both(
+  // Faults may overlap: if a process is already running, it crashes first.
+  ApplyToBoth(
       upstream,
       [](UpstreamModel& model) {
         if (model.running()) model.Crash();
@@ -56,31 +56,31 @@
   MembershipEntry entry = Entry(upstream);
   entry.state = UpstreamState::kServing;
   entry.boot_ms = UnixMilliseconds();
-  Tell(entry);
+  PublishEntry(entry);
 }
 
 void UpstreamOperator::SetHanging(std::size_t upstream, bool hanging) {
-  Both(
+  ApplyToBoth(
       upstream, [=](UpstreamModel& model) { model.SetHanging(hanging); },
       [=](HttpUpstreams& upstreams, std::size_t i) { upstreams.SetHanging(i, hanging); });
 }
 
 void UpstreamOperator::SetSlowdown(std::size_t upstream, double factor) {
-  Both(
+  ApplyToBoth(
       upstream, [=](UpstreamModel& model) { model.SetSlowdown(factor); },
       [=](HttpUpstreams& upstreams, std::size_t i) { upstreams.SetSlowdown(i, factor); });
 }
 
-void UpstreamOperator::Vanish(std::size_t upstream) {
-  Both(
+void UpstreamOperator::MakeUnreachable(std::size_t upstream) {
+  ApplyToBoth(
       upstream, [](UpstreamModel& model) { model.SetSilent(true); },
       [](HttpUpstreams& upstreams, std::size_t i) { upstreams.SetSilent(i, true); });
 }
 
-void UpstreamOperator::Return(std::size_t upstream) {
-  // The process has died before anybody reaches the machine again.
+void UpstreamOperator::MakeReachable(std::size_t upstream) {
+  // The old process must die before the machine can be reached again.
   Crash(upstream);
-  Both(
+  ApplyToBoth(
       upstream, [](UpstreamModel& model) { model.SetSilent(false); },
       [](HttpUpstreams& upstreams, std::size_t i) { upstreams.SetSilent(i, false); });
   Start(upstream);
@@ -89,7 +89,7 @@
 void UpstreamOperator::Restart(std::size_t upstream) {
   SetState(upstream, UpstreamState::kDraining);
   scheduler_.After(kDrainAnnounced, [this, upstream] {
-    Both(
+    ApplyToBoth(
         upstream, [](UpstreamModel& model) { model.SetDraining(true); },
         [](HttpUpstreams& upstreams, std::size_t i) { upstreams.SetDraining(i, true); });
   });
@@ -103,7 +103,7 @@
 void UpstreamOperator::ChangeWeight(std::size_t upstream, double factor) {
   MembershipEntry entry = Entry(upstream);
   entry.weight = deployment_.upstreams[upstream].weight * factor;
-  Tell(entry);
+  PublishEntry(entry);
 }
 
 MembershipEntry UpstreamOperator::Entry(std::size_t upstream) const {
@@ -113,12 +113,13 @@
 void UpstreamOperator::SetState(std::size_t upstream, UpstreamState state) {
   MembershipEntry entry = Entry(upstream);
   entry.state = state;
-  Tell(entry);
+  PublishEntry(entry);
 }
 
-void UpstreamOperator::Tell(const MembershipEntry& entry) {
+void UpstreamOperator::PublishEntry(const MembershipEntry& entry) {
   const std::uint64_t revision = registry_.Change(entry);
-  if (discovery_.Change(entry) != revision) throw std::logic_error("discovery counts other revisions");
+  if (discovery_.Change(entry) != revision)
+    throw std::logic_error("discovery and the registry disagree on the revision");
   hollow_.propagation().Changed(revision, entry.service, scheduler_.Now());
 }
 
--- a/lab/real/upstream_operator.h
+++ b/lab/real/upstream_operator.h
@@ -1,5 +1,5 @@
-// The one place where upstreams change during a run on the real clock, so that models, HTTP upstreams and
-// discovery agree.
+// Changes the state of upstreams during a run on the real clock. All changes go through this class, which
+// keeps the hollow sidecars' models, the HTTP upstreams and discovery consistent.
 #pragma once
 
 #include <cstddef>
@@ -14,34 +14,34 @@
 
 namespace lb::lab {
 
-// On the hollow fleet's thread.
+// Call it only on the hollow fleet's thread.
 class UpstreamOperator {
  public:
-  // `registry` is the list that `discovery` began with; `real` is null where there are no real sidecars. All
-  // references have to outlive it.
+  // `registry` has to equal the initial endpoint list of `discovery`; `real` is null without real sidecars.
+  // The referenced objects have to outlive this object.
   UpstreamOperator(const Deployment& deployment, MembershipRegistry registry, Scheduler& scheduler,
                    DiscoveryServer& discovery, HollowFleet& hollow, RealFleet* real);
 
   const MembershipRegistry& registry() const { return registry_; }
 
-  void Crash(std::size_t upstream);  // the list stands
-  void Start(std::size_t upstream);  // a new process, cold and listed
+  void Crash(std::size_t upstream);  // the endpoint list does not change
+  void Start(std::size_t upstream);  // starts a new, cold process and lists it
   void SetHanging(std::size_t upstream, bool hanging);
   void SetSlowdown(std::size_t upstream, double factor);
-  void Vanish(std::size_t upstream);  // the machine is silent
-  void Return(std::size_t upstream);  // it is back, with a new process
-  // Drained, gone and back over some seconds.
+  void MakeUnreachable(std::size_t upstream);  // the machine does not respond
+  void MakeReachable(std::size_t upstream);    // the machine responds again, with a new process
+  // Drains the upstream, removes it and starts it again, over several seconds.
   void Restart(std::size_t upstream);
-  // Its registered weight becomes so many times its own.
+  // Sets the registered weight to `factor` times the weight in the deployment.
   void ChangeWeight(std::size_t upstream, double factor);
 
  private:
   MembershipEntry Entry(std::size_t upstream) const;
   void SetState(std::size_t upstream, lb::UpstreamState state);
-  void Tell(const MembershipEntry& entry);
-  // Does the same with the model of the hollow sidecars and the one of the real ones.
+  void PublishEntry(const MembershipEntry& entry);
+  // Applies a change to the model used by the hollow sidecars and to the HTTP upstream used by the real ones.
   template <typename OnModel, typename OnHttp>
-  void Both(std::size_t upstream, OnModel on_model, OnHttp on_http);
+  void ApplyToBoth(std::size_t upstream, OnModel on_model, OnHttp on_http);
 
   const Deployment& deployment_;
   MembershipRegistry registry_;
--- a/tests/lab_client_faults_test.cpp
+++ b/tests/lab_client_faults_test.cpp
@@ -1,5 +1,4 @@
-// What the emulated clients count of a sidecar that does not answer them: stalled clients and dropped
-// requests.
+// Counters of the emulated clients for a sidecar that does not respond: stalled clients and dropped requests.
 #include <boost/asio/read_until.hpp>
 #include <boost/asio/steady_timer.hpp>
 #include <boost/asio/write.hpp>
@@ -29,8 +28,8 @@
 
 constexpr Duration kWaitLimit = seconds(20);
 
-// A stand-in for a sidecar on loopback. Calls `on_request` with each connection whose request header has
-// come; it may write to it, close it or keep it.
+// A fake sidecar on loopback. Calls `on_request` with a connection each time a request header has been
+// received; the callback may write to the connection, close it or leave it open.
 class SidecarStandIn {
  public:
   using Connection = std::shared_ptr<tcp::socket>;
@@ -54,7 +53,7 @@
                                   });
   }
 
-  // Answers, and reads the next request.
+  // Sends a response with status 200 and reads the next request.
   void Answer(const Connection& connection) {
     static constexpr std::string_view kAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
     boost::asio::write(*connection, boost::asio::buffer(kAnswer));
@@ -79,7 +78,7 @@
   tcp::acceptor acceptor_{io, tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0)};
 };
 
-TEST(StalledClients, CountAsUnansweredIfNobodyEndsThem) {
+TEST(StalledClients, CountAsUnansweredIfTheSidecarNeverResponds) {
   SidecarStandIn silent([](const SidecarStandIn::Connection&) {});
   RealScheduler scheduler(silent.io);
   StalledClients clients(silent.io, scheduler);
@@ -109,9 +108,9 @@
   EXPECT_EQ(clients.Take().in_time, 2u);
 }
 
-// What a load counts of a sidecar that does `on_request`.
-LoadWindow Play(const std::function<void(SidecarStandIn&, const SidecarStandIn::Connection&)>& on_request,
-                Duration listens_on, std::size_t requests = 5) {
+// Runs a load against a fake sidecar that handles requests with `on_request`, and returns the load's counts.
+LoadWindow RunLoad(const std::function<void(SidecarStandIn&, const SidecarStandIn::Connection&)>& on_request,
+                   Duration listens_on, std::size_t requests = 5) {
   SidecarStandIn* itself = nullptr;
   SidecarStandIn peer([&](const SidecarStandIn::Connection& connection) { on_request(*itself, connection); });
   itself = &peer;
@@ -129,7 +128,7 @@
   load.Start();
   EXPECT_TRUE(peer.RunUntil([&] { return load.begun() >= requests; }));
   load.Stop();
-  EXPECT_TRUE(peer.RunUntil([&] { return load.under_way() == 0; }));
+  EXPECT_TRUE(peer.RunUntil([&] { return load.in_flight() == 0; }));
   return load.Take();
 }
 
@@ -141,35 +140,37 @@
   const auto answer = [](SidecarStandIn& peer, const SidecarStandIn::Connection& connection) {
     peer.Answer(connection);
   };
-  const LoadWindow closed = Play(close, milliseconds(100));
+  const LoadWindow closed = RunLoad(close, milliseconds(100));
   EXPECT_EQ(closed.dropped, closed.traffic.requests);
-  const LoadWindow silent = Play(keep, milliseconds(100));
+  const LoadWindow silent = RunLoad(keep, milliseconds(100));
   EXPECT_EQ(silent.dropped, silent.traffic.requests);
   EXPECT_EQ(silent.unanswered, silent.traffic.requests);
-  EXPECT_EQ(Play(keep, {}).dropped, 0u) << "clients that leave at their deadline count as nothing";
-  EXPECT_EQ(Play(answer, milliseconds(100)).dropped, 0u);
+  EXPECT_EQ(RunLoad(keep, {}).dropped, 0u) << "tries whose client closes at its time-out are not counted";
+  EXPECT_EQ(RunLoad(answer, milliseconds(100)).dropped, 0u);
 }
 
 TEST(DroppedRequests, AreNotThoseAnsweredWhileTheirClientListensOn) {
-  // Behind the client's time of 600 ms, well within the 5 s that it listens on.
+  // The response comes after the client's time-out of 600 ms, but well within the 5 s for which the client
+  // keeps the connection open.
   const auto late = [](SidecarStandIn& peer, const SidecarStandIn::Connection& connection) {
     const auto timer = std::make_shared<boost::asio::steady_timer>(peer.io, milliseconds(700));
     timer->async_wait([&peer, connection, timer](error_code) { peer.Answer(connection); });
   };
-  const LoadWindow window = Play(late, seconds(5));
+  const LoadWindow window = RunLoad(late, seconds(5));
   EXPECT_EQ(window.unanswered, window.traffic.requests);
   EXPECT_EQ(window.dropped, 0u);
 }
 
 TEST(DroppedRequests, AreThoseReadOnAnIdleConnectionAndClosedMuchLater) {
-  // Each connection is answered once; its second request is held, and closed 400 ms later.
+  // The first request of each connection is answered; the second one gets no response, and the connection is
+  // closed 400 ms later.
   std::set<const tcp::socket*> answered;
   const auto hold = [&](SidecarStandIn& peer, const SidecarStandIn::Connection& connection) {
     if (answered.insert(connection.get()).second) return peer.Answer(connection);
     const auto timer = std::make_shared<boost::asio::steady_timer>(peer.io, milliseconds(400));
     timer->async_wait([connection, timer](error_code) { connection->close(); });
   };
-  const LoadWindow window = Play(hold, milliseconds(100), 20);
+  const LoadWindow window = RunLoad(hold, milliseconds(100), 20);
   EXPECT_GT(window.dropped, 0u);
 }
 
--- a/tests/lab_fleet_rules_test.cpp
+++ b/tests/lab_fleet_rules_test.cpp
@@ -1,4 +1,4 @@
-// The rules that real sidecars are judged by: each check has to fail if its rule is broken.
+// Rules that real sidecars have to follow: each check has to report a violation of its rule.
 #include <algorithm>
 #include <chrono>
 #include <functional>
@@ -64,26 +64,27 @@
   };
   EXPECT_EQ(late_after(0, 1, allowed), 0u);
   EXPECT_EQ(late_after(0, 1, allowed + milliseconds(1)), 1u);
-  EXPECT_EQ(late_after(1, 1, seconds(5)), 0u) << "that sidecar was not told";
-  EXPECT_EQ(late_after(0, 2, seconds(5)), 0u) << "that upstream serves";
+  EXPECT_EQ(late_after(1, 1, seconds(5)), 0u) << "the sidecar was not informed of the drain";
+  EXPECT_EQ(late_after(0, 2, seconds(5)), 0u) << "the upstream is not draining";
   fleet.rules.Told(0, fleet.Entry(1, UpstreamState::kServing, 1), fleet.start + seconds(6));
-  EXPECT_EQ(late_after(0, 1, seconds(7)), 0u) << "it is back";
+  EXPECT_EQ(late_after(0, 1, seconds(7)), 0u) << "the upstream serves again";
 }
 
-// An upstream of two cores and 100 ms a request: 20 a second when warm, half of it at the start.
-TEST(FleetRules, CountsAnOverloadOfAColdUpstreamByThoseWhoKnewOfItsStart) {
+// An upstream with two cores and 100 ms per request serves 20 requests per second when warm, and half as many
+// at the start of slow start.
+TEST(FleetRules, CountsColdOverloadsOnlyByInformedSidecars) {
   EXPECT_DOUBLE_EQ(SlowStartBudget(25), 25 + 15 + 3);
   EXPECT_DOUBLE_EQ(SlowStartBudget(36), 36 + 12 + 2);
   struct {
     const char* what;
-    double shares_of_budget;  // sent within a tenth of a second
-    std::size_t unknowing_of_ten;
-    Duration after;  // the start
+    double shares_of_budget;  // attempts sent within 100 ms, as a multiple of SlowStartBudget()
+    std::size_t uninformed_of_ten;
+    Duration after;  // from the upstream's start to the first attempt
     std::uint64_t overloads;
   } const cases[] = {{"within the budget", 0.8, 0, {}, 0},
-                     {"over it", 3, 0, {}, 1},
-                     {"over it, mostly from sidecars that could not know", 3, 5, {}, 0},
-                     {"warm again", 3, 0, seconds(11), 0}};
+                     {"over the budget", 3, 0, {}, 1},
+                     {"over the budget, but half of it from sidecars not informed of the start", 3, 5, {}, 0},
+                     {"after slow start", 3, 0, seconds(11), 0}};
   for (const auto& c : cases) {
     Fleet fleet;
     fleet.rules.Started(2, fleet.start);
@@ -93,7 +94,7 @@
                            upstream.speed * 10 * fleet.settings.fleet_limits.slow_start_initial_share;
     const int attempts = static_cast<int>(c.shares_of_budget * SlowStartBudget(allowed));
     for (int i = 0; i < attempts; ++i) {
-      const std::size_t sidecar = static_cast<std::size_t>(i) % 10 < c.unknowing_of_ten ? 1 : 0;
+      const std::size_t sidecar = static_cast<std::size_t>(i) % 10 < c.uninformed_of_ten ? 1 : 0;
       fleet.rules.Attempted(sidecar, 2, milliseconds(100),
                             fleet.start + c.after + milliseconds(100) * i / attempts);
     }
@@ -101,20 +102,20 @@
   }
 }
 
-TEST(SidecarOperator, KillsADeadlineAndALittleAfterSigterm) {
+TEST(SidecarOperator, ShutdownTimeIsTheCappedDeadlinePlusAMargin) {
   EXPECT_EQ(ShutdownTime(milliseconds(400)), milliseconds(1100));
   EXPECT_EQ(ShutdownTime(seconds(20)), milliseconds(3700));
 }
 
-// What the upstreams see of a real sidecar reaches the rules: here the rules know of drains and of a start
-// that the sidecar does not.
-TEST(FleetRules, SeeARealSidecarBreakThem) {
+// Attempts of a real sidecar at the upstreams are reported to the rules. The test informs only the rules, not
+// the sidecar, of drains and of a start, so that the sidecar violates the rules.
+TEST(FleetRules, DetectViolationsByARealSidecar) {
   Experiment experiment = Fleet().experiment;
   experiment.sidecars.real = 1;
-  experiment.sidecars_per_upstream = 0.34;  // one
+  experiment.sidecars_per_upstream = 0.34;  // yields one sidecar
   experiment.load.per_upstream = 15;
   experiment.upstreams.slow_start_initial_share =
-      1;  // a cold one answers as fast as any, but the rules allow it little
+      1;  // no slow start at the upstreams, although the rules below allow a cold one few requests
   const Deployment deployment = MakeDeployment(experiment, 3);
   const SidecarInstance& real = *std::find_if(deployment.sidecars.begin(), deployment.sidecars.end(),
                                               [](const SidecarInstance& s) { return s.real; });
@@ -152,10 +153,10 @@
   };
   EXPECT_TRUE(await([&] { return rules.counters().late_to_draining > 0; }));
 
-  // Nor does it know that an upstream restarted.
+  // The sidecar is not informed of the restart of an upstream either.
   entries[0].state = UpstreamState::kServing;
   entries[0].boot_ms = 1;
-  fleet.AtUpstreams([&](HttpUpstreams& upstreams) {
+  fleet.PostToUpstreams([&](HttpUpstreams& upstreams) {
     upstreams.Crash(0);
     upstreams.Start(0);
     rules.Told(real.index, entries[0], sidecar::Now());
--- a/tests/lab_http_load_test.cpp
+++ b/tests/lab_http_load_test.cpp
@@ -1,4 +1,4 @@
-// The lab's HTTP load, over loopback sockets.
+// Tests of the lab's HTTP load generator over loopback sockets.
 #include <algorithm>
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/read_until.hpp>
@@ -23,64 +23,64 @@
 using std::chrono::milliseconds;
 
 TEST(LabHttpLoad, CountsOnBothSidesAgree) {
-  Stage stage(2);
+  Testbed testbed(2);
   const LoadWindow window =
-      stage.Play({{stage.upstreams().endpoint(0), 300}, {stage.upstreams().endpoint(1), 100}}, 300);
+      testbed.RunLoad({{testbed.upstreams().endpoint(0), 300}, {testbed.upstreams().endpoint(1), 100}}, 300);
   EXPECT_EQ(window.traffic.in_time, window.traffic.requests);
   EXPECT_EQ(window.added_ms.count(), window.traffic.requests);
-  EXPECT_EQ(stage.upstreams().TotalCounters().requests, window.traffic.requests);
-  // Three quarters of them, give or take five standard deviations.
-  const auto share = static_cast<double>(stage.upstreams().counters(0).requests) /
+  EXPECT_EQ(testbed.upstreams().TotalCounters().requests, window.traffic.requests);
+  // Expects three quarters of the requests, with a tolerance of five standard deviations.
+  const auto share = static_cast<double>(testbed.upstreams().counters(0).requests) /
                      static_cast<double>(window.traffic.requests);
   EXPECT_NEAR(share, 0.75, 0.13);
-  EXPECT_GT(window.latency_ms.mean(), 0.9);  // of work, 1 ms on the average
+  EXPECT_GT(window.latency_ms.mean(), 0.9);  // the mean service time is 1 ms
   EXPECT_LT(window.added_ms.mean(), window.latency_ms.mean());
   EXPECT_GE(window.added_ms.Percentile(0), 0);
 }
 
-TEST(LabHttpLoad, RetriesWhatMayBeRepeatedAndHearsOfSilence) {
-  Stage stage(1);
-  stage.classes = {Stage::Class("read", lb::Idempotency::kIdempotent)};
-  stage.clients.backoff = milliseconds(1);
-  stage.upstreams().SetDraining(0, true);
-  const LoadWindow refused = stage.Play({{stage.upstreams().endpoint(0), 200}}, 20);
+TEST(LabHttpLoad, RetriesRepeatableRequestsAndCountsUnansweredOnes) {
+  Testbed testbed(1);
+  testbed.classes = {Testbed::Class("read", lb::Idempotency::kIdempotent)};
+  testbed.clients.backoff = milliseconds(1);
+  testbed.upstreams().SetDraining(0, true);
+  const LoadWindow refused = testbed.RunLoad({{testbed.upstreams().endpoint(0), 200}}, 20);
   EXPECT_EQ(refused.traffic.refused, refused.traffic.requests);
   EXPECT_EQ(refused.traffic.client_retries, refused.traffic.requests);
-  EXPECT_EQ(stage.upstreams().counters(0).requests, 2 * refused.traffic.requests);
-  stage.upstreams().SetDraining(0, false);
+  EXPECT_EQ(testbed.upstreams().counters(0).requests, 2 * refused.traffic.requests);
+  testbed.upstreams().SetDraining(0, false);
 
-  stage.classes[0].deadline = milliseconds(300);
-  stage.upstreams().SetHanging(0, true);
-  const LoadWindow silent = stage.Play({{stage.upstreams().endpoint(0), 200}}, 20);
+  testbed.classes[0].deadline = milliseconds(300);
+  testbed.upstreams().SetHanging(0, true);
+  const LoadWindow silent = testbed.RunLoad({{testbed.upstreams().endpoint(0), 200}}, 20);
   EXPECT_EQ(silent.unanswered, silent.traffic.requests);
   EXPECT_EQ(silent.traffic.failed, silent.traffic.requests);
   EXPECT_EQ(silent.traffic.client_retries, silent.traffic.requests);
 
-  stage.classes[0].idempotency = lb::Idempotency::kNotIdempotent;
-  EXPECT_EQ(stage.Play({{stage.upstreams().endpoint(0), 200}}, 20).traffic.client_retries, 0U);
+  testbed.classes[0].idempotency = lb::Idempotency::kNotIdempotent;
+  EXPECT_EQ(testbed.RunLoad({{testbed.upstreams().endpoint(0), 200}}, 20).traffic.client_retries, 0U);
 }
 
-TEST(LabHttpLoad, TheFactorCountsAtOnceAndConnectionsAreKept) {
-  Stage stage(1);
-  const auto load = stage.Load({{stage.upstreams().endpoint(0), 100}});
+TEST(LabHttpLoad, AppliesTheFactorAtOnceAndReusesConnections) {
+  Testbed testbed(1);
+  const auto load = testbed.Load({{testbed.upstreams().endpoint(0), 100}});
   load->SetFactor(0);
   load->Start();
-  stage.RunFor(milliseconds(200));
+  testbed.RunFor(milliseconds(200));
   EXPECT_EQ(load->begun(), 0U);
   load->SetFactor(5);
-  ASSERT_TRUE(stage.RunUntil([&] { return load->begun() >= 200; }));
+  ASSERT_TRUE(testbed.RunUntil([&] { return load->begun() >= 200; }));
   load->Stop();
-  ASSERT_TRUE(stage.RunUntil([&] { return load->under_way() == 0; }));
+  ASSERT_TRUE(testbed.RunUntil([&] { return load->in_flight() == 0; }));
   EXPECT_GE(load->connections(), 1U);
-  EXPECT_LT(stage.upstreams().counters(0).connections, load->begun() / 2);
+  EXPECT_LT(testbed.upstreams().counters(0).connections, load->begun() / 2);
 }
 
-// Answers the requests that reach it, over all connections, with the texts in turn, the last one again and
-// again. An empty one closes the connection.
-class Script {
+// A fake sidecar that answers the n-th request, counted over all connections, with the n-th of `answers`, and
+// further requests with the last one. An empty answer closes the connection.
+class ScriptedSidecar {
  public:
-  Script(Stage& stage, std::vector<std::string> answers)
-      : acceptor_(stage.io, {boost::asio::ip::address_v4::loopback(), 0}), answers_(std::move(answers)) {
+  ScriptedSidecar(Testbed& testbed, std::vector<std::string> answers)
+      : acceptor_(testbed.io, {boost::asio::ip::address_v4::loopback(), 0}), answers_(std::move(answers)) {
     Accept();
   }
   tcp::endpoint endpoint() const { return acceptor_.local_endpoint(); }
@@ -120,17 +120,18 @@
 
 constexpr char kServed[] = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok\n";
 
-TEST(LabHttpLoad, WaitsForRetryAfterWhereItsClientsHeedIt) {
-  Stage stage(0);
-  stage.clients.backoff = milliseconds(1);
+TEST(LabHttpLoad, WaitsForRetryAfterIfItsClientsHeedIt) {
+  Testbed testbed(0);
+  testbed.clients.backoff = milliseconds(1);
   for (const bool heeds : {true, false}) {
-    stage.clients.heeds_retry_after = heeds ? 1 : 0;
-    Script sidecar(stage, {"HTTP/1.1 503 x\r\nRetry-After: 0.4\r\nContent-Length: 0\r\n\r\n", kServed});
-    const auto load = stage.Load({{sidecar.endpoint(), 1000}});
+    testbed.clients.heeds_retry_after = heeds ? 1 : 0;
+    ScriptedSidecar sidecar(testbed,
+                            {"HTTP/1.1 503 x\r\nRetry-After: 0.4\r\nContent-Length: 0\r\n\r\n", kServed});
+    const auto load = testbed.Load({{sidecar.endpoint(), 1000}});
     load->Start();
-    ASSERT_TRUE(stage.RunUntil([&] { return load->begun() == 1; }));
+    ASSERT_TRUE(testbed.RunUntil([&] { return load->begun() == 1; }));
     load->Stop();
-    ASSERT_TRUE(stage.RunUntil([&] { return load->under_way() == 0; }));
+    ASSERT_TRUE(testbed.RunUntil([&] { return load->in_flight() == 0; }));
     ASSERT_EQ(sidecar.requests.size(), 2U);
     EXPECT_EQ(sidecar.times[1] - sidecar.times[0] >= milliseconds(390), heeds);
     EXPECT_NE(sidecar.requests[1].find("X-Retried: 1\r\n"), std::string::npos);
@@ -138,15 +139,15 @@
   }
 }
 
-TEST(LabHttpLoad, SendsOnceMoreWhatCrossedTheCloseOfAnIdleConnection) {
-  Stage stage(0);
-  stage.clients.retries = 0;
-  Script sidecar(stage, {kServed, "", kServed});
-  const auto load = stage.Load({{sidecar.endpoint(), 50}});
+TEST(LabHttpLoad, ResendsARequestThatCrossedTheCloseOfAnIdleConnection) {
+  Testbed testbed(0);
+  testbed.clients.retries = 0;
+  ScriptedSidecar sidecar(testbed, {kServed, "", kServed});
+  const auto load = testbed.Load({{sidecar.endpoint(), 50}});
   load->Start();
-  ASSERT_TRUE(stage.RunUntil([&] { return load->begun() >= 2; }));
+  ASSERT_TRUE(testbed.RunUntil([&] { return load->begun() >= 2; }));
   load->Stop();
-  ASSERT_TRUE(stage.RunUntil([&] { return load->under_way() == 0; }));
+  ASSERT_TRUE(testbed.RunUntil([&] { return load->in_flight() == 0; }));
   ASSERT_EQ(sidecar.requests.size(), load->begun() + 1);
   EXPECT_EQ(sidecar.requests[1], sidecar.requests[2]);
   EXPECT_EQ(load->Take().traffic.in_time, load->begun());
--- a/tests/lab_http_upstream_test.cpp
+++ b/tests/lab_http_upstream_test.cpp
@@ -1,4 +1,4 @@
-// The lab's HTTP upstreams, over loopback sockets.
+// Tests of the lab's HTTP upstreams over loopback sockets.
 #include <array>
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/write.hpp>
@@ -25,10 +25,10 @@
   return "GET " + target + " HTTP/1.1\r\nHost: x\r\n" + headers + "\r\n";
 }
 
-// A connection that says what a test tells it to, and keeps what comes back.
+// A client connection that sends given texts and records the data received.
 class Caller {
  public:
-  Caller(Stage& stage, const tcp::endpoint& to) : stage_(stage), socket_(stage.io) {
+  Caller(Testbed& testbed, const tcp::endpoint& to) : testbed_(testbed), socket_(testbed.io) {
     socket_.async_connect(to, [this](error_code error) {
       connected = !error;
       ended = static_cast<bool>(error);
@@ -36,28 +36,28 @@
       if (!error) Read();
     });
   }
-  // An exception here ends the test program, as it should.
+  // An exception here terminates the test program, which is intended.
   ~Caller() {  // NOLINT(bugprone-exception-escape)
     Close();
-    stage_.RunUntil([this] { return ended; });
+    testbed_.RunUntil([this] { return ended; });
   }
   void Close() {
     error_code ignored;
     socket_.close(ignored);
   }
   void Send(const std::string& text) {
-    ASSERT_TRUE(stage_.RunUntil([this] { return connected; }));
+    ASSERT_TRUE(testbed_.RunUntil([this] { return connected; }));
     boost::asio::write(socket_, boost::asio::buffer(text));
   }
-  // The whole answer to it.
+  // Sends `text` and returns the whole response.
   std::string Ask(const std::string& text) {
     received.clear();
     Send(text);
-    EXPECT_TRUE(stage_.RunUntil([this] { return ended || IsWhole(); }));
+    EXPECT_TRUE(testbed_.RunUntil([this] { return ended || IsWhole(); }));
     return received;
   }
   bool Ends() {
-    return stage_.RunUntil([this] { return ended; });
+    return testbed_.RunUntil([this] { return ended; });
   }
 
   bool connected = false;
@@ -84,14 +84,14 @@
     return received.size() == head_end + 4 + size;
   }
 
-  Stage& stage_;
+  Testbed& testbed_;
   tcp::socket socket_;
   std::array<char, 1024> bytes_{};
 };
 
-TEST(LabHttpUpstream, AnswersWhenTheModelSaysAndOnlyWhatHasAnId) {
-  Stage stage(1);
-  Caller caller(stage, stage.upstreams().endpoint(0));
+TEST(LabHttpUpstream, AnswersAfterTheModelsServiceTimeAndRejectsRequestsWithoutAnId) {
+  Testbed testbed(1);
+  Caller caller(testbed, testbed.upstreams().endpoint(0));
   const std::string answer = caller.Ask(GetText("/read/7", "X-Request-ID: 1\r\nX-Work-Us: 30000\r\n"));
   EXPECT_TRUE(answer.starts_with("HTTP/1.1 200 ")) << answer;
   const auto service = answer.find("X-Service-Us: ");
@@ -99,111 +99,111 @@
   EXPECT_GE(std::stoi(answer.substr(service + 14)), 30000);
   EXPECT_TRUE(caller.Ask(GetText("/read/7", "")).starts_with("HTTP/1.1 404 "));
   EXPECT_TRUE(caller.Ask(GetText("/alive")).starts_with("HTTP/1.1 404 "));
-  const HttpUpstreamCounters& counters = stage.upstreams().counters(0);
+  const HttpUpstreamCounters& counters = testbed.upstreams().counters(0);
   EXPECT_EQ(counters.connections, 1U);
   EXPECT_EQ(counters.requests, 1U);
   EXPECT_EQ(counters.served, 1U);
-  EXPECT_EQ(counters.bad, 1U);
+  EXPECT_EQ(counters.invalid, 1U);
   EXPECT_EQ(counters.probes, 0U);
-  EXPECT_EQ(stage.upstreams().model(0).connections(), 1U);
+  EXPECT_EQ(testbed.upstreams().model(0).connections(), 1U);
   caller.Close();
-  EXPECT_TRUE(stage.RunUntil([&] { return stage.upstreams().open_connections() == 0; }));
-  EXPECT_EQ(stage.upstreams().model(0).connections(), 0U);
+  EXPECT_TRUE(testbed.RunUntil([&] { return testbed.upstreams().open_connections() == 0; }));
+  EXPECT_EQ(testbed.upstreams().model(0).connections(), 0U);
 }
 
-TEST(LabHttpUpstream, ProbesAreAnsweredAndCountedWhereTheyAreAllowed) {
-  Stage stage(1, {.probes = true});
-  Caller caller(stage, stage.upstreams().endpoint(0));
+TEST(LabHttpUpstream, AnswersAndCountsProbesIfTheyAreAllowed) {
+  Testbed testbed(1, {.probes = true});
+  Caller caller(testbed, testbed.upstreams().endpoint(0));
   const std::string probe = GetText("/metrics/load", "");
   const std::string report = caller.Ask(probe);
   EXPECT_TRUE(report.starts_with("HTTP/1.1 200 ")) << report;
   EXPECT_NE(report.find("\r\n\r\ninflight=0,queue=0,util="), std::string::npos) << report;
   EXPECT_TRUE(caller.Ask(GetText("/alive", "")).starts_with("HTTP/1.1 200 "));
-  EXPECT_EQ(stage.upstreams().counters(0).probes, 2U);
-  EXPECT_GT(stage.upstreams().counters(0).probe_bytes, probe.size() + report.size());
+  EXPECT_EQ(testbed.upstreams().counters(0).probes, 2U);
+  EXPECT_GT(testbed.upstreams().counters(0).probe_bytes, probe.size() + report.size());
 }
 
-TEST(LabHttpUpstream, TurnsAwayWhileDrainingAndWhereItsTableIsFull) {
-  Stage stage(1);
-  stage.kind.cores = 1;
-  stage.kind.connections_per_core = 1;
-  Caller first(stage, stage.upstreams().endpoint(0));
-  stage.upstreams().SetDraining(0, true);
+TEST(LabHttpUpstream, RejectsRequestsWhileDrainingOrWithAFullConnectionTable) {
+  Testbed testbed(1);
+  testbed.kind.cores = 1;
+  testbed.kind.connections_per_core = 1;
+  Caller first(testbed, testbed.upstreams().endpoint(0));
+  testbed.upstreams().SetDraining(0, true);
   const std::string drained = first.Ask(GetText("/read/7"));
   EXPECT_TRUE(drained.starts_with("HTTP/1.1 503 ")) << drained;
   EXPECT_NE(drained.find("X-Not-Processed: 1\r\n"), std::string::npos);
-  stage.upstreams().SetDraining(0, false);
-  Caller second(stage, stage.upstreams().endpoint(0));
+  testbed.upstreams().SetDraining(0, false);
+  Caller second(testbed, testbed.upstreams().endpoint(0));
   const std::string full = second.Ask(GetText("/read/7"));
   EXPECT_NE(full.find("X-Not-Processed: 1\r\n"), std::string::npos) << full;
   EXPECT_TRUE(second.Ends());
   EXPECT_TRUE(first.Ask(GetText("/read/7")).starts_with("HTTP/1.1 200 "));
-  EXPECT_EQ(stage.upstreams().counters(0).turned_away, 2U);
+  EXPECT_EQ(testbed.upstreams().counters(0).rejected, 2U);
 }
 
-TEST(LabHttpUpstream, CrashResetsRefusesAndComesBackAtTheSameAddress) {
-  Stage stage(1);
-  const tcp::endpoint endpoint = stage.upstreams().endpoint(0);
-  Caller held(stage, endpoint);
+TEST(LabHttpUpstream, CrashResetsConnectionsAndRestartKeepsTheAddress) {
+  Testbed testbed(1);
+  const tcp::endpoint endpoint = testbed.upstreams().endpoint(0);
+  Caller held(testbed, endpoint);
   held.Send(GetText("/read/7", "X-Request-ID: 1\r\nX-Work-Us: 60000000\r\n"));
-  ASSERT_TRUE(stage.RunUntil([&] { return stage.upstreams().model(0).held() == 1; }));
-  stage.upstreams().Crash(0);
+  ASSERT_TRUE(testbed.RunUntil([&] { return testbed.upstreams().model(0).held() == 1; }));
+  testbed.upstreams().Crash(0);
   EXPECT_TRUE(held.Ends());
   EXPECT_EQ(held.end, boost::asio::error::connection_reset);
-  Caller refused(stage, endpoint);
+  Caller refused(testbed, endpoint);
   EXPECT_TRUE(refused.Ends());
   EXPECT_EQ(refused.end, boost::asio::error::connection_refused);
-  stage.upstreams().Start(0);
-  Caller again(stage, endpoint);
+  testbed.upstreams().Start(0);
+  Caller again(testbed, endpoint);
   EXPECT_TRUE(again.Ask(GetText("/read/7")).starts_with("HTTP/1.1 200 "));
-  EXPECT_EQ(stage.upstreams().counters(0).abandoned, 1U);
-  EXPECT_EQ(stage.upstreams().model(0).connections(), 1U);
+  EXPECT_EQ(testbed.upstreams().counters(0).abandoned, 1U);
+  EXPECT_EQ(testbed.upstreams().model(0).connections(), 1U);
 }
 
-TEST(LabHttpUpstream, WhoHangsSaysNothingUntilTheCallerGivesUp) {
-  Stage stage(1);
-  Caller caller(stage, stage.upstreams().endpoint(0));
+TEST(LabHttpUpstream, SendsNothingWhileHangingUntilTheCallerCloses) {
+  Testbed testbed(1);
+  Caller caller(testbed, testbed.upstreams().endpoint(0));
   ASSERT_TRUE(caller.Ask(GetText("/read/7")).starts_with("HTTP/1.1 200 "));
-  stage.upstreams().SetHanging(0, true);
+  testbed.upstreams().SetHanging(0, true);
   caller.received.clear();
   caller.Send(GetText("/read/7"));
-  ASSERT_TRUE(stage.RunUntil([&] { return stage.upstreams().counters(0).requests == 2; }));
-  stage.RunFor(milliseconds(100));
+  ASSERT_TRUE(testbed.RunUntil([&] { return testbed.upstreams().counters(0).requests == 2; }));
+  testbed.RunFor(milliseconds(100));
   EXPECT_EQ(caller.received, "");
   EXPECT_FALSE(caller.ended);
   caller.Close();
-  EXPECT_TRUE(stage.RunUntil([&] { return stage.upstreams().counters(0).abandoned == 1; }));
+  EXPECT_TRUE(testbed.RunUntil([&] { return testbed.upstreams().counters(0).abandoned == 1; }));
 }
 
-TEST(LabHttpUpstream, ASilentMachineLetsNobodyInAndResetsAtItsReturnWhatItsProcessHeld) {
-  Stage stage(1);
-  const tcp::endpoint endpoint = stage.upstreams().endpoint(0);
-  Caller old(stage, endpoint);
+TEST(LabHttpUpstream, SilentMachineAcceptsNothingAndResetsOldConnectionsOnItsReturn) {
+  Testbed testbed(1);
+  const tcp::endpoint endpoint = testbed.upstreams().endpoint(0);
+  Caller old(testbed, endpoint);
   ASSERT_TRUE(old.Ask(GetText("/read/7")).starts_with("HTTP/1.1 200 "));
-  stage.upstreams().SetSilent(0, true);
+  testbed.upstreams().SetSilent(0, true);
   std::vector<std::unique_ptr<Caller>> later;
   later.reserve(4);
-  for (int i = 0; i < 4; ++i) later.push_back(std::make_unique<Caller>(stage, endpoint));
+  for (int i = 0; i < 4; ++i) later.push_back(std::make_unique<Caller>(testbed, endpoint));
   old.received.clear();
   old.Send(GetText("/read/7"));
-  stage.RunFor(milliseconds(200));
+  testbed.RunFor(milliseconds(200));
   EXPECT_FALSE(later.back()->connected);
-  stage.upstreams().Crash(0);
-  stage.upstreams().Start(0);
-  stage.RunFor(milliseconds(100));
+  testbed.upstreams().Crash(0);
+  testbed.upstreams().Start(0);
+  testbed.RunFor(milliseconds(100));
   EXPECT_FALSE(old.ended);
   EXPECT_EQ(old.received, "");
   EXPECT_FALSE(later.back()->ended);
-  stage.upstreams().SetSilent(0, false);
+  testbed.upstreams().SetSilent(0, false);
   EXPECT_TRUE(old.Ends());
   EXPECT_EQ(old.end, boost::asio::error::connection_reset);
   EXPECT_TRUE(later.back()->Ask(GetText("/read/7")).starts_with("HTTP/1.1 200 "));
 }
 
-TEST(LabHttpUpstream, ClosesWhatStandsIdle) {
-  Stage stage(1);
-  stage.spec.idle_close = milliseconds(200);
-  Caller caller(stage, stage.upstreams().endpoint(0));
+TEST(LabHttpUpstream, ClosesIdleConnections) {
+  Testbed testbed(1);
+  testbed.spec.idle_close = milliseconds(200);
+  Caller caller(testbed, testbed.upstreams().endpoint(0));
   ASSERT_TRUE(caller.Ask(GetText("/read/7")).starts_with("HTTP/1.1 200 "));
   EXPECT_TRUE(caller.Ends());
   EXPECT_EQ(caller.end, boost::asio::error::eof);
--- a/tests/lab_processes_test.cpp
+++ b/tests/lab_processes_test.cpp
@@ -1,4 +1,4 @@
-// The processes that the lab starts, and processor time as the kernel counts it.
+// Tests of the child processes of the lab, and of the resource usage that the kernel reports.
 #include <fcntl.h>
 #include <unistd.h>
 
@@ -44,7 +44,7 @@
   return !(stream >> number >> name >> state) || state == "Z";
 }
 
-TEST(LabProcess, TellsHowItEnded) {
+TEST(LabProcess, ReportsItsExitStatus) {
   Process ends(Shell("exit 7"));
   EXPECT_EQ(ends.Wait().code, 7);
   EXPECT_FALSE(ends.Running());
@@ -54,38 +54,38 @@
   EXPECT_EQ(killed.Kill().signal, SIGKILL);
 }
 
-TEST(LabProcess, HasItsFolderEnvironmentAndLogAndNoDescriptorOfTheLab) {
+TEST(LabProcess, UsesItsFolderEnvironmentAndLogAndInheritsNoDescriptors) {
   const Folder folder;
-  const int inheritable = ::open("/dev/null", O_RDONLY);  // not closed on exec
+  const int inheritable = ::open("/dev/null", O_RDONLY);  // without O_CLOEXEC
   ProcessOptions options = Shell("pwd; echo \"$LAB_WORD\" >&2; ls /proc/self/fd | wc -l", folder / "log");
   options.folder = folder.path();
   options.environment = {{"LAB_WORD", "told"}};
   Process process(options);
   EXPECT_EQ(process.Wait().code, 0);
   ::close(inheritable);
-  // Those of `ls`: the three standard ones and the folder that it lists.
+  // `ls` has four descriptors open: the three standard ones and the directory that it lists.
   EXPECT_EQ(process.Log(), folder.path() + "\ntold\n4\n");
 }
 
-TEST(LabProcess, CannotStartWhatIsNotThere) {
+TEST(LabProcess, ThrowsIfTheProgramDoesNotExist) {
   ProcessOptions options;
   options.program = "/no/such/program";
   EXPECT_THROW(Process{options}, std::system_error);
 }
 
-TEST(LabProcess, StopAsksFirstAndKillsWhoDoesNotListen) {
+TEST(LabProcess, StopSendsSigtermAndThenSigkill) {
   const Folder folder;
   const auto trapping = [&](const std::string& action, const std::string& log) {
     return Shell("trap '" + action + "' TERM; echo ready; while :; do sleep 0.02; done", folder / log);
   };
-  Process polite(trapping("exit 3", "polite"));
-  Process stubborn(trapping("", "stubborn"));
-  ASSERT_TRUE(Eventually([&] { return polite.Log() == "ready\n" && stubborn.Log() == "ready\n"; }));
-  EXPECT_EQ(polite.Stop(kStopLimit).code, 3);
-  EXPECT_EQ(stubborn.Stop(milliseconds(50)).signal, SIGKILL);
+  Process exiting(trapping("exit 3", "exiting"));
+  Process ignoring(trapping("", "ignoring"));
+  ASSERT_TRUE(Eventually([&] { return exiting.Log() == "ready\n" && ignoring.Log() == "ready\n"; }));
+  EXPECT_EQ(exiting.Stop(kStopLimit).code, 3);
+  EXPECT_EQ(ignoring.Stop(milliseconds(50)).signal, SIGKILL);
 }
 
-TEST(LabProcess, ItsGroupEndsWithIt) {
+TEST(LabProcess, KillsItsProcessGroup) {
   const Folder folder;
   pid_t leader = 0, member = 0;
   {
@@ -110,23 +110,23 @@
 TEST(LabProcess, UsageGrowsWithWorkAndMemory) {
   const Folder folder;
   Process busy(Shell("while :; do :; done"));
-  Process resting(Shell("exec sleep 1000"));
+  Process sleeping(Shell("exec sleep 1000"));
   ASSERT_TRUE(Eventually([&] { return busy.Usage()->cpu_s >= 0.1; }));
-  EXPECT_LT(resting.Usage()->cpu_s, 0.1);
+  EXPECT_LT(sleeping.Usage()->cpu_s, 0.1);
 
-  // Reads 64 MB into its buffer, and can't get rid of it as nobody reads the pipe.
+  // dd fills a buffer of 64 MB and then blocks, as nothing reads the pipe.
   const std::string pipe = folder / "pipe";
   ASSERT_EQ(::mkfifo(pipe.c_str(), 0600), 0);
   const int unread = ::open(pipe.c_str(), O_RDWR);
   Process large(Shell("exec dd if=/dev/zero of=" + pipe + " bs=64M count=1"));
   EXPECT_TRUE(Eventually([&] { return large.Usage()->memory_mb >= 64; }));
   EXPECT_LT(large.Usage()->memory_mb, 80);
-  EXPECT_LT(resting.Usage()->memory_mb, 16);
-  EXPECT_EQ(resting.Usage()->descriptors, 3U);
+  EXPECT_LT(sleeping.Usage()->memory_mb, 16);
+  EXPECT_EQ(sleeping.Usage()->descriptors, 3U);
   ::close(unread);
 }
 
-TEST(LabCpuClock, SeesTheLabsOwnUse) {
+TEST(LabCpuClock, MeasuresTheLabsOwnUsage) {
   const double thread_before = ThreadCpuSeconds();
   const double process_before = ProcessCpuSeconds();
   std::thread([] {
--- a/tests/lab_real_engine_test.cpp
+++ b/tests/lab_real_engine_test.cpp
@@ -1,4 +1,4 @@
-// Whole small runs on the real clock: hollow and real sidecars, faults and all.
+// Small complete runs on the real clock, with hollow sidecars, real sidecars and faults.
 #include <gtest/gtest.h>
 
 #include <stdexcept>
@@ -33,14 +33,14 @@
 notice_delay_s = [0.01, 0.2]
 )";
 
-Metrics Play(const std::string& text, std::vector<Sample>& samples) {
+Metrics RunExperiment(const std::string& text, std::vector<Sample>& samples) {
   const Experiment experiment = ParseExperiment(text, "small.toml");
   const Deployment deployment = MakeDeployment(experiment, experiment.sizes.front());
   return RunReal(experiment, deployment, LB_SIDECAR_PROGRAM,
                  [&](const Sample& sample) { samples.push_back(sample); });
 }
 
-TEST(RealEngine, PlaysHollowAndRealSidecarsWithFaults) {
+TEST(RealEngine, RunsHollowAndRealSidecarsWithFaults) {
   std::vector<Sample> samples;
   std::string experiment = kSmall;
   experiment += R"(
@@ -64,12 +64,12 @@
 at_s = 1
 share = 1
 )";
-  const Metrics metrics = Play(experiment, samples);
+  const Metrics metrics = RunExperiment(experiment, samples);
   EXPECT_EQ(metrics.sidecars, 6);
   EXPECT_GT(metrics.requests, 100);
   EXPECT_GT(metrics.in_time_share, 0.2);
   EXPECT_GT(metrics.attempts_per_request, 0.2);
-  EXPECT_GT(metrics.added_p50_ms, 0);  // of real sidecars alone
+  EXPECT_GT(metrics.added_p50_ms, 0);  // measured for real sidecars only
   EXPECT_GT(metrics.real_memory_mb, 0);
   EXPECT_GT(metrics.hollow_cpu, 0);
   EXPECT_GT(metrics.change_bytes, 100);
@@ -80,11 +80,11 @@
   EXPECT_GT(samples.back().at_s, 4);
 }
 
-TEST(RealEngine, RefusesWhatTheMachineCantCarry) {
+TEST(RealEngine, RefusesExperimentsBeyondTheMachinesLimits) {
   std::vector<Sample> samples;
   const std::string many_upstreams = "sidecars_per_upstream = 100\n" + std::string(kSmall);
-  EXPECT_THROW(Play(many_upstreams + "\n[sidecars]\nreal = 400\n", samples), std::runtime_error);
-  EXPECT_THROW(Play(many_upstreams + "\n[sidecars]\nreal = 200\nmemory_mb = 1000000\n", samples),
+  EXPECT_THROW(RunExperiment(many_upstreams + "\n[sidecars]\nreal = 400\n", samples), std::runtime_error);
+  EXPECT_THROW(RunExperiment(many_upstreams + "\n[sidecars]\nreal = 200\nmemory_mb = 1000000\n", samples),
                std::runtime_error);
   EXPECT_TRUE(samples.empty());
 }
--- a/tests/lab_real_sidecar_test.cpp
+++ b/tests/lab_real_sidecar_test.cpp
@@ -1,4 +1,4 @@
-// A real sidecar between the HTTP load and the HTTP upstreams of the lab.
+// Tests of a real sidecar process between the HTTP load and the HTTP upstreams of the lab.
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
 #include <chrono>
@@ -29,11 +29,11 @@
   void StartSidecar() {
     SidecarConfig config;
     config.name = "n1";
-    config.discovery = "127.0.0.1:1";  // refuses
+    config.discovery = "127.0.0.1:1";  // refuses connections
     config.seed = 7;
-    config.known = stage_.Known();
+    config.known = testbed_.EndpointList();
     config.settings.zone = "a";
-    for (const ClassSpec& spec : stage_.classes) {
+    for (const ClassSpec& spec : testbed_.classes) {
       lb::RequestClass request_class;
       request_class.name = spec.name;
       request_class.latency_objective = spec.latency_objective;
@@ -46,23 +46,25 @@
     sidecar_->Start();
     ASSERT_TRUE(sidecar_->AwaitReady(kWaitLimit)) << sidecar_->process().Log();
   }
-  LoadWindow Play(std::uint64_t requests) { return stage_.Play({{sidecar_->listen(), 400}}, requests); }
+  LoadWindow RunLoad(std::uint64_t requests) {
+    return testbed_.RunLoad({{sidecar_->listen(), 400}}, requests);
+  }
 
   Folder folder_;
-  Stage stage_{4};
+  Testbed testbed_{4};
   std::unique_ptr<SidecarProcess> sidecar_;
 };
 
 TEST_F(LabRealSidecar, ServesEveryRequestAndUsesProcessorTimeForIt) {
-  stage_.classes = {Stage::Class("read", lb::Idempotency::kIdempotent),
-                    Stage::Class("order", lb::Idempotency::kIdempotencyKey),
-                    Stage::Class("pay", lb::Idempotency::kNotIdempotent)};
+  testbed_.classes = {Testbed::Class("read", lb::Idempotency::kIdempotent),
+                      Testbed::Class("order", lb::Idempotency::kIdempotencyKey),
+                      Testbed::Class("pay", lb::Idempotency::kNotIdempotent)};
   StartSidecar();
   const auto before = sidecar_->process().Usage();
-  const LoadWindow window = Play(500);
+  const LoadWindow window = RunLoad(500);
   EXPECT_EQ(window.traffic.in_time, window.traffic.requests);
-  EXPECT_EQ(stage_.upstreams().TotalCounters().served, window.traffic.requests);
-  EXPECT_EQ(stage_.upstreams().TotalCounters().bad, 0U);
+  EXPECT_EQ(testbed_.upstreams().TotalCounters().served, window.traffic.requests);
+  EXPECT_EQ(testbed_.upstreams().TotalCounters().invalid, 0U);
   EXPECT_EQ(window.added_ms.count(), window.traffic.requests);
   EXPECT_GT(window.added_ms.mean(), 0);
   EXPECT_LT(window.added_ms.mean(), window.latency_ms.mean());
@@ -75,15 +77,15 @@
   EXPECT_EQ(sidecar_->process().Stop(kStopLimit).code, 0);
 }
 
-TEST_F(LabRealSidecar, KilledItLosesRequestsAndServesAgainAtItsAddress) {
+TEST_F(LabRealSidecar, LosesRequestsWhenKilledAndServesAgainAtItsAddress) {
   StartSidecar();
   const tcp::endpoint listen = sidecar_->listen();
-  const auto load = stage_.Load({{listen, 400}});
+  const auto load = testbed_.Load({{listen, 400}});
   load->Start();
-  ASSERT_TRUE(stage_.RunUntil([&] { return load->begun() >= 50; }));
+  ASSERT_TRUE(testbed_.RunUntil([&] { return load->begun() >= 50; }));
   EXPECT_EQ(sidecar_->process().Kill().signal, SIGKILL);
-  stage_.RunFor(milliseconds(300));
-  // Nobody else gets its port meanwhile.
+  testbed_.RunFor(milliseconds(300));
+  // The port stays reserved while the sidecar does not run.
   boost::asio::io_context other;
   tcp::acceptor taking(other, tcp::v4());
   error_code taken;
@@ -93,14 +95,14 @@
   ASSERT_TRUE(sidecar_->AwaitReady(kWaitLimit));
   EXPECT_EQ(sidecar_->listen(), listen);
   load->Stop();
-  ASSERT_TRUE(stage_.RunUntil([&] { return load->under_way() == 0; }));
+  ASSERT_TRUE(testbed_.RunUntil([&] { return load->in_flight() == 0; }));
   EXPECT_GT(load->Take().traffic.failed, 0U);
   EXPECT_EQ(load->Take().traffic.requests, 0U);
-  const LoadWindow window = Play(100);
+  const LoadWindow window = RunLoad(100);
   EXPECT_EQ(window.traffic.in_time, window.traffic.requests);
 }
 
-// How many attempts at that upstream the sidecar's log tells to have ended so.
+// The number of attempts at `upstream` that ended with the outcome `how` according to the sidecar's log.
 std::uint64_t AttemptsThatEnded(const std::string& log, const std::string& upstream, const std::string& how) {
   std::istringstream stream(log);
   std::uint64_t count = 0;
@@ -112,31 +114,32 @@
   return count;
 }
 
-TEST_F(LabRealSidecar, SeesACrashAsResetsAndAHangAsTimeoutsAndTriesElsewhere) {
-  stage_.classes[0].mean_work = milliseconds(5);
+TEST_F(LabRealSidecar, ReportsACrashAsResetsAndAHangAsTimeoutsAndRetriesElsewhere) {
+  testbed_.classes[0].mean_work = milliseconds(5);
   StartSidecar();
-  const auto load = stage_.Load({{sidecar_->listen(), 150}});
-  const auto holds = [&](std::size_t upstream) { return stage_.upstreams().model(upstream).held() > 0; };
+  const auto load = testbed_.Load({{sidecar_->listen(), 150}});
+  const auto holds = [&](std::size_t upstream) { return testbed_.upstreams().model(upstream).held() > 0; };
   load->Start();
-  ASSERT_TRUE(stage_.RunUntil([&] { return load->begun() >= 100 && holds(0); }));
-  const std::size_t held_at_crash = stage_.upstreams().model(0).held();
-  stage_.upstreams().Crash(0);
-  EXPECT_EQ(stage_.upstreams().counters(0).abandoned, held_at_crash);
-  ASSERT_TRUE(stage_.RunUntil([&] { return load->begun() >= 300 && holds(1); }));
-  stage_.upstreams().SetHanging(1, true);
-  ASSERT_TRUE(stage_.RunUntil([&] { return stage_.upstreams().counters(1).abandoned > 0; }));
+  ASSERT_TRUE(testbed_.RunUntil([&] { return load->begun() >= 100 && holds(0); }));
+  const std::size_t held_at_crash = testbed_.upstreams().model(0).held();
+  testbed_.upstreams().Crash(0);
+  EXPECT_EQ(testbed_.upstreams().counters(0).abandoned, held_at_crash);
+  ASSERT_TRUE(testbed_.RunUntil([&] { return load->begun() >= 300 && holds(1); }));
+  testbed_.upstreams().SetHanging(1, true);
+  ASSERT_TRUE(testbed_.RunUntil([&] { return testbed_.upstreams().counters(1).abandoned > 0; }));
   load->Stop();
-  ASSERT_TRUE(stage_.RunUntil([&] { return load->under_way() == 0; }));
+  ASSERT_TRUE(testbed_.RunUntil([&] { return load->in_flight() == 0; }));
   const std::string log = sidecar_->process().Log();
   EXPECT_GE(AttemptsThatEnded(log, "u0", "reset"), held_at_crash) << log;
   const std::uint64_t timeouts = AttemptsThatEnded(log, "u1", "timeout");
   EXPECT_GT(timeouts, 0U) << log;
-  EXPECT_LE(timeouts, stage_.upstreams().counters(1).abandoned) << log;
+  EXPECT_LE(timeouts, testbed_.upstreams().counters(1).abandoned) << log;
   const TrafficCounters traffic = load->Take().traffic;
   EXPECT_EQ(traffic.requests, load->begun());
-  // Which ones it may repeat and has the time for is the sidecar's to decide; most of all must be served.
+  // The sidecar decides which failed attempts it may and can repeat in time, so not all requests need to be
+  // served, but nine out of ten must be.
   EXPECT_GT(traffic.in_time + traffic.late, traffic.requests * 9 / 10) << log;
-  EXPECT_GT(stage_.upstreams().TotalCounters().requests, traffic.in_time + traffic.late);
+  EXPECT_GT(testbed_.upstreams().TotalCounters().requests, traffic.in_time + traffic.late);
 }
 
 }  // namespace
--- a/tests/lab_sidecar_config_test.cpp
+++ b/tests/lab_sidecar_config_test.cpp
@@ -1,4 +1,4 @@
-// The configuration that the lab writes for a real sidecar, read by the sidecar itself.
+// The sidecar's own reader has to accept the configuration that the lab writes, without loss of any setting.
 #include <chrono>
 #include <cstddef>
 #include <fstream>
@@ -16,7 +16,8 @@
 using nlohmann::json;
 using std::chrono::milliseconds;
 
-// A new field breaks these, until it is written into the configuration as well.
+// The structured bindings fail to compile when a struct gets a new field, as a reminder to write the field
+// into the configuration as well.
 auto Fields(const lb::RequestClass& value) {
   const auto& [a, b, c, d, e, f, g, h, i, j] = value;
   return std::make_tuple(a, b, c, d, e, f, g, h, i, j);
@@ -37,26 +38,27 @@
   const auto& [a, b, c, d, e] = value;
   return std::make_tuple(a, b, c, d, e);
 }
-// Without the parts that have fields of their own.
+// Omits the parts that are structs themselves; their fields are compared separately.
 auto Fields(const lb::Settings& value) {
   const auto& [classes, tenants, a, b, c, d, e, f, g, limits, fleet_limits, costs] = value;
   return std::make_tuple(a, b, c, d, e, f, g);
 }
 
 template <typename T>
-void ExpectField(const T& written, const T& read, const T& untold) {
+void ExpectField(const T& written, const T& read, const T& default_value) {
   EXPECT_EQ(written, read);
-  EXPECT_NE(written, untold);
+  EXPECT_NE(written, default_value);
 }
 
-// Every field has to come back, and was not what it would be had it been left out.
+// Each field has to be read as it was written. The written value has to differ from the default, as otherwise
+// an omitted field would go unnoticed.
 template <typename T>
 void ExpectSame(const T& written, const T& read) {
   const auto written_fields = Fields(written);
   const auto read_fields = Fields(read);
-  const auto untold_fields = Fields(T{});
+  const auto default_fields = Fields(T{});
   [&]<std::size_t... I>(std::index_sequence<I...>) {
-    (ExpectField(std::get<I>(written_fields), std::get<I>(read_fields), std::get<I>(untold_fields)), ...);
+    (ExpectField(std::get<I>(written_fields), std::get<I>(read_fields), std::get<I>(default_fields)), ...);
   }
   (std::make_index_sequence<std::tuple_size_v<decltype(written_fields)>>());
 }
@@ -83,7 +85,7 @@
   return settings;
 }
 
-TEST(LabSidecarConfig, EverySettingComesBackFromTheWire) {
+TEST(LabSidecarConfig, EverySettingSurvivesARoundTrip) {
   const lb::Settings written = UnusualSettings();
   const lb::Settings read = lb::ParseSettings(ToJson(written));
   ExpectSame(written, read);
--- a/tests/lab_stage.h
+++ b/tests/lab_stage.h
@@ -1,4 +1,4 @@
-// HTTP upstreams and load of the lab on one event loop, for tests over loopback sockets.
+// Testbed for tests over loopback sockets: the lab's HTTP upstreams and HTTP load on one event loop.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -21,12 +21,12 @@
 
 namespace lb::lab {
 
-// How long a test waits for what should come at once; far longer than a busy machine needs.
+// Time limit for a condition that normally holds at once; far longer than a busy machine needs.
 inline constexpr Duration kWaitLimit = std::chrono::seconds(20);
-// Of a process that was asked to stop.
+// Time limit for a process to end after SIGTERM.
 inline constexpr Duration kStopLimit = std::chrono::seconds(10);
 
-// A temporary folder, removed with the object.
+// A temporary directory, removed with the object.
 class Folder {
  public:
   Folder() {
@@ -42,10 +42,10 @@
   std::string path_;
 };
 
-// Upstreams of one kind, on an io_context that runs while a test waits for something.
-class Stage {
+// Upstreams of one kind, on an io_context that runs only inside RunUntil() and RunFor().
+class Testbed {
  public:
-  explicit Stage(std::size_t upstreams, HttpUpstreamOptions options = {}) : options_(std::move(options)) {
+  explicit Testbed(std::size_t upstreams, HttpUpstreamOptions options = {}) : options_(std::move(options)) {
     kind.cores = 2;
     spec.idle_close = std::chrono::seconds(60);
     for (std::size_t i = 0; i < upstreams; ++i) {
@@ -69,7 +69,7 @@
     return spec;
   }
 
-  // Made at first use, so that a test can change the specification before.
+  // Created at first use, so that a test can change the specification before.
   HttpUpstreams& upstreams() {
     if (!upstreams_) upstreams_ = std::make_unique<HttpUpstreams>(io, scheduler, deployment, spec, options_);
     return *upstreams_;
@@ -79,13 +79,14 @@
     return std::make_unique<HttpLoad>(io, scheduler, clients, classes, targets, 5);
   }
 
-  // Plays a load until so many requests have begun and all have ended.
-  LoadWindow Play(const std::vector<LoadTarget>& targets, std::uint64_t requests) {
+  // Runs a load until at least `requests` requests have begun and all have ended. Checks that the counts are
+  // consistent.
+  LoadWindow RunLoad(const std::vector<LoadTarget>& targets, std::uint64_t requests) {
     const auto load = Load(targets);
     load->Start();
     EXPECT_TRUE(RunUntil([&] { return load->begun() >= requests; }));
     load->Stop();
-    EXPECT_TRUE(RunUntil([&] { return load->under_way() == 0; }));
+    EXPECT_TRUE(RunUntil([&] { return load->in_flight() == 0; }));
     EXPECT_GE(load->begun(), requests);
     LoadWindow window = load->Take();
     const TrafficCounters& counted = window.traffic;
@@ -106,7 +107,8 @@
 
   void RunFor(Duration duration) { io.run_for(duration); }
 
-  nlohmann::json Known() {
+  // The endpoint list of all upstreams in discovery's format, for SidecarConfig::known.
+  nlohmann::json EndpointList() {
     nlohmann::json targets = nlohmann::json::array();
     for (std::size_t i = 0; i < deployment.upstreams.size(); ++i) {
       targets.push_back({{"uid", deployment.upstreams[i].id},
