--- a/lab/real/client_connections.cpp
+++ b/lab/real/client_connections.cpp
@@ -5,7 +5,7 @@
 namespace lb::lab {
 
 ClientConnections::ClientConnections(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint sidecar)
-    : io_(io), sidecar_(std::move(sidecar)), itself_(std::make_shared<ClientConnections*>(this)) {}
+    : io_(io), sidecar_(std::move(sidecar)), liveness_(std::make_shared<ClientConnections*>(this)) {}
 
 ClientConnections::~ClientConnections() { CloseAll(); }
 
@@ -20,9 +20,9 @@
 }
 
 ClientConnections::ConnectionPointer ClientConnections::Open() {
-  // The callback names the connection that it belongs to, which is not there before it.
+  // The callback refers to its connection, which is created after the callback: `opened` is filled in later.
   const auto opened = std::make_shared<std::weak_ptr<HttpClientConnection>>();
-  const auto on_idle_end = [weak = std::weak_ptr(itself_), opened] {
+  const auto on_idle_end = [weak = std::weak_ptr(liveness_), opened] {
     if (const auto self = weak.lock()) (*self)->Discard(opened->lock());
   };
   auto connection = std::make_shared<HttpClientConnection>(io_, sidecar_, on_idle_end);
--- a/lab/real/client_connections.h
+++ b/lab/real/client_connections.h
@@ -1,4 +1,5 @@
-// The connections of one application to its sidecar: idle ones are reused, the most recently used one first.
+// Connection pool of one client application to its sidecar. Reuses the most recently used idle connection
+// first.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -16,24 +17,24 @@
  public:
   using ConnectionPointer = std::shared_ptr<HttpClientConnection>;
 
-  // `io` has to outlive it; connections of which a callback is still to come need not.
+  // `io` must outlive this object. Connections with pending callbacks may outlive it.
   ClientConnections(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint sidecar);
   ~ClientConnections();
   ClientConnections(const ClientConnections&) = delete;
   ClientConnections& operator=(const ClientConnections&) = delete;
 
-  // Whether new connections are opened, as at the start. Without them there are only those that are open.
+  // Allows (the default) or forbids Take() to open new connections. Open connections stay.
   void SetConnecting(bool is_connecting) { is_connecting_ = is_connecting; }
   bool is_connecting() const { return is_connecting_; }
   bool has_idle() const { return !idle_.empty(); }
 
-  // An idle connection, else a new one; null if none is idle and none may be opened.
+  // Returns an idle connection, otherwise a new one; null if none is idle and new ones are forbidden.
   ConnectionPointer Take();
-  // A new connection, whatever is idle.
+  // Opens a new connection even if others are idle or new ones are forbidden.
   ConnectionPointer Open();
-  // Keeps a connection for the next request if it is usable, and closes it otherwise.
+  // Keeps a connection for the next request if it is usable, otherwise closes it.
   void Return(const ConnectionPointer& connection);
-  // Closes one; null does nothing.
+  // Closes a connection. No effect for null.
   void Discard(const ConnectionPointer& connection);
   void CloseAll();
 
@@ -43,10 +44,10 @@
   boost::asio::io_context& io_;
   const boost::asio::ip::tcp::endpoint sidecar_;
   std::set<ConnectionPointer> open_;
-  std::vector<ConnectionPointer> idle_;  // of the open ones; the most recently used one last
+  std::vector<ConnectionPointer> idle_;  // subset of open_, least recently used first
   bool is_connecting_ = true;
-  // Says to callbacks of connections that outlive this object whether it is there.
-  std::shared_ptr<ClientConnections*> itself_;
+  // Connections' callbacks hold weak pointers to it, which expire with this object.
+  std::shared_ptr<ClientConnections*> liveness_;
 };
 
 }  // namespace lb::lab
--- a/lab/real/control_client.cpp
+++ b/lab/real/control_client.cpp
@@ -24,7 +24,7 @@
 ControlClient::ControlClient(boost::asio::io_context& io, const ControlClientOptions& options,
                              const sidecar::UnixClock& clock, OnNotice on_notice)
     : on_notice_(std::move(on_notice)),
-      log_("hollow", &silent_),
+      log_("hollow", &null_stream_),
       discovery_(
           io, options.discovery, ModeOf(options), options.drain_grace, clock, log_, options.seed,
           [this](sidecar::EndpointList list) {
@@ -37,7 +37,7 @@
 ControlFleet::ControlFleet(std::size_t sidecars, const sidecar::UnixClock& clock)
     : clock_(clock), clients_(sidecars) {
   for (std::size_t i = 0; i < ThreadCount(sidecars); ++i) {
-    threads_.push_back(std::make_unique<WorkerThread>("a thread of the control clients"));
+    threads_.push_back(std::make_unique<WorkerThread>("a control client thread"));
     threads_.back()->Start();
   }
 }
--- a/lab/real/control_client.h
+++ b/lab/real/control_client.h
@@ -1,5 +1,5 @@
-// The control side of hollow sidecars on the real clock: the program's own discovery client, many to a
-// thread.
+// Discovery clients of hollow sidecars on the real clock. They use the real sidecar's discovery client; each
+// thread runs many of them.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -23,60 +23,62 @@
 
 struct ControlClientOptions {
   lb::Endpoint discovery;
-  bool on_request = false;  // membership is delivered on request only: see Ask()
+  bool on_request = false;  // membership is delivered only on request: see Ask()
   lb::Duration drain_grace = lb::FleetLimits().drain_grace;
   std::uint64_t seed = 1;
 };
 
-// What a sidecar received from discovery.
+// An endpoint list, or a failure, that a sidecar received from discovery.
 struct ControlNotice {
-  std::uint64_t revision = 0;  // of the list; 0 where a call has failed
+  std::uint64_t revision = 0;  // of the list; 0 if a call failed
   TimePoint at;
   lb::MembershipUpdate update;
 };
 
-// Its io_context's thread calls all members.
+// All members must be called on the io_context's thread.
 class ControlClient {
  public:
   using OnNotice = std::function<void(ControlNotice)>;
 
-  // `on_notice` is handed each list, and on request each failure as an update of kind kFailed. The references
-  // have to outlive the client.
+  // Calls `on_notice` with each list and, if membership is on request, with each failure as an update of kind
+  // kFailed. The references must outlive the client.
   ControlClient(boost::asio::io_context& io, const ControlClientOptions& options,
                 const sidecar::UnixClock& clock, OnNotice on_notice);
 
-  // Asks for the list and watches it. On request: once at the start, and after each failure again.
+  // Requests the list and watches it. If membership is on request, call it once at the start and again after
+  // each failure.
   void Ask() { discovery_.Ask(); }
 
  private:
   const OnNotice on_notice_;
-  std::ostream silent_{nullptr};
+  std::ostream null_stream_{nullptr};
   sidecar::Logger log_;
   sidecar::DiscoveryClient discovery_;
 };
 
-// The control clients of a fleet, spread over a few threads: on one alone, a list that all take at once would
-// hold up their calls beyond the patience that they have with discovery. Its members are for one thread.
+// The control clients of a fleet, distributed over a few threads: on a single thread, processing a list that
+// all clients receive at once would delay their calls beyond the timeout of the discovery client. Not
+// thread-safe.
 class ControlFleet {
  public:
   ControlFleet(std::size_t sidecars, const sidecar::UnixClock& clock);  // `clock` has to outlive it
   ~ControlFleet();
 
-  // Replaces the client of that sidecar, if there is one. `on_notice` is called on another thread; notices of
-  // the replaced client may still come until its thread has taken note.
+  // Starts the client of that sidecar and replaces a previous one. `on_notice` is called on another thread;
+  // notices of the previous client may still arrive until that thread has processed the replacement.
   void Start(std::size_t sidecar, const ControlClientOptions& options, ControlClient::OnNotice on_notice);
   void Stop(std::size_t sidecar);
   void Ask(std::size_t sidecar);
 
-  double CpuSeconds();    // of all its threads
-  void RethrowFailure();  // throws what has ended one of its threads, where anything has
+  double CpuSeconds();    // processor time of all threads
+  void RethrowFailure();  // throws the exception that ended a thread, if any
 
  private:
   WorkerThread& ThreadOf(std::size_t sidecar) { return *threads_[sidecar % threads_.size()]; }
 
   const sidecar::UnixClock& clock_;
   std::vector<std::unique_ptr<WorkerThread>> threads_;
-  std::vector<std::unique_ptr<ControlClient>> clients_;  // each belongs to its thread
+  std::vector<std::unique_ptr<ControlClient>> clients_;  // by sidecar; each is used only on its thread
 };
 
 }  // namespace lb::lab
--- a/lab/real/cpu_clock.cpp
+++ b/lab/real/cpu_clock.cpp
@@ -17,7 +17,7 @@
 constexpr double kNanosecondsPerSecond = 1e9;
 constexpr double kBytesPerMegabyte = 1024 * 1024;
 
-double SecondsOf(clockid_t clock) {
+double ReadClockSeconds(clockid_t clock) {
   timespec time{};
   ::clock_gettime(clock, &time);
   return static_cast<double>(time.tv_sec) + static_cast<double>(time.tv_nsec) / kNanosecondsPerSecond;
@@ -27,8 +27,10 @@
   return pages * static_cast<double>(::sysconf(_SC_PAGESIZE)) / kBytesPerMegabyte;
 }
 
-// Field 4 of proc(5)'s stat; 0 where the process has gone. Field 2 may hold spaces, up to its last bracket.
-pid_t ParentOf(const std::filesystem::path& process) {
+// Reads the parent's process id: field 4 of /proc/PID/stat (proc(5)). Returns 0 if the process has ended.
+// Field 2, the name in brackets, may contain spaces and brackets, so parsing starts after the last closing
+// bracket.
+pid_t ReadParentId(const std::filesystem::path& process) {
   std::ifstream stream(process / "stat");
   std::string text;
   std::getline(stream, text);
@@ -43,9 +45,9 @@
 
 }  // namespace
 
-double ThreadCpuSeconds() { return SecondsOf(CLOCK_THREAD_CPUTIME_ID); }
+double ThreadCpuSeconds() { return ReadClockSeconds(CLOCK_THREAD_CPUTIME_ID); }
 
-double ProcessCpuSeconds() { return SecondsOf(CLOCK_PROCESS_CPUTIME_ID); }
+double ProcessCpuSeconds() { return ReadClockSeconds(CLOCK_PROCESS_CPUTIME_ID); }
 
 double ResidentMemoryMb() {
   std::ifstream stream("/proc/self/statm");
@@ -63,7 +65,7 @@
   for (const std::filesystem::directory_iterator end; !error && entries != end; entries.increment(error)) {
     const std::string name = entries->path().filename().string();
     const bool is_process = std::isdigit(static_cast<unsigned char>(name.front())) != 0;
-    if (is_process && ParentOf(entries->path()) == ::getpid()) ++count;
+    if (is_process && ReadParentId(entries->path()) == ::getpid()) ++count;
   }
   return count;
 }
--- a/lab/real/descriptor_limit.h
+++ b/lab/real/descriptor_limit.h
@@ -1,4 +1,4 @@
-// This process's limit on open descriptors.
+// Adjusts this process's limit on open file descriptors (RLIMIT_NOFILE).
 #pragma once
 
 #include <cstddef>
@@ -6,7 +6,7 @@
 namespace lb::lab {
 
 // Raises the soft limit to `needed` descriptors if it is lower. Throws std::runtime_error if the hard limit
-// does not allow it, std::system_error if the system refuses.
+// is lower than `needed`, std::system_error if a system call fails.
 void EnsureDescriptorLimit(std::size_t needed);
 
 }  // namespace lb::lab
--- a/lab/real/discovery_query.cpp
+++ b/lab/real/discovery_query.cpp
@@ -37,19 +37,19 @@
 
 DiscoveryQuery ParseDiscoveryTarget(std::string_view target) {
   DiscoveryQuery query;
-  const std::size_t mark = target.find('?');
-  if (target.substr(0, mark) != kPath) {
+  const std::size_t query_start = target.find('?');
+  if (target.substr(0, query_start) != kPath) {
     query.fault = QueryFault::kNotFound;
     return query;
   }
-  if (mark == std::string_view::npos) return query;
-  std::string_view rest = target.substr(mark + 1);
+  if (query_start == std::string_view::npos) return query;
+  std::string_view rest = target.substr(query_start + 1);
   while (!rest.empty()) {
     const std::size_t end = rest.find('&');
-    if (!ParseParameter(rest.substr(0, end), query)) query.fault = QueryFault::kBad;
+    if (!ParseParameter(rest.substr(0, end), query)) query.fault = QueryFault::kMalformed;
     rest = end == std::string_view::npos ? std::string_view() : rest.substr(end + 1);
   }
-  if (query.wait > milliseconds::zero() && !query.index) query.fault = QueryFault::kBad;
+  if (query.wait > milliseconds::zero() && !query.index) query.fault = QueryFault::kMalformed;
   return query;
 }
 
--- a/lab/real/discovery_query.h
+++ b/lab/real/discovery_query.h
@@ -1,4 +1,5 @@
-// The targets of calls to the discovery stand-in: `/discovery/hosts`, with `index` and `wait` for a watch.
+// Parses the request targets of calls to the emulated discovery service: `/discovery/hosts`, with `index` and
+// `wait` for a watch.
 #pragma once
 
 #include <chrono>
@@ -8,16 +9,16 @@
 
 namespace lb::lab {
 
-enum class QueryFault { kNone, kNotFound, kBad };
+enum class QueryFault { kNone, kNotFound, kMalformed };
 
-// A call, by its target.
+// The parsed target of a call.
 struct DiscoveryQuery {
   QueryFault fault = QueryFault::kNone;
-  std::optional<std::uint64_t> index;  // the revision that the caller holds
-  std::chrono::milliseconds wait{};    // for something newer; zero: the answer comes at once
+  std::optional<std::uint64_t> index;  // the caller's revision of the list
+  std::chrono::milliseconds wait{};    // maximum wait for a newer revision; zero: answer at once
 };
 
-// Never throws; what can't be read is in `fault`.
+// Never throws: `fault` tells whether the path is unknown or a parameter is malformed.
 DiscoveryQuery ParseDiscoveryTarget(std::string_view target);
 
 }  // namespace lb::lab
--- a/lab/real/discovery_server.cpp
+++ b/lab/real/discovery_server.cpp
@@ -19,20 +19,20 @@
 using boost::system::error_code;
 using std::chrono::milliseconds;
 
-// A listening socket, a connection and the next one, which may overlap it, for each sidecar; besides what the
-// process holds anyway.
+// For each sidecar: a listening socket, a connection, and a following connection that may overlap with it.
+// kOtherDescriptors are those of the rest of the process.
 constexpr std::size_t kDescriptorsPerAgent = 3;
 constexpr std::size_t kOtherDescriptors = 64;
-// Answers are kept for callers that come soon after; the rest are made again.
+// Limit on cached answers. The cache serves callers with the same revision and is cleared when full.
 constexpr std::size_t kMaxCachedAnswers = 64;
 // Slow discovery closes every third connection and rejects every fourth call.
-constexpr std::uint64_t kClosedConnection = 3;
-constexpr std::uint64_t kRejectedCall = 4;
-// When at the latest a change counts as known, after the watch fell silent or it could be had on request, and
-// after discovery was moved.
-constexpr Duration kMaxSilence = std::chrono::seconds(6);
-constexpr Duration kMaxMoveTime = std::chrono::seconds(4);
-constexpr auto kAcceptPause = milliseconds(20);  // after a failure, such as want of descriptors
+constexpr std::uint64_t kCloseEveryNth = 3;
+constexpr std::uint64_t kRejectEveryNth = 4;
+// Maximum time until a change counts as known: after watches were silenced, or, on request or while discovery
+// is slow, after the change became available; and after discovery was moved.
+constexpr Duration kMaxKnownDelay = std::chrono::seconds(6);
+constexpr Duration kMaxKnownDelayAfterMove = std::chrono::seconds(4);
+constexpr auto kAcceptPause = milliseconds(20);  // after a failed accept, such as for lack of descriptors
 
 Duration ThreadProcessorTime() {
   timespec spent{};
@@ -72,13 +72,13 @@
 
 std::uint64_t DiscoveryServer::Change(const MembershipEntry& entry) {
   if (!known_ids_.contains(entry.id)) throw std::out_of_range("unknown upstream " + entry.id);
-  const std::lock_guard lock(order_);
+  const std::lock_guard lock(change_mutex_);
   boost::asio::post(io_, [this, entry, at = sidecar::Now()] { ApplyChange(entry, at); });
   return ++last_revision_;
 }
 
 void DiscoveryServer::SetLate(double factor) {
-  boost::asio::post(io_, [this, factor] { late_factor_ = factor; });
+  boost::asio::post(io_, [this, factor] { delay_factor_ = factor; });
 }
 
 void DiscoveryServer::SetLost(double share) {
@@ -88,7 +88,7 @@
 void DiscoveryServer::SilenceWatches() {
   boost::asio::post(io_, [this] {
     SilenceAll();
-    for (const auto& agent : agents_) GrantGrace(*agent, kMaxSilence);
+    for (const auto& agent : agents_) DelayKnown(*agent, kMaxKnownDelay);
   });
 }
 
@@ -98,8 +98,8 @@
     is_down_ = down;
     if (down) return SilenceAll();
     for (const auto& agent : agents_) {
-      agent->has_grace = false;
-      Advance(*agent, agent->newest);
+      agent->is_known_delayed = false;
+      DeliverRevision(*agent, agent->newest_revision);
     }
   });
 }
@@ -114,13 +114,13 @@
 
 lb::Endpoint DiscoveryServer::MoveNow(DiscoveryAgent& agent) {
   const auto open = agent.watches;
-  for (const auto& session : open) session->Silence();
-  ++agent.address_no;
+  for (const auto& session : open) session->LeaveUnanswered();
+  ++agent.address_generation;
   error_code ignored;
   agent.accept_pause.cancel();
   agent.acceptor.close(ignored);
   Listen(agent);
-  GrantGrace(agent, kMaxMoveTime);
+  DelayKnown(agent, kMaxKnownDelayAfterMove);
   return agent.endpoint;
 }
 
@@ -160,7 +160,7 @@
 
 void DiscoveryServer::Accept(DiscoveryAgent& agent) {
   agent.acceptor.async_accept([this, &agent](error_code error, tcp::socket socket) {
-    if (!error && is_slow_ && ++connections_while_slow_ % kClosedConnection == 0) return Accept(agent);
+    if (!error && is_slow_ && ++connections_while_slow_ % kCloseEveryNth == 0) return Accept(agent);
     if (!error) {
       DiscoverySessionHost& host = *this;
       std::make_shared<DiscoverySession>(io_, host, agent, std::move(socket))->Read();
@@ -174,50 +174,50 @@
   });
 }
 
-bool DiscoveryServer::RejectsCall() {
+bool DiscoveryServer::ShouldRejectCall() {
   if (!is_slow_) return false;
   ++calls_while_slow_;
-  return calls_while_slow_ % kRejectedCall == 0;
+  return calls_while_slow_ % kRejectEveryNth == 0;
 }
 
 void DiscoveryServer::HandleCall(DiscoveryAgent& agent) {
-  agent.has_grace = false;
-  Advance(agent, agent.missed);
+  agent.is_known_delayed = false;
+  DeliverRevision(agent, agent.lost_revision);
 }
 
 void DiscoveryServer::HandleAnswerWritten(DiscoveryAgent& agent, std::uint64_t revision) {
-  CountAsKnown(agent, revision);
+  ReportKnown(agent, revision);
 }
 
 void DiscoveryServer::SilenceAll() {
   for (const auto& agent : agents_) {
     const auto open = agent->watches;
-    for (const auto& session : open) session->Silence();
+    for (const auto& session : open) session->LeaveUnanswered();
   }
 }
 
 void DiscoveryServer::ApplyChange(const MembershipEntry& entry, TimePoint at) {
   const std::uint64_t revision = registry_.Change(entry);
   for (const auto& agent : agents_) {
-    const bool concerned = !agent->service || *agent->service == entry.service;
-    if (concerned) Notify(*agent, revision, at);
+    const bool is_affected = !agent->service || *agent->service == entry.service;
+    if (is_affected) Notify(*agent, revision, at);
   }
-  ArmNotices();
+  ScheduleNoticeTimer();
 }
 
 void DiscoveryServer::Notify(DiscoveryAgent& agent, std::uint64_t revision, TimePoint at) {
-  agent.newest = revision;
+  agent.newest_revision = revision;
   std::uniform_real_distribution<double> delay(options_.notice_delay_s.low, options_.notice_delay_s.high);
-  const Duration wait = FromSeconds(delay(random_) * late_factor_);
+  const Duration wait = FromSeconds(delay(random_) * delay_factor_);
   if (std::bernoulli_distribution(lost_share_)(random_)) {
-    agent.missed = revision;
+    agent.lost_revision = revision;
     return;
   }
-  // While down, nothing is sent: the return tells all.
+  // While discovery is down no notice is scheduled: SetDown(false) delivers all missed changes.
   if (!is_down_) notices_.push({at + wait, agent.index, revision});
 }
 
-void DiscoveryServer::ArmNotices() {
+void DiscoveryServer::ScheduleNoticeTimer() {
   if (notices_.empty()) return;
   notice_timer_.expires_at(sidecar::ToSteady(notices_.top().when));
   notice_timer_.async_wait([this](error_code error) {
@@ -229,52 +229,52 @@
   while (!notices_.empty() && notices_.top().when <= sidecar::Now()) {
     const Notice notice = notices_.top();
     notices_.pop();
-    Advance(*agents_[notice.agent], notice.revision);
+    DeliverRevision(*agents_[notice.agent], notice.revision);
   }
-  ArmNotices();
+  ScheduleNoticeTimer();
 }
 
-void DiscoveryServer::Advance(DiscoveryAgent& agent, std::uint64_t revision) {
+void DiscoveryServer::DeliverRevision(DiscoveryAgent& agent, std::uint64_t revision) {
   agent.revision = std::max(agent.revision, revision);
   if (is_down_) return;
   const auto open = agent.watches;
   for (const auto& session : open) {
-    if (session->held() < agent.revision) session->AnswerWatch();
+    if (session->caller_revision() < agent.revision) session->AnswerWatch();
   }
-  if (options_.on_request || is_slow_) return CountAsKnownLater(agent, kMaxSilence);
-  if (!agent.has_grace) CountAsKnown(agent, agent.revision);
+  if (options_.on_request || is_slow_) return ReportKnownAfter(agent, kMaxKnownDelay);
+  if (!agent.is_known_delayed) ReportKnown(agent, agent.revision);
 }
 
-void DiscoveryServer::CountAsKnown(DiscoveryAgent& agent, std::uint64_t revision) {
-  if (!options_.on_known || revision <= agent.counted) return;
-  const auto view = registry_.SinceAsOf(agent.counted, revision, agent.service);
+void DiscoveryServer::ReportKnown(DiscoveryAgent& agent, std::uint64_t revision) {
+  if (!options_.on_known || revision <= agent.reported_revision) return;
+  const auto view = registry_.SinceAsOf(agent.reported_revision, revision, agent.service);
   for (const MembershipEntry& entry : view.entries) options_.on_known(agent.index, entry, sidecar::Now());
-  agent.counted = revision;
+  agent.reported_revision = revision;
 }
 
-void DiscoveryServer::CountAsKnownLater(DiscoveryAgent& agent, Duration wait) {
-  if (!options_.on_known || agent.revision <= agent.counted) return;
+void DiscoveryServer::ReportKnownAfter(DiscoveryAgent& agent, Duration wait) {
+  if (!options_.on_known || agent.revision <= agent.reported_revision) return;
   const auto timer = std::make_shared<boost::asio::steady_timer>(io_, wait);
   timer->async_wait([this, timer, &agent, revision = agent.revision](error_code error) {
-    if (!error && !is_down_) CountAsKnown(agent, revision);
+    if (!error && !is_down_) ReportKnown(agent, revision);
   });
 }
 
-void DiscoveryServer::GrantGrace(DiscoveryAgent& agent, Duration wait) {
-  agent.has_grace = true;
-  agent.grace_timer.expires_after(wait);
-  agent.grace_timer.async_wait([this, &agent](error_code error) {
-    if (error || !std::exchange(agent.has_grace, false) || is_down_) return;
-    CountAsKnown(agent, agent.revision);
+void DiscoveryServer::DelayKnown(DiscoveryAgent& agent, Duration wait) {
+  agent.is_known_delayed = true;
+  agent.known_delay_timer.expires_after(wait);
+  agent.known_delay_timer.async_wait([this, &agent](error_code error) {
+    if (error || !std::exchange(agent.is_known_delayed, false) || is_down_) return;
+    ReportKnown(agent, agent.revision);
   });
 }
 
-std::shared_ptr<const DiscoveryAnswer> DiscoveryServer::AnswerFor(DiscoveryAgent& agent,
-                                                                  std::optional<std::uint64_t> held) {
-  const AnswerKey key{agent.service, held, agent.revision};
+std::shared_ptr<const DiscoveryAnswer> DiscoveryServer::AnswerFor(
+    DiscoveryAgent& agent, std::optional<std::uint64_t> caller_revision) {
+  const AnswerKey key{agent.service, caller_revision, agent.revision};
   std::shared_ptr<const DiscoveryAnswer>& answer = answers_[key];
   if (!answer) answer = std::make_shared<DiscoveryAnswer>(MakeAnswer(key));
-  // Further where the registry has forgotten what the agent was last sent.
+  // The answer is newer than the agent's revision if the registry no longer has that revision.
   agent.revision = std::max(agent.revision, answer->revision);
   auto result = answer;
   if (answers_.size() >= kMaxCachedAnswers) answers_.clear();
@@ -282,7 +282,7 @@
 }
 
 DiscoveryAnswer DiscoveryServer::MakeAnswer(const AnswerKey& key) const {
-  const auto view = registry_.SinceAsOf(key.held, key.as_of, key.service);
+  const auto view = registry_.SinceAsOf(key.caller_revision, key.as_of, key.service);
   return {ToJson(view).dump(), view.revision, view.whole, view.entries.size()};
 }
 
--- a/lab/real/discovery_server.h
+++ b/lab/real/discovery_server.h
@@ -1,5 +1,6 @@
-// A stand-in for discovery on loopback: an HTTP/1.1 agent for each sidecar that lists the upstreams, answers
-// watches, and learns of changes after a delay of its own, with faults of that delivery.
+// An emulated discovery service on loopback, with one HTTP/1.1 agent per sidecar. Each agent lists the
+// upstreams, answers watches and receives changes after a delay of its own. Faults of the delivery can be
+// injected.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -30,55 +31,58 @@
 
 struct DiscoveryCounters {
   std::vector<AgentCounters> agents;  // by sidecar
-  Duration processor_time{};          // of the server's thread
+  Duration processor_time{};          // processor time of the server's thread
   AgentCounters Total() const;
 };
 
 struct DiscoveryServerOptions {
-  Range notice_delay_s{0.1, 1};  // drawn for each change and sidecar, in seconds
+  Range notice_delay_s{0.1, 1};  // in seconds; drawn for each change and sidecar
   std::uint64_t seed = 1;
-  // What each sidecar's list holds: the upstreams of one service, or all where absent. One for each sidecar.
+  // By sidecar: the service whose upstreams its list holds; absent: all upstreams. Sets the number of
+  // sidecars.
   std::vector<std::optional<std::size_t>> services;
-  // Called on the server's thread when a change counts as known to a sidecar: once its agent has it; 6 s
-  // after the watch fell silent or 4 s after discovery was moved, if the sidecar does not call before; with
-  // the answer to a call, or 6 s after it could be had, if `on_request`. Empty: not called.
+  // Called on the server's thread when a change counts as known to a sidecar. That is when its agent has the
+  // change; after SilenceWatches() or Move(), with the sidecar's next call, at the latest 6 s or 4 s later;
+  // if `on_request` or while slow, when an answer with the change was written, at the latest 6 s after the
+  // agent has it. Empty: not called.
   std::function<void(std::size_t sidecar, const MembershipEntry& entry, TimePoint at)> on_known = {};
   bool on_request = false;
 };
 
-// Serves on a thread of its own from construction to destruction. All public members may be called from any
-// thread but the server's own; commands take effect in the order in which they were given.
+// Serves on its own thread from construction to destruction. All public members may be called on any thread
+// except the server's own; commands take effect in the order of the calls.
 //
-// An agent holds a revision: what it was sent so far. A notice that arrives brings along everything older.
+// Each agent has a revision, up to which it has received changes. A notice delivers all earlier changes too.
 class DiscoveryServer : private DiscoverySessionHost {
  public:
-  // Throws std::invalid_argument for entries that the registry does not take, std::runtime_error where
-  // sockets or descriptors run out.
+  // Throws std::invalid_argument for entries that the registry rejects, std::runtime_error if there are too
+  // few sockets or descriptors.
   DiscoveryServer(const std::vector<MembershipEntry>& entries, DiscoveryServerOptions options);
   ~DiscoveryServer() override;
   DiscoveryServer(const DiscoveryServer&) = delete;
   DiscoveryServer& operator=(const DiscoveryServer&) = delete;
 
-  // Where sidecar `sidecar` (from 0) finds its agent at the start: an address of loopback.
+  // The initial loopback address of the agent of sidecar `sidecar`, counted from 0.
   lb::Endpoint endpoint(std::size_t sidecar) const;
 
-  // A new state, weight or start of one entry. Returns the revision that it makes. Throws std::out_of_range
-  // for an unknown id.
+  // Replaces one entry, with a new state, weight or start time. Returns the revision that contains the
+  // change. Throws std::out_of_range for an unknown id.
   std::uint64_t Change(const MembershipEntry& entry);
 
   // ---- Faults ----
-  void SetLate(double factor);  // notices of changes from now on take `factor` times as long; 1: as usual
-  void SetLost(double share);   // of the notices from now on: not delivered, brought by the next call
-  void SilenceWatches();        // watches that are open now are never answered
-  // While down, no call is answered, also not later. At the return all that happened is delivered at once.
+  void SetLate(double factor);  // multiplies the delay of notices of later changes; 1: no fault
+  void SetLost(double share);   // share of notices of later changes to lose; the next call delivers them
+  void SilenceWatches();        // never answers the watches that are open now
+  // While down, calls are never answered. Afterwards all missed changes are delivered at once.
   void SetDown(bool down);
-  // While slow, answers come late and in pieces; some connections are closed, some calls answered 503.
+  // While slow, answers are delayed and sent in pieces, some connections are closed and some calls answered
+  // 503.
   void SetSlow(bool slow);
-  // The sidecar's agent listens at another address, which it returns, and answers no call at the old one any
-  // more.
+  // Moves the sidecar's agent to another address, which is returned. Calls over connections to the old
+  // address are not answered any more.
   lb::Endpoint Move(std::size_t sidecar);
 
-  // Watches that wait for something newer now, over all sidecars.
+  // Number of open watches, over all sidecars.
   std::size_t OpenWatches();
   DiscoveryCounters Counters();
 
@@ -91,15 +95,15 @@
   };
   struct AnswerKey {
     std::optional<std::size_t> service;
-    std::optional<std::uint64_t> held;
+    std::optional<std::uint64_t> caller_revision;
     std::uint64_t as_of = 0;
-    // clang-tidy takes the zero in rewritten comparisons for a pointer.
+    // clang-tidy mistakes the zero in rewritten comparisons for a null pointer.
     auto operator<=>(const AnswerKey&) const = default;  // NOLINT(modernize-use-nullptr)
   };
 
   bool IsDown() const override { return is_down_; }
   bool IsSlow() const override { return is_slow_; }
-  bool RejectsCall() override;
+  bool ShouldRejectCall() override;
   void HandleCall(DiscoveryAgent& agent) override;
 
   void Listen(DiscoveryAgent& agent);
@@ -107,34 +111,34 @@
   void SilenceAll();
   void ApplyChange(const MembershipEntry& entry, TimePoint at);
   void Notify(DiscoveryAgent& agent, std::uint64_t revision, TimePoint at);
-  void ArmNotices();
+  void ScheduleNoticeTimer();
   void DeliverNotices();
-  void Advance(DiscoveryAgent& agent, std::uint64_t revision);
-  void CountAsKnown(DiscoveryAgent& agent, std::uint64_t revision);
-  void CountAsKnownLater(DiscoveryAgent& agent, Duration wait);
-  void GrantGrace(DiscoveryAgent& agent, Duration wait);
+  void DeliverRevision(DiscoveryAgent& agent, std::uint64_t revision);
+  void ReportKnown(DiscoveryAgent& agent, std::uint64_t revision);
+  void ReportKnownAfter(DiscoveryAgent& agent, Duration wait);
+  void DelayKnown(DiscoveryAgent& agent, Duration wait);
   lb::Endpoint MoveNow(DiscoveryAgent& agent);
   std::shared_ptr<const DiscoveryAnswer> AnswerFor(DiscoveryAgent& agent,
-                                                   std::optional<std::uint64_t> held) override;
+                                                   std::optional<std::uint64_t> caller_revision) override;
   void HandleAnswerWritten(DiscoveryAgent& agent, std::uint64_t revision) override;
   DiscoveryAnswer MakeAnswer(const AnswerKey& key) const;
-  // Runs `read` on the server's thread and waits for what it gives.
+  // Runs `read` on the server's thread, waits for it and returns its result.
   template <typename Read>
   auto OnServerThread(Read read) -> decltype(read());
 
   const DiscoveryServerOptions options_;
   boost::asio::io_context io_{1};
   std::unordered_set<std::string> known_ids_;
-  std::mutex order_;                 // of changes; guards the next one
-  std::uint64_t last_revision_ = 1;  // handed out by Change()
-  // The rest belongs to the server's thread.
+  std::mutex change_mutex_;          // guards last_revision_, and keeps posted changes in its order
+  std::uint64_t last_revision_ = 1;  // last one returned by Change()
+  // The members below are used only on the server's thread.
   MembershipRegistry registry_;
   std::vector<std::unique_ptr<DiscoveryAgent>> agents_;
   std::priority_queue<Notice, std::vector<Notice>, std::greater<>> notices_;
   boost::asio::steady_timer notice_timer_{io_};
   std::map<AnswerKey, std::shared_ptr<const DiscoveryAnswer>> answers_;
   std::mt19937_64 random_;
-  double late_factor_ = 1;
+  double delay_factor_ = 1;
   double lost_share_ = 0;
   bool is_down_ = false;
   bool is_slow_ = false;
--- a/lab/real/discovery_session.cpp
+++ b/lab/real/discovery_session.cpp
@@ -17,12 +17,12 @@
 using boost::system::error_code;
 using std::chrono::milliseconds;
 
-// Of slow discovery: until an answer's first byte, between its pieces, and their number.
-constexpr auto kSlowStart = milliseconds(300);
-constexpr auto kSlowPause = milliseconds(100);
-constexpr std::size_t kSlowPieces = 4;
+// Of slow discovery: delay before the first piece of an answer, between pieces, and number of pieces.
+constexpr auto kSlowFirstPieceDelay = milliseconds(300);
+constexpr auto kSlowPieceDelay = milliseconds(100);
+constexpr std::size_t kSlowPieceCount = 4;
 
-std::string Head(const char* status, std::size_t length, bool keep_alive) {
+std::string ResponseHead(const char* status, std::size_t length, bool keep_alive) {
   return std::string("HTTP/1.1 ") + status +
          "\r\nContent-Type: application/json\r\nContent-Length: " + std::to_string(length) +
          (keep_alive ? "\r\n\r\n" : "\r\nConnection: close\r\n\r\n");
@@ -42,7 +42,11 @@
 
 DiscoverySession::DiscoverySession(boost::asio::io_context& io, DiscoverySessionHost& host,
                                    DiscoveryAgent& agent, tcp::socket socket)
-    : host_(host), agent_(agent), address_no_(agent.address_no), socket_(std::move(socket)), timer_(io) {
+    : host_(host),
+      agent_(agent),
+      address_generation_(agent.address_generation),
+      socket_(std::move(socket)),
+      timer_(io) {
   error_code ignored;
   socket_.set_option(tcp::no_delay(true), ignored);
 }
@@ -64,10 +68,10 @@
 
 void DiscoverySession::AnswerWatch() {
   EndWatch();
-  AnswerList(held_);
+  AnswerList(caller_revision_);
 }
 
-void DiscoverySession::Silence() {
+void DiscoverySession::LeaveUnanswered() {
   EndWatch();
   WatchForClose();
 }
@@ -75,46 +79,48 @@
 void DiscoverySession::HandleCall() {
   ++agent_.counters.calls;
   keep_alive_ = parser_->get().keep_alive();
-  if (host_.IsDown() || address_no_ != agent_.address_no) return WatchForClose();
+  if (host_.IsDown() || address_generation_ != agent_.address_generation) return WatchForClose();
   if (parser_->get().method() != http::verb::get) return AnswerError("400 Bad Request", keep_alive_);
-  if (host_.RejectsCall()) return AnswerError("503 Service Unavailable", keep_alive_);
+  if (host_.ShouldRejectCall()) return AnswerError("503 Service Unavailable", keep_alive_);
   const auto target = parser_->get().target();
   const DiscoveryQuery query = ParseDiscoveryTarget({target.data(), target.size()});
   if (query.fault == QueryFault::kNotFound) return AnswerError("404 Not Found", keep_alive_);
-  if (query.fault == QueryFault::kBad) return AnswerError("400 Bad Request", keep_alive_);
+  if (query.fault == QueryFault::kMalformed) return AnswerError("400 Bad Request", keep_alive_);
   host_.HandleCall(agent_);
   const bool has_nothing_newer = query.index && *query.index == agent_.revision;
   if (!has_nothing_newer || query.wait == milliseconds::zero()) return AnswerList(query.index);
   Watch(*query.index, query.wait);
 }
 
-void DiscoverySession::Watch(std::uint64_t held, milliseconds wait) {
-  held_ = held;
+void DiscoverySession::Watch(std::uint64_t caller_revision, milliseconds wait) {
+  caller_revision_ = caller_revision;
   agent_.watches.push_back(shared_from_this());
   timer_.expires_after(wait);
-  // AnswerWatch(), Silence() and the connection's end may come before its completion.
-  timer_.async_wait([self = shared_from_this(), step = step_](error_code error) {
-    if (!error && step == self->step_) self->AnswerWatch();
+  // AnswerWatch(), LeaveUnanswered() or the end of the connection may precede the queued completion.
+  timer_.async_wait([self = shared_from_this(), step = step_number_](error_code error) {
+    if (!error && step == self->step_number_) self->AnswerWatch();
   });
   WatchForClose();
 }
 
 void DiscoverySession::WatchForClose() {
-  socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this(), step = step_](error_code error) {
-    if (step != self->step_ || error == boost::asio::error::operation_aborted) return;
-    self->EndWatch();
-    self->Close();
-  });
+  socket_.async_wait(tcp::socket::wait_read,
+                     [self = shared_from_this(), step = step_number_](error_code error) {
+                       if (step != self->step_number_ || error == boost::asio::error::operation_aborted)
+                         return;
+                       self->EndWatch();
+                       self->Close();
+                     });
 }
 
 void DiscoverySession::EndWatch() {
-  ++step_;
+  ++step_number_;
   timer_.cancel();
   std::erase(agent_.watches, shared_from_this());
 }
 
-void DiscoverySession::AnswerList(std::optional<std::uint64_t> held) {
-  answer_ = host_.AnswerFor(agent_, held);
+void DiscoverySession::AnswerList(std::optional<std::uint64_t> caller_revision) {
+  answer_ = host_.AnswerFor(agent_, caller_revision);
   if (answer_->is_whole) {
     ++agent_.counters.whole_lists;
   } else {
@@ -131,8 +137,8 @@
 }
 
 void DiscoverySession::Write(const char* status, const std::string& body, bool keep_alive) {
-  ++step_;
-  head_ = Head(status, body.size(), keep_alive);
+  ++step_number_;
+  head_ = ResponseHead(status, body.size(), keep_alive);
   if (host_.IsSlow()) return WriteSlowly(head_ + body);
   const std::array<boost::asio::const_buffer, 2> parts = {boost::asio::buffer(head_),
                                                           boost::asio::buffer(body)};
@@ -141,22 +147,22 @@
   });
 }
 
-void DiscoverySession::WriteSlowly(std::string text) {
-  slow_text_ = std::move(text);
-  piece_size_ = slow_text_.size() / kSlowPieces + 1;
-  WritePiece(0, kSlowStart);
+void DiscoverySession::WriteSlowly(std::string response) {
+  slow_response_ = std::move(response);
+  piece_size_ = slow_response_.size() / kSlowPieceCount + 1;
+  WritePiece(0, kSlowFirstPieceDelay);
 }
 
 void DiscoverySession::WritePiece(std::size_t from, milliseconds pause) {
   timer_.expires_after(pause);
   timer_.async_wait([self = shared_from_this(), from](error_code stopped) {
     if (stopped) return;
-    const auto rest = boost::asio::buffer(self->slow_text_) + from;
+    const auto rest = boost::asio::buffer(self->slow_response_) + from;
     boost::asio::async_write(self->socket_, boost::asio::buffer(rest, self->piece_size_),
                              [self, from](error_code error, std::size_t bytes) {
                                const std::size_t written = from + bytes;
-                               if (!error && written < self->slow_text_.size()) {
-                                 return self->WritePiece(written, kSlowPause);
+                               if (!error && written < self->slow_response_.size()) {
+                                 return self->WritePiece(written, kSlowPieceDelay);
                                }
                                self->HandleWritten(error, written);
                              });
--- a/lab/real/machine_limits.cpp
+++ b/lab/real/machine_limits.cpp
@@ -11,14 +11,15 @@
 namespace {
 
 constexpr std::size_t kMaxProcesses = 300;
-constexpr double kMemoryShare = 0.5;  // of the machine's
-// The estimate of a run's memory, in MB: the program, a hollow sidecar and each line of its list, an
-// upstream.
+constexpr double kMemoryShare = 0.5;  // of the machine's physical memory
+// Estimated memory in MB of the program itself, of a hollow sidecar, of a line of its endpoint list, and of
+// an upstream.
 constexpr double kProgramMb = 100;
 constexpr double kHollowSidecarMb = 0.25;
 constexpr double kListLineMb = 0.002;
 constexpr double kUpstreamMb = 0.05;
-// Sockets of a hollow sidecar beside those of its agent; what else the program holds.
+// Descriptors per sidecar, besides the listening socket of its discovery agent, and of the rest of the
+// program.
 constexpr std::size_t kDescriptorsPerSidecar = 6;
 constexpr std::size_t kOtherDescriptors = 1000;
 
@@ -49,20 +50,20 @@
   const double estimate_mb = EstimateMemoryMb(experiment, deployment);
   const double limit_mb = MemoryLimitMb();
   if (estimate_mb > limit_mb) {
-    throw std::runtime_error("the run would take about " + std::to_string(estimate_mb) + " MB, more than " +
-                             std::to_string(limit_mb));
+    throw std::runtime_error("the run needs about " + std::to_string(estimate_mb) +
+                             " MB of memory, more than the limit of " + std::to_string(limit_mb));
   }
   const std::size_t processes = 1 + ChildProcesses() + CountRealSidecars(deployment);
   if (processes > kMaxProcesses) {
-    throw std::runtime_error("the run would be " + std::to_string(processes) + " processes, more than " +
-                             std::to_string(kMaxProcesses));
+    throw std::runtime_error("the run needs " + std::to_string(processes) +
+                             " processes, more than the limit of " + std::to_string(kMaxProcesses));
   }
 }
 
 void EnsureDescriptorsForRun(const Experiment& experiment, const Deployment& deployment) {
   const std::size_t real = CountRealSidecars(deployment);
-  // A real sidecar holds no more connections to upstreams than it may have sockets; each sidecar has an
-  // agent.
+  // A real sidecar has at most `sockets` connections to upstreams. Each sidecar has a discovery agent with a
+  // listening socket.
   const std::size_t connections =
       std::min(deployment.upstreams.size(), static_cast<std::size_t>(experiment.sidecars.sockets));
   EnsureDescriptorLimit(deployment.sidecars.size() +
--- a/lab/real/machine_limits.h
+++ b/lab/real/machine_limits.h
@@ -1,4 +1,4 @@
-// What a run on the real clock may take of the machine, checked before it starts.
+// Checks before a run on the real clock that the machine has the memory, processes and descriptors for it.
 #pragma once
 
 #include <cstddef>
@@ -9,18 +9,17 @@
 namespace lb::lab {
 
 std::size_t CountRealSidecars(const Deployment& deployment);
-// None if the experiment leaves them out.
+// 0 if the experiment excludes hollow sidecars.
 std::size_t CountHollowSidecars(const Experiment& experiment, const Deployment& deployment);
 
-// The most memory that the program itself may have, in MB: half of the machine's.
+// Limit on the memory of this process, in MB: half of the machine's physical memory.
 double MemoryLimitMb();
 
-// Throws std::runtime_error if the run would take, by estimate, more than half of the machine's memory, or if
-// it would be more than 300 processes.
+// Throws std::runtime_error if the estimated memory of the run, including real sidecars, exceeds half of the
+// machine's, or if the run would need more than 300 processes.
 void CheckFitsMachine(const Experiment& experiment, const Deployment& deployment);
 
-// Raises the limit on descriptors to what the run needs. Throws std::runtime_error if the hard limit is
-// lower.
+// Raises the limit on descriptors to the number that the run needs. Throws as EnsureDescriptorLimit().
 void EnsureDescriptorsForRun(const Experiment& experiment, const Deployment& deployment);
 
 }  // namespace lb::lab
--- a/lab/real/port_reservation.cpp
+++ b/lab/real/port_reservation.cpp
@@ -11,7 +11,7 @@
 namespace lb::lab {
 namespace {
 
-std::system_error CannotReserve(const boost::asio::ip::tcp::endpoint& endpoint) {
+std::system_error ReservationError(const boost::asio::ip::tcp::endpoint& endpoint) {
   return std::system_error(errno, std::generic_category(),
                            "cannot reserve port " + std::to_string(endpoint.port()));
 }
@@ -20,14 +20,14 @@
 
 PortReservation::PortReservation(const boost::asio::ip::tcp::endpoint& wanted) : endpoint_(wanted) {
   descriptor_ = ::socket(wanted.protocol().family(), SOCK_STREAM | SOCK_CLOEXEC, 0);
-  if (descriptor_ < 0) throw CannotReserve(wanted);
+  if (descriptor_ < 0) throw ReservationError(wanted);
   const int on = 1;
   auto size = static_cast<socklen_t>(endpoint_.capacity());
   const bool bound = ::setsockopt(descriptor_, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on) == 0 &&
                      ::bind(descriptor_, wanted.data(), static_cast<socklen_t>(wanted.size())) == 0 &&
                      ::getsockname(descriptor_, endpoint_.data(), &size) == 0;
   if (bound) return;
-  const std::system_error error = CannotReserve(wanted);
+  const std::system_error error = ReservationError(wanted);
   ::close(descriptor_);
   throw error;
 }
--- a/lab/real/port_reservation.h
+++ b/lab/real/port_reservation.h
@@ -1,16 +1,16 @@
-// Keeps a port of loopback for a server that comes and goes.
+// Reserves a port for a server that is stopped and restarted.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
 
 namespace lb::lab {
 
-// Bound, but never listening: connections are refused while no other socket listens there, and the system
-// gives the port to no other socket as a port of its choice. A server that sets SO_REUSEADDR can listen at
-// it.
+// Holds a socket that is bound to the port but never listens. Connections are refused while no server
+// listens, and the system does not assign the port to another socket as an ephemeral port. A server that sets
+// SO_REUSEADDR can listen on it.
 class PortReservation {
  public:
-  // Port 0: the system picks one. Throws std::system_error where it can't be had.
+  // Port 0: the system chooses one. Throws std::system_error if the port cannot be bound.
   explicit PortReservation(const boost::asio::ip::tcp::endpoint& wanted);
   ~PortReservation();
   PortReservation(PortReservation&& other) noexcept;
--- a/lab/real/socket_state.h
+++ b/lab/real/socket_state.h
@@ -1,4 +1,4 @@
-// What is known of a connection without reading from it.
+// Checks the state of a connection without consuming data from it, and resets connections.
 #pragma once
 
 #include <sys/socket.h>
@@ -9,9 +9,9 @@
 namespace lb::lab {
 
 enum class SocketState {
-  kQuiet,  // open, and nothing to read
-  kData,   // something to read
-  kEnded,  // the peer has ended its sending, or the connection broke
+  kQuiet,  // open, no data to read
+  kData,   // data to read
+  kEnded,  // the peer has closed its sending side, or the connection failed
 };
 
 inline SocketState LookAt(boost::asio::ip::tcp::socket& socket) {
@@ -22,7 +22,7 @@
   return quiet ? SocketState::kQuiet : SocketState::kEnded;
 }
 
-// Closes with a reset instead of an end in good order.
+// Closes the connection with a TCP reset instead of an orderly shutdown.
 inline void ResetConnection(boost::asio::ip::tcp::socket& socket) {
   boost::system::error_code ignored;
   socket.set_option(boost::asio::socket_base::linger(true, 0), ignored);
--- a/lab/real/wall_clock.h
+++ b/lab/real/wall_clock.h
@@ -1,5 +1,5 @@
-// The wall clock of a sidecar's machine: a process that is started with its environment sees it, and sees it
-// stepped while it runs. Its monotonic clock is the machine's.
+// An emulated wall clock for a sidecar's process: processes that are started with Environment() read a wall
+// clock that can be stepped while they run. Their monotonic clock is that of the machine.
 #pragma once
 
 #include <cstdint>
@@ -15,21 +15,22 @@
 // Not thread-safe.
 class WallClock {
  public:
-  // As the machine's own at first. `file`: where its shift is kept; it is made. Throws std::system_error
-  // where that can't be.
+  // The initial shift from the machine's clock is 0. Creates `file`, which stores the shift. Throws
+  // std::system_error if it cannot be created or mapped.
   explicit WallClock(std::string file);
   ~WallClock();
   WallClock(WallClock&& other) noexcept;
   WallClock& operator=(WallClock&&) = delete;
 
-  // It goes on from a time that is so much later; negative: earlier.
+  // Steps the clock forward by `by`, or backward if negative.
   void Step(Duration by);
-  // That a process has to be started with: the library that shifts its clock, and the file.
+  // Environment variables that a process must be started with: the preloaded library and the file of the
+  // shift.
   std::map<std::string, std::string> Environment() const;
 
  private:
   std::string file_;
-  volatile std::int64_t* shift_ns_ = nullptr;  // mapped; null: moved from
+  volatile std::int64_t* shift_ns_ = nullptr;  // mapped from file_; null if moved from
 };
 
 }  // namespace lb::lab
--- a/lab/real/wall_clock_shift.cpp
+++ b/lab/real/wall_clock_shift.cpp
@@ -1,7 +1,7 @@
-// A library that is preloaded into a sidecar under test: the process sees a wall clock that is off by what
-// stands in the file that LB_WALL_CLOCK_FILE names, a whole number of nanoseconds (8 bytes, as the
-// machine stores them). The file may change while the process runs: the clock is stepped. Monotonic clocks
-// are the machine's. Without the file nothing is changed.
+// A library that is preloaded into a sidecar under test and shifts the wall clock of its process. The file
+// named by LB_WALL_CLOCK_FILE holds the shift, a signed number of nanoseconds (8 bytes, native byte
+// order). A change of the file while the process runs steps the clock. Monotonic clocks are not shifted.
+// Without the variable or the file, the wall clock is not shifted either.
 #include <fcntl.h>
 #include <sys/mman.h>
 #include <sys/syscall.h>
--- a/lab/real/worker_thread.h
+++ b/lab/real/worker_thread.h
@@ -1,4 +1,4 @@
-// A thread that runs an io_context, and how other threads have things done on it.
+// A thread that runs an io_context, with functions to run tasks on it from other threads.
 #pragma once
 
 #include <pthread.h>
@@ -19,8 +19,8 @@
 
 namespace lb::lab {
 
-// What is on the io_context has to outlive the call of Stop(). Start(), Stop() and Ask() are for one thread,
-// Post() for any.
+// Objects that use the io_context must outlive the call of Stop(). Start(), Stop() and Ask() must be called
+// on one thread; Post() may be called on any.
 class WorkerThread {
  public:
   explicit WorkerThread(std::string name) : name_(std::move(name)) {}
@@ -34,7 +34,7 @@
     thread_ = std::thread([this] { Run(); });
   }
 
-  // Ends the thread after the handler that it is in.
+  // Ends the thread after the handler that it is running.
   void Stop() {
     io_.stop();
     if (thread_.joinable()) thread_.join();
@@ -45,22 +45,23 @@
     boost::asio::post(io_, std::move(task));
   }
 
-  // Runs `read` on the thread and gives what it returns. Throws what it throws, what has ended the thread
-  // before, and std::runtime_error where it has not answered within `patience`.
+  // Runs `read` on the thread and returns its result. Throws the exception that `read` throws, the exception
+  // that ended the thread, or std::runtime_error if `read` has not returned within `timeout`.
   template <typename Read>
-  auto Ask(Read read, std::chrono::microseconds patience) -> decltype(read()) {
+  auto Ask(Read read, std::chrono::microseconds timeout) -> decltype(read()) {
     auto task = std::make_shared<std::packaged_task<decltype(read())()>>(std::move(read));
     auto result = task->get_future();
     Post([task] { (*task)(); });
-    const auto end = std::chrono::steady_clock::now() + patience;
-    while (result.wait_for(kLookEvery) != std::future_status::ready) {
+    const auto end = std::chrono::steady_clock::now() + timeout;
+    while (result.wait_for(kFailureCheckInterval) != std::future_status::ready) {
       RethrowFailure();
-      if (std::chrono::steady_clock::now() >= end) throw std::runtime_error(name_ + " does not keep up");
+      if (std::chrono::steady_clock::now() >= end)
+        throw std::runtime_error(name_ + " did not answer within the timeout");
     }
     return result.get();
   }
 
-  // Processor time of the thread; 0 where it does not run.
+  // Processor time of the thread in seconds; 0 if it does not run.
   double CpuSeconds() {
     clockid_t clock{};
     timespec spent{};
@@ -69,14 +70,14 @@
     return static_cast<double>(spent.tv_sec) + 1e-9 * static_cast<double>(spent.tv_nsec);
   }
 
-  // Throws what has ended the thread, where anything has.
+  // Throws the exception that ended the thread, if any.
   void RethrowFailure() {
     const std::lock_guard lock(mutex_);
     if (failure_) std::rethrow_exception(failure_);
   }
 
  private:
-  static constexpr auto kLookEvery = std::chrono::milliseconds(20);
+  static constexpr auto kFailureCheckInterval = std::chrono::milliseconds(20);
 
   void Run() {
     try {
--- a/lab/virtual/hollow_connection_pool.cpp
+++ b/lab/virtual/hollow_connection_pool.cpp
@@ -9,26 +9,26 @@
 
 using std::chrono::milliseconds;
 
-// As the real sidecar has them (sidecar/connection_pool.cpp).
-constexpr int kIdleShare = 10;
+// The values of the real sidecar (sidecar/connection_pool.cpp).
+constexpr int kIdleMarginDivisor = 10;
 constexpr Duration kIdleMargin = milliseconds(500);
 constexpr Duration kSweepInterval = milliseconds(250);
 
-Duration TrustedIdle(Duration limit) {
-  return std::max(limit / 2, limit - std::max(limit / kIdleShare, kIdleMargin));
+Duration IdleLimit(Duration limit) {
+  return std::max(limit / 2, limit - std::max(limit / kIdleMarginDivisor, kIdleMargin));
 }
 
 }  // namespace
 
 HollowConnectionPool::HollowConnectionPool(const UpstreamDirectory& upstreams, Scheduler& scheduler,
                                            Duration idle_close)
-    : upstreams_(upstreams), scheduler_(scheduler), trusted_idle_(TrustedIdle(idle_close)) {}
+    : upstreams_(upstreams), scheduler_(scheduler), idle_limit_(IdleLimit(idle_close)) {}
 
 std::optional<HollowConnection> HollowConnectionPool::Take(std::size_t upstream, Duration max_idle) {
   const auto it = idle_.find(upstream);
   if (it == idle_.end()) return std::nullopt;
   std::vector<HollowConnection>& pool = it->second;
-  const Duration trusted = std::min(trusted_idle_, max_idle);
+  const Duration limit = std::min(idle_limit_, max_idle);
   const TimePoint now = scheduler_.Now();
   for (std::size_t i = pool.size(); i-- > 0;) {
     if (now < pool[i].usable_from) continue;
@@ -36,20 +36,20 @@
     pool.erase(pool.begin() + static_cast<std::ptrdiff_t>(i));
     --size_;
     connection.idle_for = now - connection.idle_since;
-    if (LooksAlive(upstream, connection) && *connection.idle_for < trusted) return connection;
+    if (IsPresumedOpen(upstream, connection) && *connection.idle_for < limit) return connection;
     Close(upstream, connection);
   }
   return std::nullopt;
 }
 
-bool HollowConnectionPool::LooksAlive(std::size_t upstream, const HollowConnection& connection) const {
+bool HollowConnectionPool::IsPresumedOpen(std::size_t upstream, const HollowConnection& connection) const {
   return connection.process > upstreams_.model(upstream).last_reset_process();
 }
 
 void HollowConnectionPool::Return(std::size_t upstream, const HollowConnection& connection) {
   idle_[upstream].push_back(connection);
   ++size_;
-  ArmSweep();
+  ScheduleSweep();
 }
 
 void HollowConnectionPool::Close(std::size_t upstream, const HollowConnection& connection) {
@@ -68,33 +68,33 @@
 
 void HollowConnectionPool::CloseAll() {
   ++epoch_;
-  is_sweep_armed_ = false;
-  for (std::size_t place = 0; place < upstreams_.size(); ++place) CloseIdleOf(place);
+  is_sweep_scheduled_ = false;
+  for (std::size_t index = 0; index < upstreams_.size(); ++index) CloseIdleOf(index);
 }
 
-void HollowConnectionPool::ArmSweep() {
-  if (is_sweep_armed_) return;
-  is_sweep_armed_ = true;
+void HollowConnectionPool::ScheduleSweep() {
+  if (is_sweep_scheduled_) return;
+  is_sweep_scheduled_ = true;
   scheduler_.After(kSweepInterval, [this, epoch = epoch_] {
-    if (epoch == epoch_) RetireIdle();
+    if (epoch == epoch_) CloseExpired();
   });
 }
 
-void HollowConnectionPool::RetireIdle() {
+void HollowConnectionPool::CloseExpired() {
   const TimePoint now = scheduler_.Now();
-  std::vector<std::pair<std::size_t, HollowConnection>> retired;
+  std::vector<std::pair<std::size_t, HollowConnection>> expired;
   for (auto& [upstream, pool] : idle_) {
-    std::erase_if(pool, [&, place = upstream](const HollowConnection& connection) {
-      if (now - connection.idle_since < trusted_idle_ && LooksAlive(place, connection)) return false;
-      retired.emplace_back(place, connection);
+    std::erase_if(pool, [&, index = upstream](const HollowConnection& connection) {
+      if (now - connection.idle_since < idle_limit_ && IsPresumedOpen(index, connection)) return false;
+      expired.emplace_back(index, connection);
       return true;
     });
   }
-  size_ -= retired.size();
-  std::sort(retired.begin(), retired.end(), [](const auto& a, const auto& b) { return a.first < b.first; });
-  for (const auto& [upstream, connection] : retired) Close(upstream, connection);
-  is_sweep_armed_ = false;
-  if (size_ > 0) ArmSweep();
+  size_ -= expired.size();
+  std::sort(expired.begin(), expired.end(), [](const auto& a, const auto& b) { return a.first < b.first; });
+  for (const auto& [upstream, connection] : expired) Close(upstream, connection);
+  is_sweep_scheduled_ = false;
+  if (size_ > 0) ScheduleSweep();
 }
 
 }  // namespace lb::lab
--- a/lab/virtual/hollow_connection_pool.h
+++ b/lab/virtual/hollow_connection_pool.h
@@ -1,5 +1,5 @@
-// The idle connections of a hollow sidecar to modelled upstreams, as the real sidecar's pools keep them
-// (sidecar/connection_pool.h).
+// Idle connections from a hollow sidecar to modelled upstreams. Follows the reuse rules of the real sidecar's
+// pools (sidecar/connection_pool.h).
 #pragma once
 
 #include <cstddef>
@@ -14,25 +14,26 @@
 namespace lb::lab {
 
 struct HollowConnection {
-  std::uint64_t process = 0;     // of the upstream; 0 while that has not accepted it
-  std::uint32_t generation = 0;  // of the upstream's entry in the list when it was opened
+  std::uint64_t process = 0;     // the upstream process that accepted the connection; 0 until then
+  std::uint32_t generation = 0;  // of the upstream's endpoint list entry when the connection was opened
   TimePoint idle_since;
   TimePoint usable_from;
-  std::optional<Duration> idle_for;  // before its present exchange; absent for a new one
+  std::optional<Duration> idle_for;  // idle time before the current exchange; absent for a new connection
 };
 
-// Upstreams are named by their place in the directory.
+// `upstream` parameters are indices into the UpstreamDirectory.
 class HollowConnectionPool {
  public:
-  // `idle_close`: how long upstreams let a connection be idle; it is retired a little before. The references
-  // have to outlive the pool, and `scheduler` must not run once it is gone.
+  // `idle_close`: idle time after which upstreams close a connection; the pool closes it shortly before. The
+  // references must outlive the pool, and `scheduler` must not run after the pool is destroyed.
   HollowConnectionPool(const UpstreamDirectory& upstreams, Scheduler& scheduler, Duration idle_close);
 
-  // The most recently used connection that can carry a request, has been idle for less than `max_idle` and
-  // whose end has not been noticed; nothing if there is none. `idle_for` of the result is set.
+  // Returns the most recently used connection that may carry a request, has been idle for less than
+  // `max_idle` and has not been detected as closed; std::nullopt if there is none. Sets `idle_for` of the
+  // result.
   std::optional<HollowConnection> Take(std::size_t upstream, Duration max_idle);
   void Return(std::size_t upstream, const HollowConnection& connection);
-  // Closes a connection that is not in the pool.
+  // Closes a connection that has been taken from the pool or was never in it.
   void Close(std::size_t upstream, const HollowConnection& connection);
   void CloseIdleOf(std::size_t upstream);
   void CloseAll();
@@ -40,19 +41,19 @@
   std::size_t size() const { return size_; }
 
  private:
-  // A machine that vanished has closed nothing; that a process ended and the machine came back unseen is
-  // noticed at the next use.
-  bool LooksAlive(std::size_t upstream, const HollowConnection& connection) const;
-  void ArmSweep();
-  void RetireIdle();
+  // False if the upstream has reset the connection. A machine that stopped responding sends no reset, so its
+  // connections look open; if its process ended meanwhile, the next use of the connection fails.
+  bool IsPresumedOpen(std::size_t upstream, const HollowConnection& connection) const;
+  void ScheduleSweep();
+  void CloseExpired();
 
   const UpstreamDirectory& upstreams_;
   Scheduler& scheduler_;
-  const Duration trusted_idle_;
-  std::unordered_map<std::size_t, std::vector<HollowConnection>> idle_;  // the most recently used one last
+  const Duration idle_limit_;
+  std::unordered_map<std::size_t, std::vector<HollowConnection>> idle_;  // least recently used first
   std::size_t size_ = 0;
-  bool is_sweep_armed_ = false;
-  std::uint64_t epoch_ = 0;  // grows with CloseAll(): sweeps that were armed before are void
+  bool is_sweep_scheduled_ = false;
+  std::uint64_t epoch_ = 0;  // incremented by CloseAll(), which cancels sweeps scheduled before
 };
 
 }  // namespace lb::lab
--- a/lab/virtual/hollow_fleet.cpp
+++ b/lab/virtual/hollow_fleet.cpp
@@ -15,13 +15,13 @@
 
 double Milliseconds(Duration duration) { return std::chrono::duration<double, std::milli>(duration).count(); }
 
-bool IsPlayed(const Experiment& experiment, const SidecarInstance& sidecar) {
+bool IsHollow(const Experiment& experiment, const SidecarInstance& sidecar) {
   return !sidecar.real && !experiment.hollow_absent;
 }
 
-Deployment HollowLoad(const Experiment& experiment, Deployment deployment) {
+Deployment WithHollowLoadOnly(const Experiment& experiment, Deployment deployment) {
   for (SidecarInstance& sidecar : deployment.sidecars) {
-    if (!IsPlayed(experiment, sidecar)) sidecar.requests_per_s = 0;
+    if (!IsHollow(experiment, sidecar)) sidecar.requests_per_s = 0;
   }
   return deployment;
 }
@@ -45,12 +45,12 @@
       scheduler_(scheduler),
       experiment_(experiment),
       deployment_(deployment),
-      offered_(HollowLoad(experiment, deployment)),
+      hollow_load_(WithHollowLoadOnly(experiment, deployment)),
       discovery_(discovery),
       network_(experiment.network, DeriveSeed(experiment.seed, "network")),
       members_(deployment.sidecars.size()),
       clients_(
-          experiment, offered_, scheduler,
+          experiment, hollow_load_, scheduler,
           [this](std::size_t sidecar, const OfferedRequest& request, HollowSidecar::OnAnswer on_answer) {
             Offer(sidecar, request, std::move(on_answer));
           },
@@ -60,12 +60,12 @@
     models_.push_back(std::make_unique<UpstreamModel>(instance, experiment.upstreams, scheduler));
     directory_.Add(*models_.back());
   }
-  work_at_look_ = ServedWork();
+  last_work_ = ServedWork();
 }
 
 void HollowFleet::StartSidecars(const MembershipRegistry& registry) {
   for (const SidecarInstance& instance : deployment_.sidecars) {
-    if (!IsPlayed(experiment_, instance)) continue;
+    if (!IsHollow(experiment_, instance)) continue;
     ++hollow_count_;
     Member& member = members_[instance.index];
     member.sidecar = std::make_unique<HollowSidecar>(
@@ -98,37 +98,37 @@
   options.seed = DeriveSeed(seed, "discovery");
   propagation_.Start(sidecar, service);
   control_.Start(sidecar, options, [this, sidecar, start](ControlNotice notice) {
-    boost::asio::post(io_, [this, heard = HeardNotice{sidecar, start, std::move(notice)}]() mutable {
-      Hear(std::move(heard));
+    boost::asio::post(io_, [this, received = ReceivedNotice{sidecar, start, std::move(notice)}]() mutable {
+      HandleNotice(std::move(received));
     });
   });
-  const auto known = sidecar::ParseEndpointList(ToJson(registry.Since(std::nullopt, service)), unix_clock_);
-  member.sidecar->Start(seed, known.update.upstreams);
+  const auto list = sidecar::ParseEndpointList(ToJson(registry.Since(std::nullopt, service)), unix_clock_);
+  member.sidecar->Start(seed, list.update.upstreams);
 }
 
-void HollowFleet::Hear(HeardNotice heard) {
-  Member& member = members_[heard.sidecar];
-  if (member.starts != heard.start) return;
-  if (heard.notice.revision > 0) {
-    member.revision = heard.notice.revision;
-    propagation_.Told(heard.sidecar, heard.notice.revision, heard.notice.at);
+void HollowFleet::HandleNotice(ReceivedNotice received) {
+  Member& member = members_[received.sidecar];
+  if (member.starts != received.start) return;
+  if (received.notice.revision > 0) {
+    member.revision = received.notice.revision;
+    propagation_.Told(received.sidecar, received.notice.revision, received.notice.at);
   }
-  heard_.push_back(std::move(heard));
-  if (heard_.size() == 1) ApplyHeard();
+  queued_notices_.push_back(std::move(received));
+  if (queued_notices_.size() == 1) ApplyQueuedNotices();
 }
 
-// A few at a time, with whatever else is due between: a change that all hear of must not hold up their
-// requests for long, nor these the change.
-void HollowFleet::ApplyHeard() {
+// Applies notices in time slices and lets the io_context run other handlers in between, so that a change sent
+// to all sidecars does not delay their requests for long, and requests do not delay the change.
+void HollowFleet::ApplyQueuedNotices() {
   boost::asio::post(io_, [this] {
     const TimePoint until = scheduler_.Now() + kApplySlice;
-    while (!heard_.empty() && scheduler_.Now() < until) {
-      HeardNotice& next = heard_.front();
+    while (!queued_notices_.empty() && scheduler_.Now() < until) {
+      ReceivedNotice& next = queued_notices_.front();
       Member& member = members_[next.sidecar];
       if (member.starts == next.start) member.sidecar->Apply(std::move(next.notice.update));
-      heard_.pop_front();
+      queued_notices_.pop_front();
     }
-    if (!heard_.empty()) ApplyHeard();
+    if (!queued_notices_.empty()) ApplyQueuedNotices();
   });
 }
 
@@ -158,11 +158,11 @@
   window.traffic = std::exchange(traffic_, {});
   window.notice_delays_ms = propagation_.TakeRecentDelays();
   const double cpu_s = ThreadCpuSeconds();
-  window.thread_cpu_s = cpu_s - std::exchange(cpu_at_look_s_, cpu_s);
+  window.thread_cpu_s = cpu_s - std::exchange(last_cpu_s_, cpu_s);
   const double control_cpu_s = control_.CpuSeconds();
-  window.control_cpu_s = control_cpu_s - std::exchange(control_cpu_at_look_s_, control_cpu_s);
-  window.load_spread = LoadSpread(work_at_look_);
-  work_at_look_ = ServedWork();
+  window.control_cpu_s = control_cpu_s - std::exchange(last_control_cpu_s_, control_cpu_s);
+  window.load_spread = LoadSpread(last_work_);
+  last_work_ = ServedWork();
   for (const auto& model : models_) {
     window.crowded_upstreams += model->crowded() ? 1 : 0;
     window.held += model->held();
--- a/lab/virtual/hollow_fleet.h
+++ b/lab/virtual/hollow_fleet.h
@@ -1,5 +1,5 @@
-// All hollow sidecars of a run on the real clock, with the upstream models they call and their clients, on
-// the thread of one io_context; their control clients beside it.
+// All hollow sidecars of a run on the real clock, with the upstream models that they call and their clients.
+// They share the thread of one io_context; their control clients run on other threads.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -25,26 +25,26 @@
 
 namespace lb::lab {
 
-// How requests ended, with the latencies of the served ones.
+// Counts requests by result and collects the latencies of served requests.
 struct RequestResults {
   TrafficCounters counters;
   Distribution latency_ms;
   void Add(const RequestResult& result);
 };
 
-// What happened since the last look.
+// Measurements since the last HollowFleet::Take().
 struct HollowWindow {
-  RequestResults results;   // of the requests that ended
-  TrafficCounters traffic;  // to the upstreams, and clients' retries; no results
+  RequestResults results;   // of requests that ended in the window
+  TrafficCounters traffic;  // attempts, connects, probes and client retries; no request results
   Distribution notice_delays_ms;
-  double thread_cpu_s = 0;   // of the fleet's thread: modules, models and clients
+  double thread_cpu_s = 0;   // of the fleet's thread, which runs modules, models and clients
   double control_cpu_s = 0;  // of the control clients' threads
-  double load_spread = 0;    // 95th percentile over mean of the upstreams' served work by capacity
+  double load_spread = 0;    // 95th percentile / mean of the upstreams' served work per capacity
   std::uint64_t crowded_upstreams = 0;
   std::uint64_t held = 0;
 };
 
-// Of the measured time. Requests count by their arrival.
+// Measurements of the measured time. A request counts if it arrived within it.
 struct HollowTotals {
   RequestResults results;
   RequestResults last_third;
@@ -52,20 +52,21 @@
   double load_spread = 0;
 };
 
-// What a sidecar's discovery list is restricted to, if at all.
+// The service that the sidecar's endpoint list is restricted to; std::nullopt if it holds all upstreams.
 std::optional<std::size_t> ListedService(const Experiment& experiment, const SidecarInstance& sidecar);
 
-// All members have to be called on the io_context's thread, or while it does not run.
+// All members must be called on the io_context's thread or while the io_context does not run, except as
+// noted.
 class HollowFleet {
  public:
-  // Makes the upstream models, which run from then on. All references have to outlive it.
+  // Creates the upstream models as running. All references must outlive the fleet.
   HollowFleet(boost::asio::io_context& io, Scheduler& scheduler, const Experiment& experiment,
               const Deployment& deployment, DiscoveryServer& discovery);
 
-  // Starts every hollow sidecar (none where the experiment leaves them out), each with what `registry` lists,
-  // and its control client.
+  // Starts every hollow sidecar and its control client, with the list in `registry`. Starts none if the
+  // experiment excludes hollow sidecars.
   void StartSidecars(const MembershipRegistry& registry);
-  // A sidecar dies, and restarts. Nothing happens for a real one.
+  // Kill or restart one sidecar. No effect for sidecars that are not hollow.
   void KillSidecar(std::size_t sidecar);
   void StartSidecar(std::size_t sidecar, const MembershipRegistry& registry);
 
@@ -80,15 +81,16 @@
   const PropagationLog& propagation() const { return propagation_; }
   std::size_t sidecars() const { return hollow_count_; }
 
-  // Whether every sidecar has had its first list.
+  // Whether every hollow sidecar has received its first list.
   bool AllHoldLists() const;
-  // Processor time of the fleet's thread and of the control clients'.
+  // Processor time of the fleet's thread and the control clients' threads, in seconds.
   double CpuSeconds();
-  void RethrowFailure() { control_.RethrowFailure(); }  // of the control clients; from any thread
+  // Throws the exception that ended a control client thread, if any. Callable from any thread.
+  void RethrowFailure() { control_.RethrowFailure(); }
 
-  // The measured time, from now on.
+  // Starts the measured time [now, end).
   void BeginMeasuring(TimePoint now, TimePoint end);
-  // What is measured by time alone ends here; requests that arrived before count until they have ended.
+  // Ends all measurements except for requests that arrived before `end`: these are counted when they end.
   void EndMeasuring();
   HollowWindow Take();
   const HollowTotals& totals() const { return totals_; }
@@ -96,18 +98,18 @@
  private:
   struct Member {
     std::unique_ptr<HollowSidecar> sidecar;
-    std::uint64_t starts = 0;    // notices for an earlier one are void
-    std::uint64_t revision = 0;  // of the list that it holds
+    std::uint64_t starts = 0;    // notices for an earlier start are discarded
+    std::uint64_t revision = 0;  // of its endpoint list; 0 before the first
   };
 
-  struct HeardNotice {
+  struct ReceivedNotice {
     std::size_t sidecar = 0;
-    std::uint64_t start = 0;  // of the sidecar that it was meant for
+    std::uint64_t start = 0;  // Member::starts when the control client was started
     ControlNotice notice;
   };
 
-  void Hear(HeardNotice heard);
-  void ApplyHeard();
+  void HandleNotice(ReceivedNotice received);
+  void ApplyQueuedNotices();
   void Offer(std::size_t sidecar, const OfferedRequest& request, HollowSidecar::OnAnswer on_answer);
   void CountResult(const RequestResult& result);
   std::vector<double> ServedWork() const;
@@ -117,29 +119,29 @@
   Scheduler& scheduler_;
   const Experiment& experiment_;
   const Deployment& deployment_;
-  const Deployment offered_;  // the same with no requests for those that are not played here
+  const Deployment hollow_load_;  // the deployment, with a request rate of 0 for sidecars that are not hollow
   DiscoveryServer& discovery_;
   const sidecar::UnixClock unix_clock_;
   NetworkModel network_;
   std::vector<std::unique_ptr<UpstreamModel>> models_;
   UpstreamDirectory directory_;
   PropagationLog propagation_;
-  std::vector<Member> members_;  // by the sidecar's index; empty for one that is not played here
+  std::vector<Member> members_;  // by sidecar index; no sidecar where it is not hollow
   std::size_t hollow_count_ = 0;
-  std::deque<HeardNotice> heard_;  // and not handed to the modules yet
-  TrafficCounters traffic_;        // since the last look
+  std::deque<ReceivedNotice> queued_notices_;  // received, but not yet applied to the modules
+  TrafficCounters traffic_;                    // since the last Take()
   ClientModel clients_;
 
   RequestResults window_;
-  double cpu_at_look_s_ = 0;
-  double control_cpu_at_look_s_ = 0;
-  std::vector<double> work_at_look_;
+  double last_cpu_s_ = 0;
+  double last_control_cpu_s_ = 0;
+  std::vector<double> last_work_;
   HollowTotals totals_;
   std::vector<double> work_at_start_;
   bool measuring_ = false;
   TimePoint measured_from_ = TimePoint::max();
   TimePoint measured_until_ = TimePoint::max();
-  ControlFleet control_;  // its threads end first
+  ControlFleet control_;  // last member, so that its threads are stopped first
 };
 
 }  // namespace lb::lab
--- a/lab/virtual/hollow_sidecar.cpp
+++ b/lab/virtual/hollow_sidecar.cpp
@@ -16,16 +16,16 @@
 using lb::UpstreamState;
 using std::chrono::milliseconds;
 
-// As the real sidecar has them (sidecar/request_intake.cpp, sidecar/connection_pool.cpp).
-constexpr Duration kTrip = milliseconds(2);  // from a client to its sidecar, taken off its deadline
+// The value of the real sidecar (sidecar/request_intake.cpp).
+constexpr Duration kClientToSidecarDelay = milliseconds(2);  // subtracted from the client's deadline
 
-TimePoint Later(TimePoint from, Duration wait) {
+TimePoint AddSaturating(TimePoint from, Duration wait) {
   return wait >= TimePoint::max() - from ? TimePoint::max() : from + wait;
 }
 
 }  // namespace
 
-// ---- The process, its clients and its list ----
+// ---- Process, client requests and endpoint list ----
 
 HollowSidecar::HollowSidecar(const SidecarInstance& instance, lb::Settings settings,
                              const UpstreamDirectory& upstreams, NetworkModel& network, Scheduler& scheduler,
@@ -42,21 +42,21 @@
 
 HollowSidecar::~HollowSidecar() = default;
 
-void HollowSidecar::Start(std::uint64_t seed, std::vector<UpstreamInfo> known) {
+void HollowSidecar::Start(std::uint64_t seed, std::vector<UpstreamInfo> list) {
   if (running()) Kill();
   ++process_;
   sidecar::BalancerClock& clock = *this;
   sidecar::ActionHandler& handler = *this;
   host_.emplace(settings_, seed, clock, handler, &module_time_);
   listed_.assign(upstreams_.size(), {});
-  Apply({MembershipUpdate::Kind::kRestored, std::move(known)});
+  Apply({MembershipUpdate::Kind::kRestored, std::move(list)});
 }
 
 void HollowSidecar::Kill() {
   if (!running()) return;
   host_.reset();
   ++process_;
-  armed_for_ = TimePoint::max();
+  timer_due_ = TimePoint::max();
   for (const auto& [id, exchange] : std::exchange(exchanges_, {})) {
     if (exchange.call) upstreams_.model(exchange.upstream).Abandon(*exchange.call);
     if (exchange.connection.process != 0) connections_.Close(exchange.upstream, exchange.connection);
@@ -66,7 +66,7 @@
   for (auto& [id, pending] : std::exchange(requests_, {})) {
     if (pending.on_answer) waiting.emplace_back(id, std::move(pending.on_answer));
   }
-  answer_by_.clear();
+  answer_deadlines_.clear();
   std::sort(waiting.begin(), waiting.end(), [](const auto& a, const auto& b) { return a.first < b.first; });
   for (auto& [id, on_answer] : waiting) {
     scheduler_.After({}, [on_answer = std::move(on_answer)] { on_answer({AnswerKind::kLost, {}}); });
@@ -82,54 +82,54 @@
   lb::RequestArrived event;
   event.request = RequestId{++last_request_};
   event.request_class = request.request_class;
-  event.deadline = std::max(request.deadline - kTrip, now + milliseconds(1));
+  event.deadline = std::max(request.deadline - kClientToSidecarDelay, now + milliseconds(1));
   event.client_retry = request.client_retry;
   requests_.emplace(event.request, Pending{request.work, std::move(on_answer), {}, 0});
   CountUnanswered(now);
-  answer_by_.emplace_back(event.deadline + settings_.fleet_limits.answer_grace, event.request);
+  answer_deadlines_.emplace_back(event.deadline + settings_.fleet_limits.answer_grace, event.request);
   host_->Deliver(event);
 }
 
-// The module handles the list before the ends of attempts that follow from it, and acts on it only when the
-// connections have followed.
+// The module must process the list before the outcomes of attempts that the list aborts, and its actions must
+// find connections that already reflect the list. Events are therefore held until the list has been applied.
 void HollowSidecar::Apply(MembershipUpdate update) {
   if (!running()) return;
   {
     const sidecar::BalancerHost::EventHold hold(*host_);
-    const auto& told = std::get<MembershipUpdate>(host_->Enqueue(std::move(update)));
-    if (told.kind != MembershipUpdate::Kind::kFailed) FollowList(told);
+    const auto& queued = std::get<MembershipUpdate>(host_->Enqueue(std::move(update)));
+    if (queued.kind != MembershipUpdate::Kind::kFailed) ApplyListToConnections(queued);
   }
   host_->HandleQueuedEvents();
 }
 
-void HollowSidecar::FollowList(const MembershipUpdate& update) {
+void HollowSidecar::ApplyListToConnections(const MembershipUpdate& update) {
   if (update.kind != MembershipUpdate::Kind::kChanges) {
     std::vector<bool> in_list(listed_.size());
     for (const UpstreamInfo& info : update.upstreams) {
-      if (const auto place = upstreams_.Find(info.id.value)) in_list[*place] = true;
+      if (const auto index = upstreams_.Find(info.id.value)) in_list[*index] = true;
     }
-    for (std::size_t place = 0; place < listed_.size(); ++place) {
-      if (in_list[place] || listed_[place].state == UpstreamState::kGone) continue;
-      listed_[place].state = UpstreamState::kGone;
-      GiveUpConnections(place);
+    for (std::size_t index = 0; index < listed_.size(); ++index) {
+      if (in_list[index] || listed_[index].state == UpstreamState::kGone) continue;
+      listed_[index].state = UpstreamState::kGone;
+      RetireConnections(index);
     }
   }
   for (const UpstreamInfo& info : update.upstreams) {
-    if (const auto place = upstreams_.Find(info.id.value)) FollowListed(*place, info);
+    if (const auto index = upstreams_.Find(info.id.value)) ApplyEntryToConnections(*index, info);
   }
 }
 
-// Where it drains, is gone or restarted, its idle connections are closed and what has not begun to be
-// written to it ends as not sent.
-void HollowSidecar::FollowListed(std::size_t upstream, const UpstreamInfo& info) {
+// If the upstream drains, is gone or has restarted, closes its idle connections and ends exchanges that have
+// not begun to be written as not sent.
+void HollowSidecar::ApplyEntryToConnections(std::size_t upstream, const UpstreamInfo& info) {
   Listed& listed = listed_[upstream];
   const bool restarted = listed.state != UpstreamState::kGone && listed.started != info.started;
   listed.state = info.state;
   listed.started = info.started;
-  if (info.state != UpstreamState::kServing || restarted) GiveUpConnections(upstream);
+  if (info.state != UpstreamState::kServing || restarted) RetireConnections(upstream);
 }
 
-void HollowSidecar::GiveUpConnections(std::size_t upstream) {
+void HollowSidecar::RetireConnections(std::size_t upstream) {
   ++listed_[upstream].generation;
   connections_.CloseIdleOf(upstream);
   AbortUnsent(upstream);
@@ -144,36 +144,37 @@
   for (const ExchangeId id : unsent) EndExchange(id, Outcome::kNotSent, false);
 }
 
-std::uint64_t HollowSidecar::lost() const {
+std::uint64_t HollowSidecar::answer_faults() const {
   const auto overdue = [this](const auto& entry) {
     const auto it = requests_.find(entry.second);
     return scheduler_.Now() > entry.first && it != requests_.end() && it->second.on_answer;
   };
-  return lost_ + static_cast<std::uint64_t>(std::count_if(answer_by_.begin(), answer_by_.end(), overdue));
+  return answer_faults_ + static_cast<std::uint64_t>(
+                              std::count_if(answer_deadlines_.begin(), answer_deadlines_.end(), overdue));
 }
 
 void HollowSidecar::CountUnanswered(TimePoint now) {
-  while (!answer_by_.empty() && answer_by_.front().first < now) {
-    const auto it = requests_.find(answer_by_.front().second);
-    if (it != requests_.end() && it->second.on_answer) ++lost_;
-    answer_by_.pop_front();
+  while (!answer_deadlines_.empty() && answer_deadlines_.front().first < now) {
+    const auto it = requests_.find(answer_deadlines_.front().second);
+    if (it != requests_.end() && it->second.on_answer) ++answer_faults_;
+    answer_deadlines_.pop_front();
   }
 }
 
 // ---- Timers ----
 
-// A task that was scheduled can't be cancelled: only an earlier time is scheduled again.
+// Scheduled tasks cannot be cancelled, so that a new task is scheduled only for an earlier time.
 void HollowSidecar::ArmTimer(TimePoint next) {
-  if (next >= armed_for_) return;
-  armed_for_ = next;
-  scheduler_.At(armed_for_, [this, process = process_] {
+  if (next >= timer_due_) return;
+  timer_due_ = next;
+  scheduler_.At(timer_due_, [this, process = process_] {
     if (process == process_) FireTimers();
   });
 }
 
 void HollowSidecar::FireTimers() {
-  if (scheduler_.Now() < armed_for_) return;  // an earlier one came in between; this one is armed again
-  armed_for_ = TimePoint::max();
+  if (scheduler_.Now() < timer_due_) return;  // superseded: an earlier timer fired and a later one was set
+  timer_due_ = TimePoint::max();
   host_->FireDueTimers();
 }
 
@@ -182,20 +183,20 @@
 void HollowSidecar::AnswerClient(Pending& pending, const Answer& answer) {
   const OnAnswer on_answer = std::exchange(pending.on_answer, nullptr);
   if (!on_answer) {
-    ++lost_;
+    ++answer_faults_;
     return;
   }
-  // The module lets a trial go on behind the answer. But where its connection has not come up by now the
-  // request must not be sent on any more.
+  // A half-open probe continues after the client has its answer. But an attempt whose connection is not yet
+  // established must not send the request any more.
   for (const ExchangeId id : pending.attempts) {
-    if (const auto it = exchanges_.find(id); it != exchanges_.end()) it->second.wanted = false;
+    if (const auto it = exchanges_.find(id); it != exchanges_.end()) it->second.needed = false;
   }
   on_answer(answer);
 }
 
-void HollowSidecar::ForgetIfDone(RequestId id) {
+void HollowSidecar::EraseIfDone(RequestId id) {
   const auto it = requests_.find(id);
-  if (it != requests_.end() && !it->second.on_answer && it->second.out == 0) requests_.erase(it);
+  if (it != requests_.end() && !it->second.on_answer && it->second.open_attempts == 0) requests_.erase(it);
 }
 
 // ---- Actions ----
@@ -210,14 +211,14 @@
   exchange.attempt = AttemptId{pending.attempts.size()};
   exchange.work = pending.work;
   exchange.sent = scheduler_.Now();
-  exchange.gives_up = Later(exchange.sent, action.timeout);
-  exchange.begin_by = Later(exchange.sent, action.begin_within);
+  exchange.timeout_at = AddSaturating(exchange.sent, action.timeout);
+  exchange.begin_by = AddSaturating(exchange.sent, action.begin_within);
   pending.attempts.push_back(id);
-  ++pending.out;
-  const auto place = upstreams_.Find(action.upstream.value);
-  if (!place || !pending.on_answer) return TellModule(exchange, Outcome::kNotSent, {});
-  exchange.upstream = *place;
-  Begin(id, exchange, action.max_connection_idle);
+  ++pending.open_attempts;
+  const auto index = upstreams_.Find(action.upstream.value);
+  if (!index || !pending.on_answer) return ReportOutcome(exchange, Outcome::kNotSent, {});
+  exchange.upstream = *index;
+  StartExchange(id, exchange, action.max_connection_idle);
 }
 
 void HollowSidecar::CancelAttempt(const lb::CancelAttempt& action) {
@@ -230,36 +231,36 @@
 void HollowSidecar::RejectRequest(const lb::RejectRequest& action) {
   const auto it = requests_.find(action.request);
   if (it == requests_.end()) {
-    ++lost_;
+    ++answer_faults_;
     return;
   }
   AnswerClient(it->second, {AnswerKind::kRefused, action.retry_after});
-  ForgetIfDone(action.request);
+  EraseIfDone(action.request);
 }
 
 void HollowSidecar::FailRequest(const lb::FailRequest& action) {
   const auto it = requests_.find(action.request);
   if (it == requests_.end()) {
-    ++lost_;
+    ++answer_faults_;
     return;
   }
   AnswerClient(it->second, {AnswerKind::kFailed, {}});
-  ForgetIfDone(action.request);
+  EraseIfDone(action.request);
 }
 
 void HollowSidecar::StartLoadProbe(const lb::SendLoadProbe& action) {
-  const auto place = upstreams_.Find(action.upstream.value);
-  if (!place) return host_->Deliver(lb::LoadProbeFinished{action.upstream, Outcome::kNotSent, {}, {}});
+  const auto index = upstreams_.Find(action.upstream.value);
+  if (!index) return host_->Deliver(lb::LoadProbeFinished{action.upstream, Outcome::kNotSent, {}, {}});
   Exchange exchange;
-  exchange.upstream = *place;
+  exchange.upstream = *index;
   exchange.sent = scheduler_.Now();
-  exchange.gives_up = exchange.sent + settings_.limits.connect_timeout;
+  exchange.timeout_at = exchange.sent + settings_.limits.connect_timeout;
   exchange.begin_by = TimePoint::max();
-  Begin(++last_exchange_, exchange, action.max_connection_idle);
+  StartExchange(++last_exchange_, exchange, action.max_connection_idle);
 }
 
 void HollowSidecar::CloseIdleConnections(const lb::CloseIdleConnections& action) {
-  if (const auto place = upstreams_.Find(action.upstream.value)) connections_.CloseIdleOf(*place);
+  if (const auto index = upstreams_.Find(action.upstream.value)) connections_.CloseIdleOf(*index);
 }
 
 void HollowSidecar::Subscribe(const lb::Subscribe&) {
--- a/lab/virtual/hollow_sidecar.h
+++ b/lab/virtual/hollow_sidecar.h
@@ -1,5 +1,6 @@
-// A sidecar without sockets: the module itself, with its actions carried out on models of the network and the
-// upstreams as the real sidecar carries them out on sockets (sidecar/sidecar.cpp, sidecar/upstreams.cpp).
+// A sidecar without sockets: the real decision module (balancer/), whose actions are carried out on models of
+// the network and the upstreams in the same way as the real sidecar carries them out on sockets
+// (sidecar/sidecar.cpp, sidecar/upstreams.cpp). Called hollow sidecar.
 #pragma once
 
 #include <chrono>
@@ -26,34 +27,34 @@
 
 namespace lb::lab {
 
-// One try of a client.
+// A request that a client sends to its sidecar; each client retry is another one.
 struct OfferedRequest {
   lb::ClassId request_class{};
-  Duration work{};       // on a core of speed 1
-  TimePoint deadline{};  // the client stops waiting
+  Duration work{};       // processing time on a core of speed 1
+  TimePoint deadline{};  // when the client stops waiting
   bool client_retry = false;
 };
 
 enum class AnswerKind {
   kServed,
-  kRefused,  // nothing was done: trying again is harmless
-  kFailed,   // it may have taken effect
-  kLost,     // the sidecar was down, or was killed with the request in its hands
+  kRefused,  // not processed by any upstream: safe to retry
+  kFailed,   // may have been processed
+  kLost,     // the sidecar was down, or was killed before it answered
 };
 
 struct Answer {
   AnswerKind kind = AnswerKind::kServed;
-  Duration retry_after{};  // of a refusal; zero: no advice
+  Duration retry_after{};  // for kRefused; zero if the sidecar gives none
 };
 
 class HollowSidecar : private sidecar::ActionHandler, private sidecar::BalancerClock {
  public:
   using OnAnswer = std::function<void(const Answer&)>;
-  // The module asks for membership changes.
+  // Called when the module requests membership changes.
   using OnSubscribe = std::function<void()>;
 
-  // Is down until Start(). All references have to outlive it, and `scheduler` must not run once it is gone.
-  // `counters` are added to.
+  // The sidecar is down until Start(). All references must outlive it, and `scheduler` must not run after its
+  // destruction. Increments `counters`.
   HollowSidecar(const SidecarInstance& instance, lb::Settings settings, const UpstreamDirectory& upstreams,
                 NetworkModel& network, Scheduler& scheduler, TrafficCounters& counters,
                 OnSubscribe on_subscribe);
@@ -61,83 +62,83 @@
   HollowSidecar(const HollowSidecar&) = delete;
   HollowSidecar& operator=(const HollowSidecar&) = delete;
 
-  // A new process with that seed, and the list that it holds from before.
-  void Start(std::uint64_t seed, std::vector<lb::UpstreamInfo> known);
-  // The process dies: the requests that it holds end as kLost, its connections are closed.
+  // Starts a new process with that random seed and the endpoint list restored from the previous process.
+  void Start(std::uint64_t seed, std::vector<lb::UpstreamInfo> list);
+  // Ends the process without a drain: answers its open requests with kLost and closes its connections.
   void Kill();
   bool running() const { return host_.has_value(); }
 
-  // `on_answer` is called once, by the deadline; kLost at once where the sidecar is down.
+  // Calls `on_answer` exactly once, normally by the deadline; with kLost at once if the sidecar is down.
   void Offer(const OfferedRequest& request, OnAnswer on_answer);
-  // What discovery tells. Ignored while the sidecar is down.
+  // Applies an update from discovery. Ignored while the sidecar is down.
   void Apply(lb::MembershipUpdate update);
 
-  // Requests that the module has left without an answer by their deadline and its grace, and answers beyond
-  // the one: both are faults of the module, or of this class.
-  std::uint64_t lost() const;
+  // Number of requests that were not answered within their deadline plus FleetLimits::answer_grace, and of
+  // surplus answers. Both are defects of the module or of this class, so that tests expect 0.
+  std::uint64_t answer_faults() const;
   std::size_t requests_open() const { return requests_.size(); }
   std::size_t idle_connections() const { return connections_.size(); }
-  // Real time that the module has taken so far.
+  // Real time spent in the module so far, over all starts.
   std::chrono::nanoseconds module_time() const { return module_time_; }
   const SidecarInstance& instance() const { return instance_; }
 
  private:
   using ExchangeId = std::uint64_t;
 
-  // What is known of one upstream by the list.
+  // State of one upstream according to the endpoint list.
   struct Listed {
     lb::UpstreamState state = lb::UpstreamState::kGone;
-    std::uint32_t generation = 0;  // grows as its connections are given up
+    std::uint32_t generation = 0;  // incremented when connections opened so far must not be reused
     std::optional<TimePoint> started{};
   };
   enum class Phase { kConnecting, kWaiting };
-  // An attempt or a probe that is out.
+  // An attempt or a load probe that has not ended.
   struct Exchange {
     std::size_t upstream = 0;
-    std::optional<lb::RequestId> request;  // absent: a probe
+    std::optional<lb::RequestId> request;  // absent for a load probe
     lb::AttemptId attempt{};
     Duration work{};
     Phase phase = Phase::kConnecting;
     TimePoint sent;
-    TimePoint gives_up;
-    TimePoint begin_by;
-    bool wanted = true;  // by the request
+    TimePoint timeout_at;
+    TimePoint begin_by;  // after this time the request must not begin to be written
+    bool needed = true;  // false once the client has its answer
     HollowConnection connection;
     std::optional<UpstreamModel::CallId> call;
   };
   struct Pending {
     Duration work{};
-    OnAnswer on_answer;  // empty once the request has its answer
+    OnAnswer on_answer;  // empty once the request is answered
     std::vector<ExchangeId> attempts;
-    std::size_t out = 0;  // attempts that have not ended
+    std::size_t open_attempts = 0;  // number of attempts that have not ended
   };
 
   TimePoint Now() const override { return scheduler_.Now(); }
   void ArmTimer(TimePoint next) override;
   void FireTimers();
-  void FollowList(const lb::MembershipUpdate& update);
-  void FollowListed(std::size_t upstream, const lb::UpstreamInfo& info);
-  void GiveUpConnections(std::size_t upstream);
+  void ApplyListToConnections(const lb::MembershipUpdate& update);
+  void ApplyEntryToConnections(std::size_t upstream, const lb::UpstreamInfo& info);
+  void RetireConnections(std::size_t upstream);
   void AbortUnsent(std::size_t upstream);
 
-  void Begin(ExchangeId id, Exchange exchange, Duration max_idle);
+  void StartExchange(ExchangeId id, Exchange exchange, Duration max_idle);
   void OpenConnection(ExchangeId id, Exchange& exchange);
-  void ArriveToConnect(ExchangeId id, std::size_t upstream);
-  void Connected(ExchangeId id, ConnectResult result);
-  void Write(ExchangeId id, Exchange& exchange);
-  void ArriveToServe(ExchangeId id);
-  void Answered(ExchangeId id, ServeResult result, const lb::LoadReport& load);
+  void HandleConnectArrival(ExchangeId id, std::size_t upstream);
+  void HandleConnectResult(ExchangeId id, ConnectResult result);
+  void SendRequest(ExchangeId id, Exchange& exchange);
+  void HandleRequestArrival(ExchangeId id);
+  void HandleResponse(ExchangeId id, ServeResult result, const lb::LoadReport& load);
   void EndExchange(ExchangeId id, lb::Outcome outcome, bool keep_connection, const lb::LoadReport& load = {});
-  void TellModule(const Exchange& exchange, lb::Outcome outcome, const lb::LoadReport& load);
-  void Count(const Exchange& exchange, lb::Outcome outcome);
-  void SendBack(std::size_t upstream, std::function<void()> task);
+  void ReportOutcome(const Exchange& exchange, lb::Outcome outcome, const lb::LoadReport& load);
+  void CountOutcome(const Exchange& exchange, lb::Outcome outcome);
+  void SendToSidecar(std::size_t upstream, std::function<void()> task);
 
-  // Keeps a connection for the next request, or closes it if its upstream drains, is gone or has restarted
-  // since.
+  // Returns a connection to the pool, or closes it if its upstream drains, is gone or has restarted since the
+  // connection was opened.
   void Release(std::size_t upstream, const HollowConnection& connection);
 
   void AnswerClient(Pending& pending, const Answer& answer);
-  void ForgetIfDone(lb::RequestId id);
+  void EraseIfDone(lb::RequestId id);
   void CountUnanswered(TimePoint now);
 
   void StartAttempt(const lb::SendAttempt& action) override;
@@ -159,17 +160,17 @@
   const OnSubscribe on_subscribe_;
 
   std::chrono::nanoseconds module_time_{};
-  std::optional<sidecar::BalancerHost> host_;  // absent while it is down
-  std::uint64_t process_ = 0;                  // what was scheduled by an earlier one is void
+  std::optional<sidecar::BalancerHost> host_;  // absent while the sidecar is down
+  std::uint64_t process_ = 0;  // number of the process: tasks scheduled by an earlier one are ignored
   std::unordered_map<lb::RequestId, Pending> requests_;
-  std::deque<std::pair<TimePoint, lb::RequestId>> answer_by_;  // about in order of time
+  std::deque<std::pair<TimePoint, lb::RequestId>> answer_deadlines_;  // approximately in order of time
   std::unordered_map<ExchangeId, Exchange> exchanges_;
   std::uint64_t last_request_ = 0;
   ExchangeId last_exchange_ = 0;
-  TimePoint armed_for_ = TimePoint::max();
-  std::vector<Listed> listed_;  // by the upstream's place
+  TimePoint timer_due_ = TimePoint::max();
+  std::vector<Listed> listed_;  // by index in the directory
   HollowConnectionPool connections_;
-  std::uint64_t lost_ = 0;
+  std::uint64_t answer_faults_ = 0;
 };
 
 }  // namespace lb::lab
--- a/lab/virtual/hollow_sidecar_exchange.cpp
+++ b/lab/virtual/hollow_sidecar_exchange.cpp
@@ -1,5 +1,5 @@
-// The exchanges of a hollow sidecar with modelled upstreams: connecting, writing, the response, and the
-// outcome.
+// Exchanges of a hollow sidecar with modelled upstreams: connects, sends a request, receives the response and
+// reports the outcome to the module.
 #include <algorithm>
 #include <chrono>
 #include <utility>
@@ -15,90 +15,90 @@
 using lb::RequestId;
 using lb::UpstreamState;
 
-// A connection carries no request for so long after a response (sidecar/connection_pool.cpp): a second
-// response to the first one would be taken for the answer to the next.
+// Time after a response before a connection is reused, as in sidecar/connection_pool.cpp: a surplus response
+// to the first request would be taken for the response to the next one.
 constexpr Duration kReuseDelay = std::chrono::milliseconds(20);
 
 }  // namespace
 
-void HollowSidecar::Begin(ExchangeId id, Exchange exchange, Duration max_idle) {
+void HollowSidecar::StartExchange(ExchangeId id, Exchange exchange, Duration max_idle) {
   const std::size_t upstream = exchange.upstream;
   if (listed_[upstream].state != UpstreamState::kServing) {
-    return TellModule(exchange, Outcome::kNotSent, {});
+    return ReportOutcome(exchange, Outcome::kNotSent, {});
   }
   const auto connection = connections_.Take(upstream, max_idle);
-  Exchange& begun = exchanges_.emplace(id, exchange).first->second;
-  if (!connection) return OpenConnection(id, begun);
-  begun.connection = *connection;
-  begun.phase = Phase::kWaiting;
-  Write(id, begun);
+  Exchange& started = exchanges_.emplace(id, exchange).first->second;
+  if (!connection) return OpenConnection(id, started);
+  started.connection = *connection;
+  started.phase = Phase::kWaiting;
+  SendRequest(id, started);
 }
 
 void HollowSidecar::OpenConnection(ExchangeId id, Exchange& exchange) {
   ++counters_.connects;
   exchange.connection.generation = listed_[exchange.upstream].generation;
   const TimePoint until =
-      std::min({exchange.gives_up, exchange.sent + settings_.limits.connect_timeout, exchange.begin_by});
+      std::min({exchange.timeout_at, exchange.sent + settings_.limits.connect_timeout, exchange.begin_by});
   scheduler_.At(until, [this, id] {
     const auto it = exchanges_.find(id);
     if (it == exchanges_.end() || it->second.phase != Phase::kConnecting) return;
     const bool too_late = scheduler_.Now() >= it->second.begin_by;
     EndExchange(id, too_late ? Outcome::kNotSent : Outcome::kConnectFailed, false);
   });
-  const Location& place = upstreams_.location(exchange.upstream);
-  if (!network_.Reaches(location_, place)) return;
-  scheduler_.After(network_.Delay(location_, place),
-                   [this, id, upstream = exchange.upstream] { ArriveToConnect(id, upstream); });
+  const Location& upstream_location = upstreams_.location(exchange.upstream);
+  if (!network_.Reaches(location_, upstream_location)) return;
+  scheduler_.After(network_.Delay(location_, upstream_location),
+                   [this, id, upstream = exchange.upstream] { HandleConnectArrival(id, upstream); });
 }
 
-void HollowSidecar::ArriveToConnect(ExchangeId id, std::size_t upstream) {
+void HollowSidecar::HandleConnectArrival(ExchangeId id, std::size_t upstream) {
   if (!exchanges_.contains(id)) return;
   UpstreamModel& model = upstreams_.model(upstream);
   model.Connect([this, id, upstream, process = model.process()](ConnectResult result) {
     const auto it = exchanges_.find(id);
-    // Whoever connected has given up.
+    // The exchange ended before its connection was accepted.
     if (it == exchanges_.end() && result == ConnectResult::kAccepted) {
       return connections_.Close(upstream, {process, 0, {}, {}, {}});
     }
     if (it == exchanges_.end()) return;
     if (result == ConnectResult::kAccepted) it->second.connection.process = process;
-    SendBack(upstream, [this, id, result] { Connected(id, result); });
+    SendToSidecar(upstream, [this, id, result] { HandleConnectResult(id, result); });
   });
 }
 
-void HollowSidecar::Connected(ExchangeId id, ConnectResult result) {
+void HollowSidecar::HandleConnectResult(ExchangeId id, ConnectResult result) {
   const auto it = exchanges_.find(id);
   if (it == exchanges_.end()) return;
   if (result != ConnectResult::kAccepted) return EndExchange(id, Outcome::kConnectFailed, false);
   Exchange& exchange = it->second;
   exchange.phase = Phase::kWaiting;
-  // It is up, and there is nothing to send on it.
+  // The connection is established, but the request must not be sent any more.
   const bool late = scheduler_.Now() >= exchange.begin_by;
-  if (!exchange.wanted || late) return EndExchange(id, Outcome::kNotSent, true);
-  Write(id, exchange);
+  if (!exchange.needed || late) return EndExchange(id, Outcome::kNotSent, true);
+  SendRequest(id, exchange);
 }
 
-void HollowSidecar::Write(ExchangeId id, Exchange& exchange) {
-  const Location& place = upstreams_.location(exchange.upstream);
+void HollowSidecar::SendRequest(ExchangeId id, Exchange& exchange) {
+  const Location& upstream_location = upstreams_.location(exchange.upstream);
   if (exchange.request) {
     ++counters_.attempts;
-    if (place.zone != location_.zone) ++counters_.crossings;
+    if (upstream_location.zone != location_.zone) ++counters_.crossings;
   } else {
     ++counters_.probes;
   }
-  scheduler_.At(exchange.gives_up, [this, id] { EndExchange(id, Outcome::kTimeout, false); });
-  if (!network_.Reaches(location_, place)) return;
-  scheduler_.After(network_.Delay(location_, place), [this, id] { ArriveToServe(id); });
+  scheduler_.At(exchange.timeout_at, [this, id] { EndExchange(id, Outcome::kTimeout, false); });
+  if (!network_.Reaches(location_, upstream_location)) return;
+  scheduler_.After(network_.Delay(location_, upstream_location), [this, id] { HandleRequestArrival(id); });
 }
 
-void HollowSidecar::ArriveToServe(ExchangeId id) {
+void HollowSidecar::HandleRequestArrival(ExchangeId id) {
   const auto it = exchanges_.find(id);
   if (it == exchanges_.end()) return;
   Exchange& exchange = it->second;
   const std::size_t upstream = exchange.upstream;
   UpstreamModel& model = upstreams_.model(upstream);
   const auto answer = [this, id, upstream](ServeResult result, const LoadReport& load) {
-    SendBack(upstream, [this, id, result, load] { Answered(id, result, load); });
+    SendToSidecar(upstream, [this, id, result, load] { HandleResponse(id, result, load); });
   };
   if (model.silent()) return;
   if (!model.running() || model.process() != exchange.connection.process) {
@@ -111,13 +111,13 @@
   }
 }
 
-void HollowSidecar::SendBack(std::size_t upstream, std::function<void()> task) {
-  const Location& place = upstreams_.location(upstream);
-  if (!network_.Reaches(place, location_)) return;
-  scheduler_.After(network_.Delay(place, location_), std::move(task));
+void HollowSidecar::SendToSidecar(std::size_t upstream, std::function<void()> task) {
+  const Location& upstream_location = upstreams_.location(upstream);
+  if (!network_.Reaches(upstream_location, location_)) return;
+  scheduler_.After(network_.Delay(upstream_location, location_), std::move(task));
 }
 
-void HollowSidecar::Answered(ExchangeId id, ServeResult result, const LoadReport& load) {
+void HollowSidecar::HandleResponse(ExchangeId id, ServeResult result, const LoadReport& load) {
   switch (result) {
     case ServeResult::kServed:
       return EndExchange(id, Outcome::kServed, true, settings_.load_by_probe ? load : LoadReport{});
@@ -134,7 +134,7 @@
   if (it == exchanges_.end()) return;
   const Exchange exchange = it->second;
   exchanges_.erase(it);
-  Count(exchange, outcome);
+  CountOutcome(exchange, outcome);
   if (keep_connection) {
     HollowConnection connection = exchange.connection;
     const bool is_unused = outcome == Outcome::kNotSent;
@@ -145,17 +145,17 @@
     if (exchange.call) upstreams_.model(exchange.upstream).Abandon(*exchange.call);
     if (exchange.connection.process != 0) connections_.Close(exchange.upstream, exchange.connection);
   }
-  TellModule(exchange, outcome, load);
+  ReportOutcome(exchange, outcome, load);
 }
 
-void HollowSidecar::Count(const Exchange& exchange, Outcome outcome) {
+void HollowSidecar::CountOutcome(const Exchange& exchange, Outcome outcome) {
   if (outcome == Outcome::kConnectFailed) ++counters_.connects_failed;
   if (!exchange.request) return;
   if (outcome == Outcome::kRejected) ++counters_.attempts_full;
   if (outcome == Outcome::kTimeout) ++counters_.attempts_timed_out;
 }
 
-void HollowSidecar::TellModule(const Exchange& exchange, Outcome outcome, const LoadReport& load) {
+void HollowSidecar::ReportOutcome(const Exchange& exchange, Outcome outcome, const LoadReport& load) {
   const Duration elapsed = scheduler_.Now() - exchange.sent;
   if (!exchange.request) {
     const std::string& id = upstreams_.model(exchange.upstream).instance().id;
@@ -165,12 +165,12 @@
   const auto it = requests_.find(request);
   if (it == requests_.end()) return;
   Pending& pending = it->second;
-  --pending.out;
+  --pending.open_attempts;
   if (outcome == Outcome::kServed && pending.on_answer) AnswerClient(pending, {AnswerKind::kServed, {}});
   const bool finished = !pending.on_answer;
   host_->Deliver(AttemptFinished{request, exchange.attempt, outcome, elapsed, finished, load,
                                  exchange.connection.idle_for, false});
-  ForgetIfDone(request);
+  EraseIfDone(request);
 }
 
 void HollowSidecar::Release(std::size_t upstream, const HollowConnection& connection) {
--- a/lab/virtual/membership_notices.cpp
+++ b/lab/virtual/membership_notices.cpp
@@ -11,11 +11,11 @@
 using lb::UpstreamInfo;
 using lb::UpstreamState;
 
-// A notice that was lost, or a watch that fell silent, is made up for within this time.
-constexpr Duration kMaxSilence = std::chrono::seconds(6);
-// Discovery answers a call so soon where it is up.
-constexpr Duration kCallTime = std::chrono::milliseconds(1);
-// So long a caller waits for discovery when it is down.
+// Time after which a sidecar receives changes whose notice was lost or whose watch stopped responding.
+constexpr Duration kCatchUpDelay = std::chrono::seconds(6);
+// Response time of discovery while it is up.
+constexpr Duration kCallDuration = std::chrono::milliseconds(1);
+// Time after which a call fails while discovery is down.
 constexpr Duration kCallTimeout = std::chrono::seconds(1);
 
 UpstreamInfo FirstEntry(const UpstreamInstance& upstream) {
@@ -30,12 +30,12 @@
 }  // namespace
 
 MembershipNotices::MembershipNotices(const Experiment& experiment, const Deployment& deployment,
-                                     Scheduler& scheduler, Tell tell, OnTold on_told)
+                                     Scheduler& scheduler, OnUpdate on_update, OnDelivered on_delivered)
     : experiment_(experiment),
       deployment_(deployment),
       scheduler_(scheduler),
-      tell_(std::move(tell)),
-      on_told_(std::move(on_told)),
+      on_update_(std::move(on_update)),
+      on_delivered_(std::move(on_delivered)),
       random_(DeriveSeed(experiment.seed, "notices")) {
   for (const UpstreamInstance& upstream : deployment.upstreams) entries_.push_back(FirstEntry(upstream));
   first_entries_ = entries_;
@@ -56,28 +56,28 @@
       experiment_.list == ListScope::kService ? deployment_.upstreams[upstream].service : 0;
   logs_[log].push_back({scheduler_.Now(), upstream, std::move(entry)});
   for (std::size_t i = 0; i < watchers_.size(); ++i) {
-    if (watchers_[i].log == log) Announce(watchers_[i], i);
+    if (watchers_[i].log == log) ScheduleNotice(watchers_[i], i);
   }
 }
 
-std::vector<UpstreamInfo> MembershipNotices::Known(std::size_t sidecar) const {
+std::vector<UpstreamInfo> MembershipNotices::DeliveredList(std::size_t sidecar) const {
   const Watcher& watcher = watchers_[sidecar];
-  std::vector<const UpstreamInfo*> known;
-  for (const UpstreamInfo& entry : first_entries_) known.push_back(&entry);
-  for (std::size_t i = 0; i < watcher.told; ++i) {
-    const Logged& logged = logs_[watcher.log][i];
-    known[logged.upstream] = &logged.entry;
+  std::vector<const UpstreamInfo*> entries;
+  for (const UpstreamInfo& entry : first_entries_) entries.push_back(&entry);
+  for (std::size_t i = 0; i < watcher.delivered; ++i) {
+    const LoggedChange& change = logs_[watcher.log][i];
+    entries[change.upstream] = &change.entry;
   }
   std::vector<UpstreamInfo> list;
-  for (std::size_t i = 0; i < known.size(); ++i) {
+  for (std::size_t i = 0; i < entries.size(); ++i) {
     const bool listed = experiment_.list == ListScope::kAll ||
                         deployment_.upstreams[i].service == deployment_.sidecars[sidecar].service;
-    if (listed && known[i]->state != UpstreamState::kGone) list.push_back(*known[i]);
+    if (listed && entries[i]->state != UpstreamState::kGone) list.push_back(*entries[i]);
   }
   return list;
 }
 
-void MembershipNotices::SidecarDown(std::size_t sidecar) {
+void MembershipNotices::MarkSidecarDown(std::size_t sidecar) {
   Watcher& watcher = watchers_[sidecar];
   watcher.up = false;
   watcher.notices.clear();
@@ -85,24 +85,24 @@
   ++watcher.subscription;
 }
 
-void MembershipNotices::SidecarUp(std::size_t sidecar) {
+void MembershipNotices::MarkSidecarUp(std::size_t sidecar) {
   Watcher& watcher = watchers_[sidecar];
   watcher.up = true;
   watcher.up_since = scheduler_.Now();
-  AnnounceAll(watcher, sidecar, scheduler_.Now() + DrawDelay());
+  ScheduleCatchUp(watcher, sidecar, scheduler_.Now() + DrawDelay());
 }
 
 void MembershipNotices::Subscribe(std::size_t sidecar) {
   Watcher& watcher = watchers_[sidecar];
   const std::uint64_t subscription = ++watcher.subscription;
-  if (down_) return TellFailure(sidecar, kCallTimeout);
-  scheduler_.After(kCallTime, [this, sidecar, subscription] {
+  if (down_) return ScheduleFailure(sidecar, kCallTimeout);
+  scheduler_.After(kCallDuration, [this, sidecar, subscription] {
     Watcher& caller = watchers_[sidecar];
     if (!caller.up || caller.subscription != subscription) return;
-    if (down_) return TellFailure(sidecar, kCallTimeout);
+    if (down_) return ScheduleFailure(sidecar, kCallTimeout);
     caller.subscribed = true;
-    TellUpTo(sidecar, std::max(caller.told, TakeDue(caller)));
-    Arm(sidecar);
+    DeliverUpTo(sidecar, std::max(caller.delivered, PopDueNotices(caller)));
+    ScheduleTimer(sidecar);
   });
 }
 
@@ -111,8 +111,8 @@
   for (std::size_t i = 0; i < watchers_.size(); ++i) {
     Watcher& watcher = watchers_[i];
     if (!watcher.up) continue;
-    if (!down) AnnounceAll(watcher, i, scheduler_.Now() + DrawDelay());
-    if (down && experiment_.discovery.on_request) TellFailure(i, kCallTimeout);
+    if (!down) ScheduleCatchUp(watcher, i, scheduler_.Now() + DrawDelay());
+    if (down && experiment_.discovery.on_request) ScheduleFailure(i, kCallTimeout);
   }
 }
 
@@ -121,62 +121,62 @@
 void MembershipNotices::SetLostShare(double share) { lost_share_ = share; }
 
 void MembershipNotices::SilenceWatches() {
-  silent_until_ = scheduler_.Now() + kMaxSilence;
-  for (std::size_t i = 0; i < watchers_.size(); ++i) AnnounceAll(watchers_[i], i, silent_until_);
+  silent_until_ = scheduler_.Now() + kCatchUpDelay;
+  for (std::size_t i = 0; i < watchers_.size(); ++i) ScheduleCatchUp(watchers_[i], i, silent_until_);
 }
 
-std::uint64_t MembershipNotices::Untold() const {
-  std::uint64_t untold = 0;
+std::uint64_t MembershipNotices::UndeliveredChanges() const {
+  std::uint64_t undelivered = 0;
   for (const Watcher& watcher : watchers_) {
-    if (watcher.up) untold += logs_[watcher.log].size() - watcher.told;
+    if (watcher.up) undelivered += logs_[watcher.log].size() - watcher.delivered;
   }
-  return untold;
+  return undelivered;
 }
 
-// The log has one more entry.
-void MembershipNotices::Announce(Watcher& watcher, std::size_t sidecar) {
+// Schedules the delivery of the log entry that was just appended.
+void MembershipNotices::ScheduleNotice(Watcher& watcher, std::size_t sidecar) {
   if (!watcher.up) return;
   const bool lost = lost_share_ > 0 && std::uniform_real_distribution<double>()(random_) < lost_share_;
-  const Duration delay = lost ? kMaxSilence : DrawDelay();
+  const Duration delay = lost ? kCatchUpDelay : DrawDelay();
   const TimePoint due = std::max({scheduler_.Now() + delay, watcher.last_due, silent_until_});
-  // This one brings along what was to come later.
+  // A notice delivers all earlier log entries, so notices that are due later are redundant.
   while (!watcher.notices.empty() && watcher.notices.back().due >= due) watcher.notices.pop_back();
   watcher.notices.push_back({logs_[watcher.log].size(), due});
   if (!lost) watcher.last_due = due;
-  Arm(sidecar);
+  ScheduleTimer(sidecar);
 }
 
-// All that it has not received comes together.
-void MembershipNotices::AnnounceAll(Watcher& watcher, std::size_t sidecar, TimePoint due) {
+// Replaces all pending notices by one that delivers every missed change at `due`.
+void MembershipNotices::ScheduleCatchUp(Watcher& watcher, std::size_t sidecar, TimePoint due) {
   watcher.notices.clear();
   watcher.last_due = TimePoint::min();
-  if (!watcher.up || watcher.told == logs_[watcher.log].size()) return;
+  if (!watcher.up || watcher.delivered == logs_[watcher.log].size()) return;
   watcher.last_due = std::max(due, silent_until_);
   watcher.notices.push_back({logs_[watcher.log].size(), watcher.last_due});
-  Arm(sidecar);
+  ScheduleTimer(sidecar);
 }
 
-void MembershipNotices::Arm(std::size_t sidecar) {
+void MembershipNotices::ScheduleTimer(std::size_t sidecar) {
   Watcher& watcher = watchers_[sidecar];
-  if (watcher.notices.empty() || !MayTell(watcher)) return;
+  if (watcher.notices.empty() || !CanDeliver(watcher)) return;
   const TimePoint due = watcher.notices.front().due;
-  if (watcher.armed_for && *watcher.armed_for <= due) return;
-  watcher.armed_for = due;
+  if (watcher.timer_due && *watcher.timer_due <= due) return;
+  watcher.timer_due = due;
   scheduler_.At(due, [this, sidecar, due] {
-    if (watchers_[sidecar].armed_for == due) Fire(sidecar);
+    if (watchers_[sidecar].timer_due == due) HandleTimer(sidecar);
   });
 }
 
-void MembershipNotices::Fire(std::size_t sidecar) {
+void MembershipNotices::HandleTimer(std::size_t sidecar) {
   Watcher& watcher = watchers_[sidecar];
-  watcher.armed_for.reset();
-  if (!MayTell(watcher)) return;
-  const std::size_t count = TakeDue(watcher);
-  if (count > watcher.told) TellUpTo(sidecar, count);
-  Arm(sidecar);
+  watcher.timer_due.reset();
+  if (!CanDeliver(watcher)) return;
+  const std::size_t count = PopDueNotices(watcher);
+  if (count > watcher.delivered) DeliverUpTo(sidecar, count);
+  ScheduleTimer(sidecar);
 }
 
-std::size_t MembershipNotices::TakeDue(Watcher& watcher) const {
+std::size_t MembershipNotices::PopDueNotices(Watcher& watcher) const {
   std::size_t count = 0;
   while (!watcher.notices.empty() && watcher.notices.front().due <= scheduler_.Now()) {
     count = watcher.notices.front().count;
@@ -185,26 +185,26 @@
   return count;
 }
 
-void MembershipNotices::TellUpTo(std::size_t sidecar, std::size_t count) {
+void MembershipNotices::DeliverUpTo(std::size_t sidecar, std::size_t count) {
   Watcher& watcher = watchers_[sidecar];
   MembershipUpdate update;
   update.kind = MembershipUpdate::Kind::kChanges;
-  for (; watcher.told < count; ++watcher.told) {
-    const Logged& logged = logs_[watcher.log][watcher.told];
-    update.upstreams.push_back(logged.entry);
-    if (logged.at >= watcher.up_since) on_told_(logged.at, scheduler_.Now() - logged.at);
+  for (; watcher.delivered < count; ++watcher.delivered) {
+    const LoggedChange& change = logs_[watcher.log][watcher.delivered];
+    update.upstreams.push_back(change.entry);
+    if (change.at >= watcher.up_since) on_delivered_(change.at, scheduler_.Now() - change.at);
   }
-  tell_(sidecar, std::move(update));
+  on_update_(sidecar, std::move(update));
 }
 
-void MembershipNotices::TellFailure(std::size_t sidecar, Duration wait) {
+void MembershipNotices::ScheduleFailure(std::size_t sidecar, Duration wait) {
   Watcher& watcher = watchers_[sidecar];
   watcher.subscribed = false;
   const std::uint64_t subscription = ++watcher.subscription;
   scheduler_.After(wait, [this, sidecar, subscription] {
     const Watcher& caller = watchers_[sidecar];
     if (!caller.up || caller.subscription != subscription) return;
-    tell_(sidecar, {MembershipUpdate::Kind::kFailed, {}});
+    on_update_(sidecar, {MembershipUpdate::Kind::kFailed, {}});
   });
 }
 
--- a/lab/virtual/upstream_directory.cpp
+++ b/lab/virtual/upstream_directory.cpp
@@ -4,13 +4,13 @@
 
 void UpstreamDirectory::Add(UpstreamModel& model) {
   const UpstreamInstance& instance = model.instance();
-  places_.emplace(instance.id, entries_.size());
+  indices_.emplace(instance.id, entries_.size());
   entries_.push_back({&model, {instance.region, instance.zone}});
 }
 
 std::optional<std::size_t> UpstreamDirectory::Find(const std::string& id) const {
-  const auto it = places_.find(id);
-  return it == places_.end() ? std::nullopt : std::optional(it->second);
+  const auto it = indices_.find(id);
+  return it == indices_.end() ? std::nullopt : std::optional(it->second);
 }
 
 }  // namespace lb::lab
--- a/lab/virtual/upstream_directory.h
+++ b/lab/virtual/upstream_directory.h
@@ -1,4 +1,4 @@
-// Finds the models of upstream machines by the ids that endpoint lists name.
+// Index of the upstream models by the ids in endpoint lists.
 #pragma once
 
 #include <cstddef>
@@ -12,15 +12,15 @@
 
 namespace lb::lab {
 
-// The upstream machines by id, shared by all hollow sidecars. It outlives them.
+// Shared by all hollow sidecars of a run, and must outlive them.
 class UpstreamDirectory {
  public:
-  // `model` has to outlive the directory. Ids are not used twice.
+  // `model` must outlive the directory, and its id must not have been added before.
   void Add(UpstreamModel& model);
-  // Its place, from 0 on in the order of adding; nothing for an unknown id.
+  // Returns the index, counted from 0 in the order of Add(); std::nullopt for an unknown id.
   std::optional<std::size_t> Find(const std::string& id) const;
-  UpstreamModel& model(std::size_t place) const { return *entries_[place].model; }
-  const Location& location(std::size_t place) const { return entries_[place].location; }
+  UpstreamModel& model(std::size_t index) const { return *entries_[index].model; }
+  const Location& location(std::size_t index) const { return entries_[index].location; }
   std::size_t size() const { return entries_.size(); }
 
  private:
@@ -29,7 +29,7 @@
     Location location;
   };
   std::vector<Entry> entries_;
-  std::unordered_map<std::string, std::size_t> places_;
+  std::unordered_map<std::string, std::size_t> indices_;
 };
 
 }  // namespace lb::lab
--- a/lab/virtual/virtual_engine.cpp
+++ b/lab/virtual/virtual_engine.cpp
@@ -1,4 +1,4 @@
-// RunVirtual(): one run on the virtual clock and its samples.
+// Implements RunVirtual(): runs one experiment on the virtual clock and takes its samples and metrics.
 #include <algorithm>
 #include <chrono>
 #include <vector>
@@ -16,19 +16,19 @@
 
 using std::chrono::seconds;
 
-// Beyond the longest deadline, until every request has its result.
+// Added to the longest deadline after the measured time, so that every request gets its result.
 constexpr Duration kResultsMargin = seconds(1);
-// Beyond the end, for notices under way; what is not delivered by then counts as missing.
+// Time after the end of measuring for pending notices; changes undelivered by then count as missing.
 constexpr Duration kNoticesMargin = seconds(15);
-// A sample with fewer requests tells nothing of the worst second.
-constexpr std::uint64_t kTellingRequests = 100;
+// Samples with fewer requests are ignored for worst_second_share: their share is not significant.
+constexpr std::uint64_t kMinRequestsForWorstSecond = 100;
 
 double Milliseconds(Duration duration) { return static_cast<double>(duration.count()) / 1e3; }
 bool Served(const RequestResult& result) {
   return result.outcome == RequestOutcome::kInTime || result.outcome == RequestOutcome::kLate;
 }
 
-// Requests with their results, and the latencies of the served ones.
+// Counts requests by result and collects the latencies of served requests.
 struct Results {
   TrafficCounters counters;
   Distribution latency_ms;
@@ -40,7 +40,7 @@
   double in_time_share() const { return Share(counters.in_time, counters.requests); }
 };
 
-// What the sample that is being taken has so far.
+// Data collected for the current sample.
 struct OpenSample {
   Results results;
   Distribution notices_ms;
@@ -49,20 +49,20 @@
   double module_seconds_before = 0;
 };
 
-// Of the measured time. Requests count by their arrival, so that each has its result.
+// Data of the measured time. A request counts if it arrived within it, even if its result came later.
 struct Measurements {
   TrafficCounters traffic;
   Results results;
   Results last_third;
   Distribution notices_ms;
   double worst_second = 1;
-  bool any_telling_second = false;
+  bool has_worst_second = false;
   std::vector<double> work_before;
   double module_seconds_before = 0;
-  // As they were at the end of the measured time.
+  // Values at the end of the measured time.
   double load_spread = 0;
   double module_seconds = 0;
-  double memory_mb = 0;  // of all sidecars
+  double memory_mb = 0;  // total of all sidecars
 };
 
 class VirtualRun {
@@ -71,12 +71,12 @@
   Metrics Run();
 
  private:
-  // Takes samples on the way.
-  void PlayUntil(TimePoint end);
+  // Runs until `end` and takes a sample at each interval.
+  void RunUntilEnd(TimePoint end);
   void BeginMeasuring();
   void EndMeasuring();
-  // Until all requests have their results and all notices had their time.
-  void PlayOut();
+  // Stops the load and runs until all requests have their results and pending notices had time to arrive.
+  void FinishOutstanding();
 
   void CountRequest(const RequestResult& result);
   void CountNotice(TimePoint changed, Duration delay);
@@ -117,11 +117,11 @@
   faults_.Schedule(start_);
   sample_.work_before = fleet_.ServedWork();
   fleet_.StartLoad();
-  PlayUntil(measured_from_);
+  RunUntilEnd(measured_from_);
   BeginMeasuring();
-  PlayUntil(end_);
+  RunUntilEnd(end_);
   EndMeasuring();
-  PlayOut();
+  FinishOutstanding();
   return Totals();
 }
 
@@ -138,19 +138,20 @@
   measured_.memory_mb = fleet_.SidecarMemoryMb();
 }
 
-void VirtualRun::PlayUntil(TimePoint end) {
+void VirtualRun::RunUntilEnd(TimePoint end) {
   while (scheduler_.Now() < end) {
     scheduler_.RunUntil(std::min(end, scheduler_.Now() + std::max(experiment_.sample_every, Duration(1))));
     TakeSample();
   }
 }
 
-void VirtualRun::PlayOut() {
+void VirtualRun::FinishOutstanding() {
   fleet_.StopLoad();
   Duration longest{};
   for (const ClassSpec& spec : experiment_.classes) longest = std::max(longest, spec.deadline);
   scheduler_.RunUntil(end_ + longest + kResultsMargin);
-  if (fleet_.UntoldNotices() > 0) scheduler_.RunUntil(end_ + std::max<Duration>(longest, kNoticesMargin));
+  if (fleet_.UndeliveredChanges() > 0)
+    scheduler_.RunUntil(end_ + std::max<Duration>(longest, kNoticesMargin));
 }
 
 // ---- Measurements ----
@@ -172,9 +173,9 @@
   const TrafficCounters traffic = fleet_.TakeTraffic();
   const Sample sample = ReadSample(traffic, module_seconds);
   const TimePoint now = scheduler_.Now();
-  if (now > measured_from_ && sample_.results.counters.requests >= kTellingRequests) {
+  if (now > measured_from_ && sample_.results.counters.requests >= kMinRequestsForWorstSecond) {
     measured_.worst_second = std::min(measured_.worst_second, sample.in_time_share);
-    measured_.any_telling_second = true;
+    measured_.has_worst_second = true;
   }
   measured_.traffic += traffic;
   sample_ = {};
@@ -226,7 +227,7 @@
   metrics.late_share = Share(results.late, results.requests);
   metrics.refused_share = Share(results.refused, results.requests);
   metrics.failed_share = Share(results.failed, results.requests);
-  metrics.worst_second_share = measured_.any_telling_second ? measured_.worst_second : metrics.in_time_share;
+  metrics.worst_second_share = measured_.has_worst_second ? measured_.worst_second : metrics.in_time_share;
   metrics.last_third_share = measured_.last_third.in_time_share();
   metrics.latency_p50_ms = measured_.results.latency_ms.Percentile(0.5);
   metrics.latency_p99_ms = measured_.results.latency_ms.Percentile(0.99);
@@ -247,14 +248,14 @@
   metrics.notice_p50_ms = measured_.notices_ms.Percentile(0.5);
   metrics.notice_p99_ms = measured_.notices_ms.Percentile(0.99);
   metrics.notice_last_ms = measured_.notices_ms.Percentile(1);
-  metrics.notices_missing = static_cast<double>(fleet_.UntoldNotices());
+  metrics.notices_missing = static_cast<double>(fleet_.UndeliveredChanges());
 }
 
 void VirtualRun::AddCostTotals(Metrics& metrics) const {
   metrics.hollow_cpu = Share(measured_.module_seconds, ToSeconds(experiment_.length) * metrics.sidecars);
   metrics.hollow_memory_mb = Share(measured_.memory_mb, metrics.sidecars);
   metrics.change_cpu_ms =
-      1e3 * Share(fleet_.module_seconds_in_changes(), static_cast<double>(fleet_.changes_told()));
+      1e3 * Share(fleet_.module_seconds_in_changes(), static_cast<double>(fleet_.changes_delivered()));
 }
 
 }  // namespace
--- a/lab/virtual/virtual_fleet.cpp
+++ b/lab/virtual/virtual_fleet.cpp
@@ -21,7 +21,7 @@
       network_(experiment.network, DeriveSeed(experiment.seed, "network")),
       notices_(
           experiment, deployment, scheduler,
-          [this](std::size_t sidecar, MembershipUpdate update) { TellSidecar(sidecar, std::move(update)); },
+          [this](std::size_t sidecar, MembershipUpdate update) { DeliverUpdate(sidecar, std::move(update)); },
           std::move(on_notice)),
       clients_(
           experiment, deployment, scheduler,
@@ -72,7 +72,7 @@
   scheduler_.After(kRestarted, [this, upstream] { StartUpstream(upstream); });
 }
 
-// The machine restarts before any sidecar reaches it: none notices the process that died.
+// The process ends while the machine is still unreachable, so that no sidecar receives a reset.
 void VirtualFleet::ReturnUpstream(std::size_t upstream) {
   upstreams_[upstream]->Crash();
   upstreams_[upstream]->SetSilent(false);
@@ -97,9 +97,9 @@
 
 void VirtualFleet::KillSidecar(std::size_t sidecar) {
   sidecars_[sidecar]->Kill();
-  notices_.SidecarDown(sidecar);
+  notices_.MarkSidecarDown(sidecar);
   scheduler_.After(kSidecarRestart, [this, sidecar] {
-    notices_.SidecarUp(sidecar);
+    notices_.MarkSidecarUp(sidecar);
     StartSidecar(sidecar);
   });
 }
@@ -109,15 +109,15 @@
   const std::uint64_t start = sidecar_starts_[sidecar];
   ++sidecar_starts_[sidecar];
   const std::uint64_t seed = start == 0 ? instance.seed : DeriveSeed(instance.seed, "restart", start);
-  sidecars_[sidecar]->Start(seed, notices_.Known(sidecar));
+  sidecars_[sidecar]->Start(seed, notices_.DeliveredList(sidecar));
 }
 
-void VirtualFleet::TellSidecar(std::size_t sidecar, MembershipUpdate update) {
-  HollowSidecar& told = *sidecars_[sidecar];
-  const auto before = told.module_time();
-  changes_told_ += update.upstreams.size();
-  told.Apply(std::move(update));
-  module_seconds_in_changes_ += ToSeconds(told.module_time() - before);
+void VirtualFleet::DeliverUpdate(std::size_t sidecar, MembershipUpdate update) {
+  HollowSidecar& receiver = *sidecars_[sidecar];
+  const auto before = receiver.module_time();
+  changes_delivered_ += update.upstreams.size();
+  receiver.Apply(std::move(update));
+  module_seconds_in_changes_ += ToSeconds(receiver.module_time() - before);
 }
 
 // ---- Measurements ----
@@ -165,7 +165,7 @@
 
 void VirtualFleet::ResetChangeCost() {
   module_seconds_in_changes_ = 0;
-  changes_told_ = 0;
+  changes_delivered_ = 0;
 }
 
 double VirtualFleet::SidecarMemoryMb() const { return ResidentMemoryMb() - memory_before_mb_; }
--- a/lab/virtual/virtual_fleet.h
+++ b/lab/virtual/virtual_fleet.h
@@ -1,4 +1,4 @@
-// The fleet on the virtual clock: modelled upstreams, hollow sidecars, notices and clients.
+// The emulated fleet on the virtual clock: modelled upstreams, hollow sidecars, discovery and clients.
 #pragma once
 
 #include <cstddef>
@@ -20,42 +20,44 @@
 
 namespace lb::lab {
 
-// Not thread-safe: it lives on its scheduler's thread.
+// Not thread-safe: use only on the scheduler's thread.
 class VirtualFleet : public FaultTarget {
  public:
   using OnResult = std::function<void(const RequestResult&)>;
-  // A change was delivered to a sidecar: when it was made, and how long the delivery took.
+  // Called when a change is delivered to a sidecar: `changed` is the time of the change, `delay` the time
+  // since.
   using OnNotice = std::function<void(TimePoint changed, Duration delay)>;
 
-  // References have to outlive it, and it the scheduler's tasks. The sidecars run when this returns.
+  // References must outlive the fleet, and the fleet must outlive the scheduler's tasks. Starts all sidecars.
   VirtualFleet(const Experiment& experiment, const Deployment& deployment, Scheduler& scheduler,
                OnResult on_result, OnNotice on_notice);
 
   void StartLoad() { clients_.Start(); }
   void StopLoad() { clients_.Stop(); }
 
-  // What sidecars and clients' retries added since the last call.
+  // Returns the counters of sidecars and client retries since the last call.
   TrafficCounters TakeTraffic();
-  // Changes that a sidecar has not received.
-  std::uint64_t UntoldNotices() const { return notices_.Untold(); }
+  // Number of undelivered changes, summed over all sidecars that are up.
+  std::uint64_t UndeliveredChanges() const { return notices_.UndeliveredChanges(); }
 
   std::size_t upstreams() const { return upstreams_.size(); }
   std::size_t sidecars() const { return sidecars_.size(); }
   std::uint64_t CrowdedUpstreams() const;
-  // At all upstreams.
+  // Requests that all upstreams hold at present.
   std::uint64_t RequestsInFlight() const;
-  // Of each upstream, since its start.
+  // Work served by each upstream since the start of the run.
   std::vector<double> ServedWork() const;
-  // 95th percentile over mean of the upstreams' served work by capacity, since ServedWork() was `before`.
+  // 95th percentile divided by mean, over the upstreams, of the work served per unit of capacity since
+  // ServedWork() returned `before`.
   double LoadSpread(const std::vector<double>& before) const;
 
-  // Real time that the modules of all sidecars took, in seconds: since their start; and of that for changes
-  // of the list, since the last ResetChangeCost().
+  // Real time spent in the modules of all sidecars, in seconds: in total since the start, and on list changes
+  // since the last ResetChangeCost().
   double ModuleSeconds() const;
   double module_seconds_in_changes() const { return module_seconds_in_changes_; }
-  std::uint64_t changes_told() const { return changes_told_; }
+  std::uint64_t changes_delivered() const { return changes_delivered_; }
   void ResetChangeCost();
-  // Resident memory of all sidecars, in MB.
+  // Resident memory of all sidecars, in MB: the growth of the process since before they were created.
   double SidecarMemoryMb() const;
 
   void CrashUpstream(std::size_t upstream) override { upstreams_[upstream]->Crash(); }
@@ -74,7 +76,7 @@
   void SetLostNotices(double share) override { notices_.SetLostShare(share); }
   void SilenceWatches() override { notices_.SilenceWatches(); }
   void KillSidecars(const std::vector<std::size_t>& sidecars) override;
-  // At once: a hollow sidecar holds no requests to answer.
+  // Stops at once, without a drain: a hollow sidecar holds no requests that need an answer.
   void StopSidecars(const std::vector<std::size_t>& sidecars, Duration) override { KillSidecars(sidecars); }
   void SetLoadFactor(double factor) override { clients_.SetLoadFactor(factor); }
 
@@ -84,7 +86,7 @@
   void SetState(std::size_t upstream, UpstreamState state);
   void KillSidecar(std::size_t sidecar);
   void StartSidecar(std::size_t sidecar);
-  void TellSidecar(std::size_t sidecar, MembershipUpdate update);
+  void DeliverUpdate(std::size_t sidecar, MembershipUpdate update);
 
   const Deployment& deployment_;
   Scheduler& scheduler_;
@@ -93,12 +95,12 @@
   std::vector<std::unique_ptr<UpstreamModel>> upstreams_;
   UpstreamDirectory directory_;
   std::vector<std::unique_ptr<HollowSidecar>> sidecars_;
-  std::vector<std::uint64_t> sidecar_starts_;  // of each sidecar, so far
+  std::vector<std::uint64_t> sidecar_starts_;  // number of starts, by sidecar
   MembershipNotices notices_;
   ClientModel clients_;
   double module_seconds_in_changes_ = 0;
-  std::uint64_t changes_told_ = 0;
-  double memory_before_mb_ = 0;  // of the process, without sidecars
+  std::uint64_t changes_delivered_ = 0;
+  double memory_before_mb_ = 0;  // resident memory of the process before the sidecars were created
 };
 
 }  // namespace lb::lab
