--- a/tests/lab_control_client_test.cpp
+++ b/tests/lab_control_client_test.cpp
@@ -1,4 +1,4 @@
-// Control clients: the real discovery client of hollow sidecars, many to a thread.
+// Tests of control clients: the real discovery client as used by hollow sidecars, many on one thread.
 #include <algorithm>
 #include <boost/asio/io_context.hpp>
 #include <chrono>
@@ -21,7 +21,7 @@
 
 constexpr auto kWaitLimit = std::chrono::seconds(30);
 
-// Control clients on this thread, each with the list that it would hand its module.
+// Control clients on the test's thread. Records the notices that each would pass to its sidecar's module.
 class ControlClientsTest : public testing::Test {
  protected:
   static constexpr std::size_t kClients = 200;
@@ -52,7 +52,7 @@
     propagation_.Changed(server_->Change(entry), entry.service, sidecar::Now());
   }
 
-  // Lets the clients work until all of them hold `revision`.
+  // Runs the clients until all have received `revision`; returns false if some have not within kWaitLimit.
   bool AllReach(std::uint64_t revision) {
     const auto end = std::chrono::steady_clock::now() + kWaitLimit;
     while (std::chrono::steady_clock::now() < end) {
--- a/tests/lab_discovery_faults_test.cpp
+++ b/tests/lab_discovery_faults_test.cpp
@@ -1,4 +1,5 @@
-// Faults of the discovery stand-in, and when a change counts as known to a sidecar.
+// Tests of the faults of the emulated discovery service, and of the time at which a change counts as known to
+// a sidecar.
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/read.hpp>
@@ -26,7 +27,7 @@
 
 constexpr Duration kWaitLimit = seconds(20);
 
-// One call; the answer, or nothing if the connection was rejected or ended.
+// Makes one call and returns the answer; empty if the connection was refused or closed without one.
 std::string Call(const tcp::endpoint& at, const std::string& target) {
   boost::asio::io_context io;
   tcp::socket socket(io);
@@ -66,17 +67,17 @@
     server_ = std::make_unique<DiscoveryServer>(std::vector<MembershipEntry>{entry_}, std::move(options));
   }
 
-  // How long after it the change counts as known.
+  // Makes a change and returns the time until it counts as known; kWaitLimit if it does not by then.
   Duration Change() {
     const std::size_t before = log_.count();
     entry_.weight += 1;
-    const TimePoint begun = sidecar::Now();
+    const TimePoint start = sidecar::Now();
     server_->Change(entry_);
-    while (log_.count() == before && sidecar::Now() < begun + kWaitLimit) {
+    while (log_.count() == before && sidecar::Now() < start + kWaitLimit) {
       std::this_thread::sleep_for(milliseconds(5));
     }
     const std::lock_guard lock(log_.mutex);
-    return log_.times.size() > before ? log_.times[before] - begun : kWaitLimit;
+    return log_.times.size() > before ? log_.times[before] - start : kWaitLimit;
   }
 
   MembershipEntry entry_;
@@ -84,13 +85,13 @@
   std::unique_ptr<DiscoveryServer> server_;
 };
 
-TEST_F(DiscoveryFaults, DelayWhatCountsAsKnownAfterASilence) {
+TEST_F(DiscoveryFaults, SilencedWatchDelaysKnownChanges) {
   EXPECT_LT(Change(), seconds(2));
   server_->SilenceWatches();
   EXPECT_GT(Change(), seconds(4));
 }
 
-TEST_F(DiscoveryFaults, MoveAnAgentToAnotherAddress) {
+TEST_F(DiscoveryFaults, MovedAgentAnswersOnlyAtNewAddress) {
   const auto before = server_->endpoint(0);
   const auto after = server_->Move(0);
   EXPECT_NE(before, after);
@@ -101,7 +102,7 @@
   EXPECT_NE(Call(after, "/discovery/hosts").find("200 OK"), std::string::npos);
 }
 
-TEST_F(DiscoveryFaults, RejectSomeCallsAndAnswerOthersInPiecesWhileSlow) {
+TEST_F(DiscoveryFaults, SlowDiscoveryRejectsSomeCallsAndAnswersOthersInPieces) {
   server_->SetSlow(true);
   int whole = 0, rejected = 0, closed = 0;
   for (int i = 0; i < 12; ++i) {
--- a/tests/lab_discovery_test.cpp
+++ b/tests/lab_discovery_test.cpp
@@ -1,4 +1,5 @@
-// The discovery stand-in on real sockets: lists, watches, delivery with its faults, and the control clients.
+// Tests of the emulated discovery service over real sockets: lists, watches, and delivery of changes with
+// faults.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -24,9 +25,9 @@
 using nlohmann::json;
 using std::chrono::milliseconds;
 
-constexpr auto kPatience = std::chrono::seconds(30);  // until an event that has to come
+constexpr auto kEventTimeout = std::chrono::seconds(30);  // limit on the wait for an expected event
 
-// A sidecar's connection to its agent, one call at a time.
+// A sidecar's connection to its discovery agent, for one call at a time.
 class Caller {
  public:
   explicit Caller(const lb::Endpoint& agent) : stream_(io_) { stream_.connect(agent); }
@@ -62,7 +63,7 @@
 };
 
 bool Eventually(const std::function<bool()>& condition) {
-  const auto end = std::chrono::steady_clock::now() + kPatience;
+  const auto end = std::chrono::steady_clock::now() + kEventTimeout;
   while (!condition()) {
     if (std::chrono::steady_clock::now() > end) return false;
     std::this_thread::sleep_for(milliseconds(2));
@@ -88,7 +89,7 @@
   std::optional<DiscoveryServer> server_;
 };
 
-TEST_F(DiscoveryServerTest, ListsAllInProtocolsForm) {
+TEST_F(DiscoveryServerTest, ListsAllUpstreamsInProtocolFormat) {
   Start();
   auto caller = Connect();
   const json list = caller.Get("/discovery/hosts");
@@ -101,7 +102,7 @@
   EXPECT_EQ(list["targets"][0], expected);
 }
 
-TEST_F(DiscoveryServerTest, AWatchWaitsForAChange) {
+TEST_F(DiscoveryServerTest, WatchWaitsForChange) {
   Start();
   auto caller = Connect();
   caller.Send("/discovery/hosts?index=1&wait=60000");
@@ -119,7 +120,7 @@
   EXPECT_EQ(server_->OpenWatches(), 0u);
 }
 
-TEST_F(DiscoveryServerTest, AWatchEndsWithNothingNew) {
+TEST_F(DiscoveryServerTest, WatchWithoutChangeEndsAfterItsWait) {
   Start();
   auto caller = Connect();
   const auto begun = std::chrono::steady_clock::now();
@@ -130,7 +131,7 @@
   EXPECT_TRUE(answer["targets"].empty());
 }
 
-TEST_F(DiscoveryServerTest, AListIsRestrictedToItsService) {
+TEST_F(DiscoveryServerTest, ListIsRestrictedToItsService) {
   Start({0, 0.01}, {0, 1}, 2);
   auto first = Connect(0);
   auto second = Connect(1);
@@ -146,32 +147,32 @@
   EXPECT_FALSE(first.HasAnswer());
 }
 
-TEST_F(DiscoveryServerTest, NoticesTakeAsLongAsDrawnAndLateOnesLonger) {
+TEST_F(DiscoveryServerTest, NoticesTakeTheDrawnDelayTimesTheFactor) {
   Start({0.05, 0.05});
   server_->SetLate(4);
   auto caller = Connect();
   const auto begun = std::chrono::steady_clock::now();
   server_->Change(WithWeight(entries_[0], 2));
-  EXPECT_EQ(caller.Get("/discovery/hosts")["rev"], 1);  // not told yet
+  EXPECT_EQ(caller.Get("/discovery/hosts")["rev"], 1);  // notice not delivered yet
   EXPECT_EQ(caller.Get("/discovery/hosts?index=1&wait=60000")["rev"], 2);
   EXPECT_GE(std::chrono::steady_clock::now() - begun, milliseconds(200));
 }
 
-TEST_F(DiscoveryServerTest, ASilentWatchIsNeverAnsweredAndTheNextCallIs) {
+TEST_F(DiscoveryServerTest, DoesNotAnswerSilencedWatchButAnswersNextCall) {
   Start();
-  auto silent = Connect();
-  silent.Send("/discovery/hosts?index=1&wait=100");
+  auto silenced = Connect();
+  silenced.Send("/discovery/hosts?index=1&wait=100");
   ASSERT_TRUE(Watching(1));
   server_->SilenceWatches();
   EXPECT_EQ(server_->OpenWatches(), 0u);
   server_->Change(WithWeight(entries_[0], 2));
   auto other = Connect();
   EXPECT_EQ(other.Get("/discovery/hosts?index=1&wait=60000")["rev"], 2);
-  other.Get("/discovery/hosts?index=2&wait=150");  // longer than the silent one's wait
-  EXPECT_FALSE(silent.HasAnswer());
+  other.Get("/discovery/hosts?index=2&wait=150");  // longer than the wait of the silenced watch
+  EXPECT_FALSE(silenced.HasAnswer());
 }
 
-TEST_F(DiscoveryServerTest, ALostNoticeComesWithTheNextCall) {
+TEST_F(DiscoveryServerTest, DeliversLostNoticeWithTheNextCall) {
   Start();
   auto caller = Connect();
   server_->SetLost(1);
@@ -182,8 +183,8 @@
   EXPECT_EQ(caller.Get("/discovery/hosts?index=1&wait=60000")["rev"], 2);
 }
 
-TEST_F(DiscoveryServerTest, WhileDownNobodyIsAnsweredAndTheReturnTellsAll) {
-  Start({3600, 3600});  // no notice arrives by itself
+TEST_F(DiscoveryServerTest, AnswersNoCallWhileDownAndDeliversAllChangesAfterwards) {
+  Start({3600, 3600});  // no notice is due during the test
   auto waiting = Connect();
   waiting.Send("/discovery/hosts?index=1&wait=1");
   auto asking = Connect();
@@ -197,7 +198,7 @@
   EXPECT_FALSE(asking.HasAnswer());
 }
 
-TEST_F(DiscoveryServerTest, RefusesBadCalls) {
+TEST_F(DiscoveryServerTest, RejectsInvalidCalls) {
   Start();
   auto caller = Connect();
   EXPECT_EQ(caller.Status("/discovery"), 404u);
--- a/tests/lab_hollow_sidecar_test.cpp
+++ b/tests/lab_hollow_sidecar_test.cpp
@@ -1,4 +1,4 @@
-// Hollow sidecars: the real module on modelled connections.
+// Tests of hollow sidecars: the real decision module with modelled connections and upstreams.
 #include <algorithm>
 #include <boost/asio/io_context.hpp>
 #include <chrono>
@@ -29,7 +29,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Some sidecars and upstreams without clients or discovery.
+// Hollow sidecars and modelled upstreams, without modelled clients and discovery.
 struct SidecarRig {
   explicit SidecarRig(Experiment given, std::size_t upstream_count = 4, std::size_t sidecar_count = 3,
                       std::uint64_t seed = 1)
@@ -59,7 +59,7 @@
         [this, number](const Answer& answer) { answers[number].push_back(answer.kind); });
   }
   void Run(Duration time) { scheduler.RunUntil(scheduler.Now() + time); }
-  void Tell(std::size_t upstream, UpstreamState state, std::optional<TimePoint> started) {
+  void ApplyUpdate(std::size_t upstream, UpstreamState state, std::optional<TimePoint> started) {
     list[upstream].state = state;
     list[upstream].started = started;
     for (auto& sidecar : sidecars) sidecar->Apply({MembershipUpdate::Kind::kChanges, {list[upstream]}});
@@ -82,7 +82,7 @@
   std::vector<std::vector<AnswerKind>> answers;
 };
 
-TEST(HollowSidecar, ServesOverKeptConnectionsAndRetiresThoseIdleForLong) {
+TEST(HollowSidecar, ReusesConnectionsAndClosesLongIdleOnes) {
   SidecarRig rig(SmallExperiment());
   for (int i = 0; i < 100; ++i) {
     rig.Offer(0, milliseconds(5), milliseconds(500));
@@ -98,7 +98,7 @@
   for (const auto& upstream : rig.upstreams) EXPECT_EQ(upstream->connections(), 0u);
 }
 
-TEST(HollowSidecar, AKilledOneLosesWhatItHoldsAndServesAgainOnceStarted) {
+TEST(HollowSidecar, KillLosesOpenRequestsAndRestartServesAgain) {
   SidecarRig rig(SmallExperiment());
   rig.Offer(0, milliseconds(100), milliseconds(500));
   rig.Run(milliseconds(20));
@@ -113,10 +113,10 @@
   EXPECT_EQ(rig.Count(AnswerKind::kServed), 1u);
 }
 
-TEST(HollowSidecar, WhereNobodyIsReachedConnectingTimesOut) {
+TEST(HollowSidecar, ConnectToUnreachableUpstreamTimesOut) {
   Experiment experiment = SmallExperiment();
   experiment.regions = 2;
-  SidecarRig rig(experiment, 1, 2);  // one upstream, in the first sidecar's region
+  SidecarRig rig(experiment, 1, 2);  // the upstream is in the region of sidecar 0
   rig.network.SetRegionsCut(true);
   rig.Offer(1, milliseconds(5), milliseconds(900));
   rig.Offer(0, milliseconds(5), milliseconds(900));
@@ -126,7 +126,7 @@
   EXPECT_EQ(rig.counters.attempts, 1u);
 }
 
-TEST(HollowSidecar, ADrainingUpstreamsConnectionsAreClosedAndItGetsNothingNew) {
+TEST(HollowSidecar, ClosesConnectionsOfDrainingUpstreamAndSendsItNoRequests) {
   SidecarRig rig(SmallExperiment(), 2, 1);
   for (int i = 0; i < 20; ++i) {
     rig.Offer(0, milliseconds(5), milliseconds(500));
@@ -134,7 +134,7 @@
   }
   ASSERT_EQ(rig.upstreams[0]->connections(), 1u);
   const auto served = rig.upstreams[0]->served();
-  rig.Tell(0, UpstreamState::kDraining, {});
+  rig.ApplyUpdate(0, UpstreamState::kDraining, {});
   EXPECT_EQ(rig.upstreams[0]->connections(), 0u);
   for (int i = 0; i < 20; ++i) {
     rig.Offer(0, milliseconds(5), milliseconds(500));
@@ -144,12 +144,13 @@
   EXPECT_EQ(rig.Count(AnswerKind::kServed), 40u);
 }
 
-TEST(HollowSidecar, AConnectionToAnEarlierProcessIsNotKept) {
+TEST(HollowSidecar, DoesNotKeepConnectionToRestartedUpstream) {
   for (const bool restarted : {false, true}) {
     SidecarRig rig(SmallExperiment(), 1, 1);
     rig.Offer(0, milliseconds(100), milliseconds(500));
     rig.Run(milliseconds(50));
-    rig.Tell(0, UpstreamState::kServing, restarted ? std::optional(rig.scheduler.Now()) : std::nullopt);
+    rig.ApplyUpdate(0, UpstreamState::kServing,
+                    restarted ? std::optional(rig.scheduler.Now()) : std::nullopt);
     rig.Run(milliseconds(100));
     EXPECT_EQ(rig.Count(AnswerKind::kServed), 1u);
     EXPECT_EQ(rig.sidecars[0]->idle_connections(), restarted ? 0u : 1u);
@@ -157,38 +158,39 @@
   }
 }
 
-TEST(HollowSidecar, WhatHasNotBegunToBeWrittenIsNotSentToOneThatDrains) {
+TEST(HollowSidecar, DoesNotSendUnwrittenRequestToDrainingUpstream) {
   Experiment experiment = SmallExperiment();
   experiment.upstreams.handshake_work = milliseconds(100);
   SidecarRig rig(experiment, 1, 1);
   rig.Offer(0, milliseconds(5), milliseconds(500));
   rig.Run(milliseconds(50));
-  rig.Tell(0, UpstreamState::kDraining, {});
+  rig.ApplyUpdate(0, UpstreamState::kDraining, {});
   EXPECT_EQ(rig.Count(AnswerKind::kRefused), 1u);
   rig.Run(seconds(1));
   EXPECT_EQ(rig.counters.attempts, 0u);
   EXPECT_EQ(rig.upstreams[0]->connections(), 0u);
 }
 
-TEST(HollowSidecar, HearsOfADeadProcessUnlessItsMachineHadVanished) {
-  for (const bool vanished : {false, true}) {
+TEST(HollowSidecar, DetectsCrashedUpstreamUnlessMachineWasUnresponsive) {
+  for (const bool unresponsive : {false, true}) {
     Experiment experiment = SmallExperiment();
     experiment.classes[0].idempotency = lb::Idempotency::kNotIdempotent;
     SidecarRig rig(experiment, 1, 1);
     rig.Offer(0, milliseconds(5), milliseconds(500));
     rig.Run(milliseconds(100));
-    rig.upstreams[0]->SetSilent(vanished);
+    rig.upstreams[0]->SetSilent(unresponsive);
     rig.upstreams[0]->Crash();
     rig.upstreams[0]->SetSilent(false);
     rig.upstreams[0]->Start();
     rig.Offer(0, milliseconds(5), milliseconds(500));
     rig.Run(milliseconds(100));
-    EXPECT_EQ(rig.Count(AnswerKind::kServed), vanished ? 1u : 2u);
-    EXPECT_EQ(rig.Count(AnswerKind::kFailed), vanished ? 1u : 0u);  // reset at its use
+    EXPECT_EQ(rig.Count(AnswerKind::kServed), unresponsive ? 1u : 2u);
+    EXPECT_EQ(rig.Count(AnswerKind::kFailed),
+              unresponsive ? 1u : 0u);  // the stale connection is reset when it is used
   }
 }
 
-TEST(HollowSidecar, RunsOnTheMachinesClockAsWell) {
+TEST(HollowSidecar, RunsOnTheRealClock) {
   const Experiment experiment = SmallExperiment();
   const Deployment deployment = MakeSmallDeployment(experiment, 1, 1, 1);
   boost::asio::io_context io;
@@ -218,10 +220,10 @@
   EXPECT_EQ(upstream.served(), 5u);
 }
 
-// Strikes one upstream or sidecar, or mends it.
-void StrikeAtRandom(SidecarRig& rig, std::mt19937_64& random) {
-  const std::size_t place = random() % rig.upstreams.size();
-  UpstreamModel& upstream = *rig.upstreams[place];
+// Injects or ends a random fault of one upstream, one sidecar or the network between regions.
+void ChangeFaultAtRandom(SidecarRig& rig, std::mt19937_64& random) {
+  const std::size_t index = random() % rig.upstreams.size();
+  UpstreamModel& upstream = *rig.upstreams[index];
   switch (random() % 9) {
     case 0:
       return upstream.Crash();
@@ -235,9 +237,9 @@
       return upstream.SetDraining(random() % 2 == 0);
     case 5:
       upstream.Start();
-      return rig.Tell(place, UpstreamState::kServing, rig.scheduler.Now());
+      return rig.ApplyUpdate(index, UpstreamState::kServing, rig.scheduler.Now());
     case 6:
-      return rig.Tell(place, static_cast<UpstreamState>(random() % 3), rig.list[place].started);
+      return rig.ApplyUpdate(index, static_cast<UpstreamState>(random() % 3), rig.list[index].started);
     case 7:
       return rig.network.SetRegionsCut(random() % 2 == 0);
     default:
@@ -260,14 +262,14 @@
     SidecarRig rig(experiment, 4, 3, seed);
     std::mt19937_64 random(seed);
     for (int i = 0; i < 2000; ++i) {
-      if (random() % 20 == 0) StrikeAtRandom(rig, random);
+      if (random() % 20 == 0) ChangeFaultAtRandom(rig, random);
       rig.Offer(random() % 3, Duration(random() % 60000), Duration(20000 + random() % 900000));
       rig.Run(Duration(random() % 20000));
     }
     rig.Run(seconds(2));
-    std::uint64_t lost = 0;
-    for (const auto& sidecar : rig.sidecars) lost += sidecar->lost();
-    EXPECT_EQ(lost, 0u) << "seed " << seed;
+    std::uint64_t answer_faults = 0;
+    for (const auto& sidecar : rig.sidecars) answer_faults += sidecar->answer_faults();
+    EXPECT_EQ(answer_faults, 0u) << "seed " << seed;
     for (const auto& got : rig.answers) ASSERT_EQ(got.size(), 1u) << "seed " << seed;
     served += rig.Count(AnswerKind::kServed);
     for (const auto& upstream : rig.upstreams) {
@@ -278,7 +280,7 @@
     for (const auto& sidecar : rig.sidecars) EXPECT_EQ(sidecar->requests_open(), 0u) << "seed " << seed;
     for (const auto& upstream : rig.upstreams) EXPECT_EQ(upstream->connections(), 0u) << "seed " << seed;
   }
-  EXPECT_GT(served, kSeeds * 200);  // the faults leave something of the service
+  EXPECT_GT(served, kSeeds * 200);  // requests are still served between faults
 }
 
 }  // namespace
--- a/tests/lab_membership_notices_test.cpp
+++ b/tests/lab_membership_notices_test.cpp
@@ -1,4 +1,4 @@
-// Watch events of the modelled discovery, on the virtual clock.
+// Tests of the modelled discovery on the virtual clock: delivery of changes, its delays and its faults.
 #include <algorithm>
 #include <chrono>
 #include <cstddef>
@@ -29,10 +29,10 @@
             experiment, deployment, scheduler,
             [this](std::size_t sidecar, const MembershipUpdate& update) {
               failures += update.kind == MembershipUpdate::Kind::kFailed;
-              for (const auto& info : update.upstreams) told[sidecar].push_back(info.weight);
+              for (const auto& info : update.upstreams) received[sidecar].push_back(info.weight);
             },
             [this](TimePoint, Duration delay) { delays.push_back(delay); }) {}
-  // Change number `weight` in order.
+  // Changes an upstream's weight. Tests use ascending weights to check the order of delivery.
   void Change(std::size_t upstream, double weight) {
     UpstreamInfo entry = notices.entry(upstream);
     entry.weight = weight;
@@ -43,7 +43,7 @@
   Duration Shortest() const { return *std::min_element(delays.begin(), delays.end()); }
 
   VirtualScheduler scheduler;
-  std::map<std::size_t, std::vector<double>> told;
+  std::map<std::size_t, std::vector<double>> received;
   std::vector<Duration> delays;
   int failures = 0;
   Experiment experiment;
@@ -51,7 +51,7 @@
   MembershipNotices notices;
 };
 
-TEST(MembershipNotices, EachSidecarHearsOfEachChangeOnceInOrder) {
+TEST(MembershipNotices, DeliversEachChangeOnceAndInOrder) {
   NoticesRig rig(SmallExperiment());
   std::vector<double> all;
   for (int i = 1; i <= 30; ++i) {
@@ -61,13 +61,13 @@
     if (i == 10) rig.notices.SetLostShare(0.5);
   }
   rig.Run(seconds(7));
-  for (std::size_t i = 0; i < 20; ++i) EXPECT_EQ(rig.told[i], all) << "sidecar " << i;
+  for (std::size_t i = 0; i < 20; ++i) EXPECT_EQ(rig.received[i], all) << "sidecar " << i;
   EXPECT_EQ(rig.delays.size(), 600u);
-  EXPECT_EQ(rig.notices.Untold(), 0u);
+  EXPECT_EQ(rig.notices.UndeliveredChanges(), 0u);
   EXPECT_GE(rig.Shortest(), milliseconds(100));
 }
 
-TEST(MembershipNotices, DelaysAreThoseOfTheSpecTimesTheFactor) {
+TEST(MembershipNotices, DelayIsThatOfTheSpecTimesTheFactor) {
   NoticesRig rig(SmallExperiment());
   rig.Change(0, 2);
   rig.Run(seconds(2));
@@ -82,82 +82,82 @@
   EXPECT_GT(rig.Longest(), milliseconds(1000));
 }
 
-TEST(MembershipNotices, ALateNoticeHoldsUpThoseBehindIt) {
+TEST(MembershipNotices, LateNoticeDelaysLaterOnes) {
   NoticesRig rig(SmallExperiment());
   rig.notices.SetDelayFactor(10);
   rig.Change(0, 2);
   rig.notices.SetDelayFactor(1);
   rig.Change(1, 3);
   rig.Run(milliseconds(990));
-  EXPECT_TRUE(rig.told.empty());
+  EXPECT_TRUE(rig.received.empty());
   rig.Run(seconds(10));
-  EXPECT_EQ(rig.told.size(), 20u);
+  EXPECT_EQ(rig.received.size(), 20u);
 }
 
-TEST(MembershipNotices, ASilentWatchIsMadeUpForAfterSixSeconds) {
+TEST(MembershipNotices, DeliversChangesSixSecondsAfterWatchesAreSilenced) {
   NoticesRig rig(SmallExperiment());
   rig.notices.SilenceWatches();
   rig.Run(seconds(2));
   rig.Change(0, 2);
   rig.Run(milliseconds(3900));
-  EXPECT_TRUE(rig.told.empty());
+  EXPECT_TRUE(rig.received.empty());
   rig.Run(milliseconds(200));
-  EXPECT_EQ(rig.told.size(), 20u);
+  EXPECT_EQ(rig.received.size(), 20u);
 }
 
-TEST(MembershipNotices, ALostNoticeComesWithTheNextOneOrAfterSixSeconds) {
+TEST(MembershipNotices, DeliversLostNoticeWithTheNextOneOrAfterSixSeconds) {
   NoticesRig rig(SmallExperiment());
   rig.notices.SetLostShare(1);
   rig.Change(0, 2);
   rig.Run(milliseconds(5900));
-  EXPECT_TRUE(rig.told.empty());
+  EXPECT_TRUE(rig.received.empty());
   rig.Run(milliseconds(200));
-  EXPECT_EQ(rig.told.size(), 20u);
-  rig.told.clear();
+  EXPECT_EQ(rig.received.size(), 20u);
+  rig.received.clear();
   rig.Change(0, 3);
   rig.notices.SetLostShare(0);
   rig.Change(0, 4);
   rig.Run(milliseconds(1100));
-  ASSERT_EQ(rig.told.size(), 20u);
-  EXPECT_EQ(rig.told[0], (std::vector<double>{3, 4}));
+  ASSERT_EQ(rig.received.size(), 20u);
+  EXPECT_EQ(rig.received[0], (std::vector<double>{3, 4}));
 }
 
-TEST(MembershipNotices, WhileDiscoveryIsDownNobodyIsToldAndAllIsToldAtItsReturn) {
+TEST(MembershipNotices, DeliversNothingWhileDiscoveryIsDownAndAllChangesAfterwards) {
   NoticesRig rig(SmallExperiment());
   rig.Change(0, 2);
   rig.notices.SetDiscoveryDown(true);
   rig.Change(1, 3);
   rig.Run(seconds(10));
-  EXPECT_TRUE(rig.told.empty());
-  EXPECT_EQ(rig.notices.Untold(), 40u);
+  EXPECT_TRUE(rig.received.empty());
+  EXPECT_EQ(rig.notices.UndeliveredChanges(), 40u);
   rig.notices.SetDiscoveryDown(false);
   rig.Run(milliseconds(1100));
-  ASSERT_EQ(rig.told.size(), 20u);
-  EXPECT_EQ(rig.told[7], (std::vector<double>{2, 3}));
+  ASSERT_EQ(rig.received.size(), 20u);
+  EXPECT_EQ(rig.received[7], (std::vector<double>{2, 3}));
 }
 
-TEST(MembershipNotices, ASidecarHearsOfItsOwnServiceAloneWhereTheListIsByService) {
+TEST(MembershipNotices, DeliversOnlyChangesOfOwnServiceIfListIsByService) {
   Experiment experiment = SmallExperiment();
   experiment.services = 2;
   experiment.list = ListScope::kService;
   NoticesRig rig(experiment);
-  EXPECT_EQ(rig.notices.Known(1).size(), 3u);
+  EXPECT_EQ(rig.notices.DeliveredList(1).size(), 3u);
   rig.Change(1, 5);
   rig.Run(seconds(2));
-  EXPECT_EQ(rig.told.size(), 10u);
-  EXPECT_TRUE(rig.told.contains(1) && !rig.told.contains(0));
+  EXPECT_EQ(rig.received.size(), 10u);
+  EXPECT_TRUE(rig.received.contains(1) && !rig.received.contains(0));
 }
 
-TEST(MembershipNotices, OnRequestNobodyHearsBeforeItAsksAndAFailedAskIsTold) {
+TEST(MembershipNotices, OnRequestDeliversNothingBeforeSubscribeAndReportsFailure) {
   Experiment experiment = SmallExperiment();
   experiment.discovery.on_request = true;
   NoticesRig rig(experiment, 2);
   rig.Change(0, 2);
   rig.Run(seconds(2));
-  EXPECT_TRUE(rig.told.empty());
+  EXPECT_TRUE(rig.received.empty());
   rig.notices.Subscribe(0);
   rig.Run(milliseconds(10));
-  EXPECT_EQ(rig.told[0], std::vector<double>{2});
+  EXPECT_EQ(rig.received[0], std::vector<double>{2});
   rig.notices.SetDiscoveryDown(true);
   rig.Run(seconds(2));
   EXPECT_EQ(rig.failures, 2);
@@ -166,19 +166,19 @@
   EXPECT_EQ(rig.failures, 3);
 }
 
-TEST(MembershipNotices, ARestartedSidecarHoldsWhatItWasToldAndHearsTheRest) {
+TEST(MembershipNotices, RestartedSidecarKeepsDeliveredListAndReceivesMissedChanges) {
   NoticesRig rig(SmallExperiment());
   rig.Change(0, 2);
   rig.Run(seconds(2));
-  rig.notices.SidecarDown(3);
+  rig.notices.MarkSidecarDown(3);
   rig.Change(1, 3);
   rig.Run(seconds(2));
-  EXPECT_EQ(rig.notices.Known(3)[0].weight, 2);
-  EXPECT_EQ(rig.notices.Known(3)[1].weight, 1);
-  rig.notices.SidecarUp(3);
+  EXPECT_EQ(rig.notices.DeliveredList(3)[0].weight, 2);
+  EXPECT_EQ(rig.notices.DeliveredList(3)[1].weight, 1);
+  rig.notices.MarkSidecarUp(3);
   rig.Run(seconds(2));
-  EXPECT_EQ(rig.told[3], (std::vector<double>{2, 3}));
-  EXPECT_EQ(rig.delays.size(), 39u);  // the change from before its start is none of its delays
+  EXPECT_EQ(rig.received[3], (std::vector<double>{2, 3}));
+  EXPECT_EQ(rig.delays.size(), 39u);  // no delay is recorded for a change made while the sidecar was down
 }
 
 }  // namespace
--- a/tests/lab_virtual_engine_test.cpp
+++ b/tests/lab_virtual_engine_test.cpp
@@ -1,4 +1,4 @@
-// Whole runs of the virtual engine.
+// Runs complete small experiments on the virtual engine and checks their samples and metrics.
 #include <chrono>
 #include <cstddef>
 #include <utility>
@@ -25,7 +25,8 @@
   return fault;
 }
 
-std::vector<Sample> Play(const Experiment& experiment, const Deployment& deployment, Metrics* metrics) {
+std::vector<Sample> RunExperiment(const Experiment& experiment, const Deployment& deployment,
+                                  Metrics* metrics) {
   std::vector<Sample> samples;
   *metrics = RunVirtual(experiment, deployment, [&](const Sample& sample) { samples.push_back(sample); });
   return samples;
@@ -39,8 +40,8 @@
   deployment.faults = {Fault(FaultKind::kCrash, seconds(3), seconds(5), {1, 2}),
                        Fault(FaultKind::kRestart, seconds(6), seconds(8), {4, 5})};
   Metrics first_metrics, second_metrics;
-  const auto first = Play(experiment, deployment, &first_metrics);
-  const auto second = Play(experiment, deployment, &second_metrics);
+  const auto first = RunExperiment(experiment, deployment, &first_metrics);
+  const auto second = RunExperiment(experiment, deployment, &second_metrics);
   ASSERT_EQ(first.size(), 10u);
   ASSERT_EQ(second.size(), first.size());
   for (std::size_t i = 0; i < first.size(); ++i) {
@@ -55,18 +56,18 @@
   EXPECT_EQ(first_metrics.in_time_share, second_metrics.in_time_share);
   EXPECT_GT(first_metrics.probes_per_request, 0);
   experiment.seed = 2;
-  const auto other = Play(experiment, deployment, &second_metrics);
+  const auto other = RunExperiment(experiment, deployment, &second_metrics);
   EXPECT_NE(first[0].latency_p99_ms, other[0].latency_p99_ms);
 }
 
 TEST(VirtualEngine, ABurstLeadsToQueueingAndLateAnswersWhileItLasts) {
   Experiment experiment = SmallExperiment();
-  Deployment deployment = MakeSmallDeployment(experiment, 4, 8, 25);  // half of the capacity
+  Deployment deployment = MakeSmallDeployment(experiment, 4, 8, 25);  // a load of half the capacity
   FaultEvent burst = Fault(FaultKind::kBurst, seconds(4), seconds(7));
   burst.factor = 4;
   deployment.faults = {burst};
   Metrics metrics;
-  const auto samples = Play(experiment, deployment, &metrics);
+  const auto samples = RunExperiment(experiment, deployment, &metrics);
   EXPECT_GT(samples[3].in_time_share, 0.95);
   EXPECT_GT(samples[5].traffic.requests, 2 * samples[3].traffic.requests);
   EXPECT_LT(samples[5].in_time_share, 0.7);
@@ -86,19 +87,19 @@
   change.count = 8;
   deployment.faults = {change};
   Metrics metrics;
-  Play(experiment, deployment, &metrics);
+  RunExperiment(experiment, deployment, &metrics);
   EXPECT_GE(metrics.notice_p50_ms, 100);
   EXPECT_LE(metrics.notice_last_ms, 1000);
   EXPECT_EQ(metrics.notices_missing, 0);
   EXPECT_GT(metrics.change_cpu_ms, 0);
 }
 
-TEST(VirtualEngine, ALostZoneIsTakenOverByTheOtherAndComesBack) {
+TEST(VirtualEngine, OtherZoneTakesOverForLostZoneUntilItReturns) {
   const Experiment experiment = SmallExperiment();
   Deployment deployment = MakeSmallDeployment(experiment, 8, 8, 15);
   deployment.faults = {Fault(FaultKind::kZoneLost, seconds(3), seconds(6), {1, 3, 5, 7})};
   Metrics metrics;
-  const auto samples = Play(experiment, deployment, &metrics);
+  const auto samples = RunExperiment(experiment, deployment, &metrics);
   EXPECT_GT(samples[3].traffic.attempts_timed_out + samples[3].traffic.connects_failed, 0u);
   EXPECT_GT(samples[9].in_time_share, 0.95);
   EXPECT_LT(metrics.worst_second_share, 0.95);
@@ -113,7 +114,7 @@
   kill.sidecars = {0, 1, 2};
   deployment.faults = {kill};
   Metrics metrics;
-  const auto samples = Play(experiment, deployment, &metrics);
+  const auto samples = RunExperiment(experiment, deployment, &metrics);
   EXPECT_EQ(samples[3].traffic.failed, 0u);
   EXPECT_GT(samples[4].traffic.failed, 10u);
   EXPECT_GT(samples[7].in_time_share, 0.95);
--- a/tests/lab_wall_clock_test.cpp
+++ b/tests/lab_wall_clock_test.cpp
@@ -1,4 +1,4 @@
-// The stepped wall clock of emulated machines.
+// Tests of the emulated wall clock with a program that is started with it.
 #include <chrono>
 #include <filesystem>
 #include <map>
@@ -14,7 +14,8 @@
 
 using std::chrono::seconds;
 
-// How far the Unix time of a program that is started in that environment is ahead of the machine's.
+// Returns the Unix time that a program reads when started with `environment`, minus the machine's, in
+// seconds.
 double SecondsAhead(const std::map<std::string, std::string>& environment, const std::string& folder) {
   ProcessOptions options;
   options.program = "/bin/date";
