--- a/lab/measure/fleet_rules.cpp
+++ b/lab/measure/fleet_rules.cpp
@@ -44,7 +44,7 @@
   slow_starts_[upstream].emplace().since = at;
 }
 
-void FleetRules::Told(std::size_t sidecar, const MembershipEntry& entry, TimePoint at) {
+void FleetRules::RecordReceivedEntry(std::size_t sidecar, const MembershipEntry& entry, TimePoint at) {
   const auto found = upstreams_.find(entry.id);
   if (found == upstreams_.end()) return;
   const std::size_t upstream = found->second;
--- a/lab/measure/fleet_rules.h
+++ b/lab/measure/fleet_rules.h
@@ -49,7 +49,7 @@
   void Started(std::size_t upstream, TimePoint at);
   // A sidecar received this entry in its endpoint list; the sidecar counts as informed from `at` on, which
   // may be in the future. An unknown upstream is ignored.
-  void Told(std::size_t sidecar, const MembershipEntry& entry, TimePoint at);
+  void RecordReceivedEntry(std::size_t sidecar, const MembershipEntry& entry, TimePoint at);
   // A request has arrived at the upstream; `work` is its processor time on a core of speed 1.
   void Attempted(std::size_t sidecar, std::size_t upstream, Duration work, TimePoint at);
 
--- a/lab/measure/metrics.h
+++ b/lab/measure/metrics.h
@@ -45,8 +45,8 @@
   double discovery_cpu = 0;                                         // cores, in total
   double control_bytes_per_s = 0;                                   // to and from discovery, per sidecar
   double load_spread = 0;  // 95th percentile over mean of the upstreams' served work per capacity
-  std::uint64_t crowded_upstreams = 0;
-  std::uint64_t held = 0;  // requests running and queued at all upstreams
+  std::uint64_t overloaded_upstreams = 0;
+  std::uint64_t outstanding_requests = 0;  // requests running and queued at all upstreams
 };
 
 // The totals of a run; AllMetrics() gives their names and units.
--- a/lab/measure/propagation_log.cpp
+++ b/lab/measure/propagation_log.cpp
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-void PropagationLog::Changed(std::uint64_t revision, std::size_t service, TimePoint at) {
+void PropagationLog::RecordChange(std::uint64_t revision, std::size_t service, TimePoint at) {
   if (revision != newest() + 1)
     throw std::logic_error("revision " + std::to_string(revision) + " is out of order");
   changes_.push_back({service, at});
@@ -29,7 +29,7 @@
 
 void PropagationLog::Stop(std::size_t sidecar) { sidecars_.erase(sidecar); }
 
-void PropagationLog::Told(std::size_t sidecar, std::uint64_t revision, TimePoint at) {
+void PropagationLog::RecordDelivery(std::size_t sidecar, std::uint64_t revision, TimePoint at) {
   const auto found = sidecars_.find(sidecar);
   if (found == sidecars_.end()) return;
   Sidecar& receiver = found->second;
@@ -43,7 +43,7 @@
   }
 }
 
-std::size_t PropagationLog::Missing(TimePoint until) const {
+std::size_t PropagationLog::CountUndelivered(TimePoint until) const {
   std::size_t missing = 0;
   for (const auto& [index, sidecar] : sidecars_) {
     for (std::uint64_t revision = sidecar.delivered_revision + 1; revision <= newest(); ++revision) {
--- a/lab/measure/propagation_log.h
+++ b/lab/measure/propagation_log.h
@@ -20,17 +20,17 @@
  public:
   // The registry reached this revision at `at`, by a change to an upstream of `service`. Revisions must be
   // consecutive from 2 on; otherwise throws std::logic_error.
-  void Changed(std::uint64_t revision, std::size_t service, TimePoint at);
+  void RecordChange(std::uint64_t revision, std::size_t service, TimePoint at);
 
   // A sidecar starts; later changes have to be delivered to it. If `service` is given, the sidecar's endpoint
   // list is restricted to that service.
   void Start(std::size_t sidecar, std::optional<std::size_t> service);
   void Stop(std::size_t sidecar);  // no further deliveries to this sidecar are expected
   // All changes up to `revision` reached the sidecar by `at`. Ignored for a sidecar that is not running.
-  void Told(std::size_t sidecar, std::uint64_t revision, TimePoint at);
+  void RecordDelivery(std::size_t sidecar, std::uint64_t revision, TimePoint at);
 
   // Number of changes made up to `until` and not yet delivered, summed over the running sidecars.
-  std::size_t Missing(TimePoint until) const;
+  std::size_t CountUndelivered(TimePoint until) const;
 
   // Clears delays_ms() and excludes changes made before `from` from it.
   void CountFrom(TimePoint from);
--- a/lab/measure/report.cpp
+++ b/lab/measure/report.cpp
@@ -92,8 +92,8 @@
   line["at_s"] = Number(sample.at_s);
   for (const CounterField& field : kCounterFields) line[field.name] = sample.traffic.*field.value;
   for (const SampleField& field : kSampleFields) line[field.name] = Number(sample.*field.value);
-  line["crowded_upstreams"] = sample.crowded_upstreams;
-  line["held"] = sample.held;
+  line["crowded_upstreams"] = sample.overloaded_upstreams;
+  line["held"] = sample.outstanding_requests;
   WriteLine(out, line);
 }
 
--- a/lab/model/client_model.cpp
+++ b/lab/model/client_model.cpp
@@ -81,7 +81,7 @@
   request->sidecar = sidecar;
   request->request_class = DrawClass(random);
   request->work = DrawWork(experiment_.classes[request->request_class], random);
-  request->heeds_retry_after = Uniform(random) < experiment_.clients.heeds_retry_after;
+  request->honors_retry_after = Uniform(random) < experiment_.clients.honors_retry_after;
   request->arrived = scheduler_.Now();
   ++open_;
   Try(request);
@@ -144,7 +144,7 @@
 void ClientModel::RetryOrEnd(const RequestPtr& request, RequestOutcome outcome, Duration retry_after) {
   const ClientSpec& clients = experiment_.clients;
   Duration wait = Scaled(clients.backoff, std::pow(2.0, request->tries - 1));
-  if (request->heeds_retry_after) wait = std::max(wait, retry_after);
+  if (request->honors_retry_after) wait = std::max(wait, retry_after);
   const TimePoint deadline = request->arrived + experiment_.classes[request->request_class].deadline;
   const TimePoint again = scheduler_.Now() + wait;
   if (request->tries > clients.retries || again >= deadline) return End(*request, outcome);
--- a/lab/model/client_model.h
+++ b/lab/model/client_model.h
@@ -67,7 +67,7 @@
     std::size_t request_class = 0;
     Duration work{};
     TimePoint arrived;
-    bool heeds_retry_after = true;
+    bool honors_retry_after = true;
     int tries = 0;
     bool awaiting_answer = false;  // whether the latest try is still unanswered
   };
--- a/lab/model/fault_schedule.h
+++ b/lab/model/fault_schedule.h
@@ -17,9 +17,9 @@
 inline constexpr double kChangedWeight = 1.1;
 // Steps of an upstream's restart, as times after discovery announces that it drains: when it begins to reject
 // requests, when its process ends, and when the next process starts.
-inline constexpr Duration kDrainAnnounced = std::chrono::seconds(2);
-inline constexpr Duration kDrainEnds = std::chrono::seconds(3);
-inline constexpr Duration kRestarted = std::chrono::seconds(5);
+inline constexpr Duration kRestartRejectAfter = std::chrono::seconds(2);
+inline constexpr Duration kRestartExitAfter = std::chrono::seconds(3);
+inline constexpr Duration kRestartStartAfter = std::chrono::seconds(5);
 // Time from the end of a sidecar's process to its restart.
 inline constexpr Duration kSidecarRestart = std::chrono::milliseconds(500);
 
--- a/lab/model/membership.cpp
+++ b/lab/model/membership.cpp
@@ -67,11 +67,11 @@
                                                        std::optional<std::size_t> service) const {
   View view;
   view.revision = std::clamp(as_of, oldest(), revision_);
-  view.whole = !known_revision || *known_revision < oldest() || *known_revision > view.revision;
-  view.entries = view.whole ? WholeAsOf(view.revision) : ChangedBetween(*known_revision, view.revision);
+  view.full_list = !known_revision || *known_revision < oldest() || *known_revision > view.revision;
+  view.entries = view.full_list ? WholeAsOf(view.revision) : ChangedBetween(*known_revision, view.revision);
   std::erase_if(view.entries, [&](const MembershipEntry& entry) {
     const bool other_service = service && entry.service != *service;
-    return other_service || (view.whole && entry.state == UpstreamState::kGone);
+    return other_service || (view.full_list && entry.state == UpstreamState::kGone);
   });
   return view;
 }
@@ -106,7 +106,7 @@
 json ToJson(const MembershipRegistry::View& view) {
   json targets = json::array();
   for (const MembershipEntry& entry : view.entries) targets.push_back(ToJson(entry));
-  return {{"rev", view.revision}, {"all", view.whole}, {"targets", std::move(targets)}};
+  return {{"rev", view.revision}, {"all", view.full_list}, {"targets", std::move(targets)}};
 }
 
 }  // namespace lb::lab
--- a/lab/model/membership.h
+++ b/lab/model/membership.h
@@ -35,7 +35,7 @@
 
   struct View {
     std::uint64_t revision = 0;
-    bool whole = true;  // whether `entries` is the whole list; otherwise only changed entries
+    bool full_list = true;  // whether `entries` is the whole list; otherwise only changed entries
     std::vector<MembershipEntry> entries;
   };
 
--- a/lab/model/upstream_model.cpp
+++ b/lab/model/upstream_model.cpp
@@ -61,8 +61,8 @@
   UpdateAttainedService();
   const bool full = waiting_requests_ >= queue_ && in_work_.size() >= slots_;
   if (draining_ || full) {
-    ++turned_away_;
-    if (!hanging_) ScheduleCallback(std::move(done), ServeResult::kTurnedAway);
+    ++rejected_requests_;
+    if (!hanging_) ScheduleCallback(std::move(done), ServeResult::kRejected);
     return CallId{++last_call_};
   }
   const CallId id = Add(CallKind::kRequest, work, std::move(done));
@@ -82,7 +82,7 @@
   } else {
     --waiting_requests_;
   }
-  --held_;
+  --outstanding_requests_;
   calls_.erase(it);
   DispatchAndSchedule();
 }
@@ -111,7 +111,7 @@
   in_work_.clear();
   waiting_ahead_.clear();
   waiting_.clear();
-  waiting_requests_ = held_ = connections_ = 0;
+  waiting_requests_ = outstanding_requests_ = connections_ = 0;
   overloaded_ = false;
   overload_change_since_.reset();
   DispatchAndSchedule();
@@ -151,7 +151,7 @@
 
 lb::LoadReport UpstreamModel::Report() const {
   lb::LoadReport report;
-  report.in_flight = static_cast<double>(held_);
+  report.in_flight = static_cast<double>(outstanding_requests_);
   report.queued = static_cast<double>(waiting_requests_);
   report.utilization = std::min(1.0, static_cast<double>(in_work_.size()) / cores_);
   return report;
@@ -163,7 +163,7 @@
   if (kind == CallKind::kRequest) {
     waiting_.push_back(id);
     ++waiting_requests_;
-    ++held_;
+    ++outstanding_requests_;
   } else {
     waiting_ahead_.push_back(id);
   }
@@ -208,7 +208,7 @@
     Call call = std::move(it->second);
     calls_.erase(it);
     if (call.kind == CallKind::kRequest) {
-      --held_;
+      --outstanding_requests_;
       ++served_;
       served_work_ += call.work;
     }
@@ -247,7 +247,7 @@
 void UpstreamModel::UpdateOverload() {
   if (spec_.overload_at <= 0) return;
   const TimePoint now = scheduler_.Now();
-  const double per_core = static_cast<double>(held_) / cores_;
+  const double per_core = static_cast<double>(outstanding_requests_) / cores_;
   const bool meets_change_condition =
       overloaded_ ? per_core < spec_.recovered_below : per_core > spec_.overload_at;
   if (!meets_change_condition) return overload_change_since_.reset();
--- a/lab/model/upstream_model.h
+++ b/lab/model/upstream_model.h
@@ -26,8 +26,8 @@
 
 enum class ServeResult {
   kServed,
-  kTurnedAway,  // rejected without being run: the queue is full or the machine is draining
-  kReset,       // the process died while the request was queued or running
+  kRejected,  // rejected without being run: the queue is full or the machine is draining
+  kReset,     // the process died while the request was queued or running
   // There is no value for a hanging or unreachable machine: it never answers, and the caller's timeout ends
   // the call.
 };
@@ -78,12 +78,12 @@
   // The latest process whose death reset its connections; 0 if there is none. Connections to a silent machine
   // are not reset.
   std::uint64_t last_reset_process() const { return last_reset_process_; }
-  bool crowded() const { return overloaded_; }  // whether sustained overload slows the machine down now
-  std::size_t held() const { return held_; }    // requests running and queued
+  bool overloaded() const { return overloaded_; }  // whether sustained overload slows the machine down now
+  std::size_t outstanding_requests() const { return outstanding_requests_; }  // requests running and queued
   std::size_t connections() const { return connections_; }
   std::size_t max_connections() const { return max_connections_; }
   std::uint64_t served() const { return served_; }  // since the start of the run
-  std::uint64_t turned_away() const { return turned_away_; }
+  std::uint64_t rejected_requests() const { return rejected_requests_; }
   // Work of the served requests, in microseconds on a core of speed 1.
   double served_work() const { return served_work_; }
   Duration busy() const;  // processor time spent, over all cores
@@ -134,7 +134,7 @@
   std::deque<std::uint64_t> waiting_ahead_;             // handshakes and probes
   std::deque<std::uint64_t> waiting_;                   // requests; ids no longer in calls_ are skipped
   std::size_t waiting_requests_ = 0;
-  std::size_t held_ = 0;
+  std::size_t outstanding_requests_ = 0;
   std::uint64_t last_call_ = 0;
 
   // Work, in microseconds on a core of speed 1, that each running call has received since the last time when
@@ -158,7 +158,7 @@
   std::optional<TimePoint> overload_change_since_;
   std::size_t connections_ = 0;
   std::uint64_t served_ = 0;
-  std::uint64_t turned_away_ = 0;
+  std::uint64_t rejected_requests_ = 0;
   double served_work_ = 0;
   double busy_ = 0;  // processor time spent over all cores, in microseconds
 };
--- a/lab/real/discovery_server.cpp
+++ b/lab/real/discovery_server.cpp
@@ -77,11 +77,11 @@
   return ++last_revision_;
 }
 
-void DiscoveryServer::SetLate(double factor) {
+void DiscoveryServer::SetNoticeDelayFactor(double factor) {
   boost::asio::post(io_, [this, factor] { delay_factor_ = factor; });
 }
 
-void DiscoveryServer::SetLost(double share) {
+void DiscoveryServer::SetLostNoticeShare(double share) {
   boost::asio::post(io_, [this, share] { lost_share_ = share; });
 }
 
@@ -283,7 +283,7 @@
 
 DiscoveryAnswer DiscoveryServer::MakeAnswer(const AnswerKey& key) const {
   const auto view = registry_.SinceAsOf(key.caller_revision, key.as_of, key.service);
-  return {ToJson(view).dump(), view.revision, view.whole, view.entries.size()};
+  return {ToJson(view).dump(), view.revision, view.full_list, view.entries.size()};
 }
 
 }  // namespace lb::lab
--- a/lab/real/discovery_server.h
+++ b/lab/real/discovery_server.h
@@ -70,9 +70,10 @@
   std::uint64_t Change(const MembershipEntry& entry);
 
   // ---- Faults ----
-  void SetLate(double factor);  // multiplies the delay of notices of later changes; 1: no fault
-  void SetLost(double share);   // share of notices of later changes to lose; the next call delivers them
-  void SilenceWatches();        // never answers the watches that are open now
+  void SetNoticeDelayFactor(double factor);  // multiplies the delay of notices of later changes; 1: no fault
+  void SetLostNoticeShare(
+      double share);      // share of notices of later changes to lose; the next call delivers them
+  void SilenceWatches();  // never answers the watches that are open now
   // While down, calls are never answered. Afterwards all missed changes are delivered at once.
   void SetDown(bool down);
   // While slow, answers are delayed and sent in pieces, some connections are closed and some calls answered
--- a/lab/real/http_client_connection.cpp
+++ b/lab/real/http_client_connection.cpp
@@ -51,7 +51,7 @@
 }
 
 bool HttpClientConnection::IsUsable() {
-  return !is_closed_ && is_connected_ && LookAt(socket_) == SocketState::kQuiet;
+  return !is_closed_ && is_connected_ && PeekSocketState(socket_) == SocketState::kNoData;
 }
 
 void HttpClientConnection::Write() {
@@ -110,8 +110,8 @@
   socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code error) {
     self->is_watching_ = false;
     if (error || self->is_closed_ || self->on_end_) return;
-    const SocketState seen = LookAt(self->socket_);
-    if (seen == SocketState::kQuiet) return self->WatchWhileIdle();
+    const SocketState seen = PeekSocketState(self->socket_);
+    if (seen == SocketState::kNoData) return self->WatchWhileIdle();
     const auto on_idle_end = self->on_idle_end_;
     self->Close();
     on_idle_end();
--- a/lab/real/http_load.cpp
+++ b/lab/real/http_load.cpp
@@ -193,15 +193,15 @@
     EndTry(current, {TryOutcome::kNotSent, {}, {}});
   }
 
-  // Handles the client's time-out. With ClientSpec::listens_on, the connection stays open for that time, but
-  // is not reused.
+  // Handles the client's time-out. With ClientSpec::late_answer_wait, the connection stays open for that
+  // time, but is not reused.
   void HandleTimeout(const TryPointer& timed_out) {
-    if (clients_.listens_on <= Duration::zero()) {
+    if (clients_.late_answer_wait <= Duration::zero()) {
       ConnectionsOf(*timed_out).Discard(std::exchange(timed_out->connection, nullptr));
     } else {
       ++listening_;
       scheduler_.After(
-          clients_.listens_on, [weak = weak_from_this(), weak_try = std::weak_ptr<Try>(timed_out)] {
+          clients_.late_answer_wait, [weak = weak_from_this(), weak_try = std::weak_ptr<Try>(timed_out)] {
             const auto self = weak.lock();
             const auto unanswered = weak_try.lock();
             if (!self || !unanswered || !unanswered->connection) return;
@@ -271,7 +271,7 @@
   std::optional<Duration> WaitBeforeRetry(const LoadRequest& request, const TryResult& result) const {
     if (request.tries > clients_.retries) return std::nullopt;
     Duration wait = clients_.backoff * (std::int64_t{1} << std::min(request.tries - 1, kMaxBackoffDoublings));
-    if (result.retry_after && request.heeds_retry_after) wait = std::max(wait, *result.retry_after);
+    if (result.retry_after && request.honors_retry_after) wait = std::max(wait, *result.retry_after);
     const TimePoint next = scheduler_.Now() + wait;
     if (next + kMinTimeout > request.deadline) return std::nullopt;
     if (result.outcome == TryOutcome::kRefused || result.outcome == TryOutcome::kNotSent) return wait;
--- a/lab/real/http_load.h
+++ b/lab/real/http_load.h
@@ -30,7 +30,7 @@
   TrafficCounters traffic;
   std::uint64_t unanswered = 0;  // failed requests without a response when the client timed out
   // Tries that were written completely, whose client kept the connection open, and that got no byte of a
-  // response before the sidecar closed the connection or ClientSpec::listens_on had passed. Tries that
+  // response before the sidecar closed the connection or ClientSpec::late_answer_wait had passed. Tries that
   // crossed the close of an idle connection are not counted.
   std::uint64_t dropped = 0;
   Distribution latency_ms;  // of served requests, from the start of the first try
--- a/lab/real/http_upstream_connection.cpp
+++ b/lab/real/http_upstream_connection.cpp
@@ -127,7 +127,7 @@
 
 void HttpUpstreamConnection::HandleServed(ServeResult result) {
   if (result == ServeResult::kReset) return Reset();
-  if (result == ServeResult::kTurnedAway) return RejectRequest(false);
+  if (result == ServeResult::kRejected) return RejectRequest(false);
   ++server_.counters.served;
   const Duration service = server_.scheduler.Now() - arrived_;
   Write({200, std::string(kServiceHeader) + ": " + std::to_string(service.count()) + "\r\n",
@@ -175,9 +175,9 @@
   socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code error) {
     self->is_watching_ = false;
     if (error || self->is_closed_ || self->state_ != State::kServing) return;
-    const SocketState seen = LookAt(self->socket_);
+    const SocketState seen = PeekSocketState(self->socket_);
     if (seen == SocketState::kEnded) return self->Close();
-    if (seen == SocketState::kQuiet) self->WatchForClose();
+    if (seen == SocketState::kNoData) self->WatchForClose();
   });
 }
 
--- a/lab/real/load_request.cpp
+++ b/lab/real/load_request.cpp
@@ -63,7 +63,7 @@
     request.idempotency_key += ToHexadecimal(random());
   }
   request.work_us = std::llround(work_us_[drawn](random));
-  request.heeds_retry_after = std::bernoulli_distribution(clients_.heeds_retry_after)(random);
+  request.honors_retry_after = std::bernoulli_distribution(clients_.honors_retry_after)(random);
   request.started = now;
   request.deadline = now + request.spec->deadline;
   return request;
--- a/lab/real/load_request.h
+++ b/lab/real/load_request.h
@@ -18,7 +18,7 @@
   std::string target;               // its path
   std::string idempotency_key;      // empty if the class has none
   std::int64_t work_us = 0;         // service time in microseconds on a core of speed 1
-  bool heeds_retry_after = true;
+  bool honors_retry_after = true;
   TimePoint started;
   TimePoint deadline;
   int tries = 0;
--- a/lab/real/real_engine.cpp
+++ b/lab/real/real_engine.cpp
@@ -92,7 +92,7 @@
   DiscoveryServerOptions options;
   options.on_request = experiment.discovery.on_request;
   options.on_known = [&rules](std::size_t sidecar, const MembershipEntry& entry, TimePoint at) {
-    rules.Told(sidecar, entry, at);
+    rules.RecordReceivedEntry(sidecar, entry, at);
   };
   options.notice_delay_s = experiment.discovery.notice_delay_s;
   options.seed = DeriveSeed(experiment.seed, "notices");
@@ -136,7 +136,7 @@
   // Runs `read` on the thread of the hollow sidecars and returns its result.
   template <typename Read>
   auto CallOnHollowThread(Read read) {
-    return hollow_thread_.Ask(std::move(read), kThreadTimeout);
+    return hollow_thread_.RunAndWait(std::move(read), kThreadTimeout);
   }
 
   const Experiment& experiment_;
@@ -225,7 +225,7 @@
   hollow_.StartSidecars(initial_registry_);
   hollow_thread_.Start();
   const bool all =
-      Await([this] { return CallOnHollowThread([this] { return hollow_.AllHoldLists(); }); }, kStartTime);
+      Await([this] { return CallOnHollowThread([this] { return hollow_.AllReceivedLists(); }); }, kStartTime);
   if (!all && !experiment_.discovery.on_request)
     throw std::runtime_error("not all hollow sidecars received an endpoint list");
   measurements_.SetHollowMemory(std::max(0.0, ResidentMemoryMb() - before_mb));
@@ -267,7 +267,8 @@
                 std::chrono::duration_cast<Duration>(std::chrono::duration<double>(longest_delay_s)));
   Await(
       [this] {
-        return CallOnHollowThread([this] { return hollow_.propagation().Missing(sidecar::Now()); }) == 0;
+        return CallOnHollowThread(
+                   [this] { return hollow_.propagation().CountUndelivered(sidecar::Now()); }) == 0;
       },
       kNoticesMargin);
 }
@@ -312,13 +313,14 @@
         longest + kResultsMargin);
   if (real_) {
     Await([this] { return real_->OpenRequests() == 0; },
-          longest + experiment_.clients.listens_on + kResultsMargin);
+          longest + experiment_.clients.late_answer_wait + kResultsMargin);
     Await([this] { return real_->StalledClientsOpen() == 0; }, kStalledClientLimit + kResultsMargin);
     Await([this] { return real_operator_->idle(); }, kStartTime);
   }
   Await(
       [this] {
-        return CallOnHollowThread([this] { return hollow_.propagation().Missing(sidecar::Now()); }) == 0;
+        return CallOnHollowThread(
+                   [this] { return hollow_.propagation().CountUndelivered(sidecar::Now()); }) == 0;
       },
       kNoticesMargin);
 }
@@ -374,7 +376,7 @@
 Metrics RealRun::Totals() {
   RealRunEnd end;
   end.notices_missing = static_cast<double>(
-      CallOnHollowThread([this] { return hollow_.propagation().Missing(sidecar::Now()); }));
+      CallOnHollowThread([this] { return hollow_.propagation().CountUndelivered(sidecar::Now()); }));
   hollow_thread_.Stop();
   end.hollow = hollow_.totals();
   end.notice_delays_ms = hollow_.propagation().delays_ms();
--- a/lab/real/real_fault_target.h
+++ b/lab/real/real_fault_target.h
@@ -39,8 +39,8 @@
   void SetRegionsCut(bool cut) override { hollow_.network().SetRegionsCut(cut); }
   void SetDiscoveryDown(bool down) override { discovery_.SetDown(down); }
   void SetDiscoverySlow(bool slow) override { discovery_.SetSlow(slow); }
-  void SetNoticeDelay(double factor) override { discovery_.SetLate(factor); }
-  void SetLostNotices(double share) override { discovery_.SetLost(share); }
+  void SetNoticeDelay(double factor) override { discovery_.SetNoticeDelayFactor(factor); }
+  void SetLostNotices(double share) override { discovery_.SetLostNoticeShare(share); }
   void SilenceWatches() override { discovery_.SilenceWatches(); }
 
   void KillSidecars(const std::vector<std::size_t>& sidecars) override;
--- a/lab/real/real_fleet.cpp
+++ b/lab/real/real_fleet.cpp
@@ -88,7 +88,7 @@
 }
 
 std::size_t RealFleet::OpenRequests() {
-  return load_thread_.Ask([this] { return load_->in_flight(); }, kThreadTimeout);
+  return load_thread_.RunAndWait([this] { return load_->in_flight(); }, kThreadTimeout);
 }
 
 void RealFleet::SetLoadFactor(double factor) {
@@ -157,7 +157,7 @@
 }
 
 std::size_t RealFleet::StalledClientsOpen() {
-  return load_thread_.Ask([this] { return stalled_clients_.open(); }, kThreadTimeout);
+  return load_thread_.RunAndWait([this] { return stalled_clients_.open(); }, kThreadTimeout);
 }
 
 std::vector<std::size_t> RealFleet::SidecarIndices() const {
@@ -168,7 +168,7 @@
 
 RealWindow RealFleet::Take() {
   RealWindow window;
-  load_thread_.Ask(
+  load_thread_.RunAndWait(
       [this, &window] {
         window.load = load_->Take();
         window.stalled = stalled_clients_.Take();
@@ -200,11 +200,11 @@
 }
 
 void RealFleet::SampleUpstreams(RealWindow& window) {
-  const HttpUpstreamCounters now = upstream_thread_.Ask(
+  const HttpUpstreamCounters now = upstream_thread_.RunAndWait(
       [this, &window] {
         for (std::size_t i = 0; i < upstreams_->size(); ++i) {
-          window.crowded_upstreams += upstreams_->model(i).crowded() ? 1 : 0;
-          window.held += upstreams_->model(i).held();
+          window.overloaded_upstreams += upstreams_->model(i).overloaded() ? 1 : 0;
+          window.outstanding_requests += upstreams_->model(i).outstanding_requests();
         }
         return upstreams_->TotalCounters();
       },
--- a/lab/real/real_fleet.h
+++ b/lab/real/real_fleet.h
@@ -47,8 +47,8 @@
   // sampled by Take().
   double peak_memory_mb = 0;
   double peak_descriptors = 0;
-  std::uint64_t crowded_upstreams = 0;  // at the sampling time
-  std::uint64_t held = 0;               // requests at the upstreams at the sampling time
+  std::uint64_t overloaded_upstreams = 0;  // at the sampling time
+  std::uint64_t outstanding_requests = 0;  // requests at the upstreams at the sampling time
 };
 
 // Call it only on the thread that created it, which has to outlive it, unless a method says otherwise.
--- a/lab/real/real_measurements.cpp
+++ b/lab/real/real_measurements.cpp
@@ -90,8 +90,8 @@
   sample.hollow_cpu = Share(window.thread_cpu_s + window.control_cpu_s, passed_s * hollow_sidecars_);
   sample.hollow_memory_mb = Share(hollow_memory_mb_, hollow_sidecars_);
   sample.load_spread = window.load_spread;
-  sample.crowded_upstreams += window.crowded_upstreams;
-  sample.held += window.held;
+  sample.overloaded_upstreams += window.overloaded_upstreams;
+  sample.outstanding_requests += window.outstanding_requests;
 }
 
 void RealMeasurements::AddReal(const RealWindow& window, double passed_s, Sample& sample) const {
@@ -102,8 +102,8 @@
   sample.added_p99_ms = window.load.added_ms.Percentile(0.99);
   sample.real_cpu = Share(window.cpu_s, passed_s * real_sidecars_);
   sample.real_memory_mb = window.memory_mb;
-  sample.crowded_upstreams += window.crowded_upstreams;
-  sample.held += window.held;
+  sample.overloaded_upstreams += window.overloaded_upstreams;
+  sample.outstanding_requests += window.outstanding_requests;
 }
 
 void RealMeasurements::AddDiscovery(const DiscoveryCounters& now, double passed_s, Sample& sample) {
--- a/lab/real/socket_state.h
+++ b/lab/real/socket_state.h
@@ -9,17 +9,17 @@
 namespace lb::lab {
 
 enum class SocketState {
-  kQuiet,  // open, no data to read
-  kData,   // data to read
-  kEnded,  // the peer has closed its sending side, or the connection failed
+  kNoData,  // open, no data to read
+  kData,    // data to read
+  kEnded,   // the peer has closed its sending side, or the connection failed
 };
 
-inline SocketState LookAt(boost::asio::ip::tcp::socket& socket) {
+inline SocketState PeekSocketState(boost::asio::ip::tcp::socket& socket) {
   char byte = 0;
   const ssize_t size = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   if (size > 0) return SocketState::kData;
   const bool quiet = size < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR);
-  return quiet ? SocketState::kQuiet : SocketState::kEnded;
+  return quiet ? SocketState::kNoData : SocketState::kEnded;
 }
 
 // Closes the connection with a TCP reset instead of an orderly shutdown.
--- a/lab/real/upstream_operator.cpp
+++ b/lab/real/upstream_operator.cpp
@@ -88,16 +88,16 @@
 
 void UpstreamOperator::Restart(std::size_t upstream) {
   SetState(upstream, UpstreamState::kDraining);
-  scheduler_.After(kDrainAnnounced, [this, upstream] {
+  scheduler_.After(kRestartRejectAfter, [this, upstream] {
     ApplyToBoth(
         upstream, [](UpstreamModel& model) { model.SetDraining(true); },
         [](HttpUpstreams& upstreams, std::size_t i) { upstreams.SetDraining(i, true); });
   });
-  scheduler_.After(kDrainEnds, [this, upstream] {
+  scheduler_.After(kRestartExitAfter, [this, upstream] {
     Crash(upstream);
     SetState(upstream, UpstreamState::kGone);
   });
-  scheduler_.After(kRestarted, [this, upstream] { Start(upstream); });
+  scheduler_.After(kRestartStartAfter, [this, upstream] { Start(upstream); });
 }
 
 void UpstreamOperator::ChangeWeight(std::size_t upstream, double factor) {
@@ -120,7 +120,7 @@
   const std::uint64_t revision = registry_.Change(entry);
   if (discovery_.Change(entry) != revision)
     throw std::logic_error("discovery and the registry disagree on the revision");
-  hollow_.propagation().Changed(revision, entry.service, scheduler_.Now());
+  hollow_.propagation().RecordChange(revision, entry.service, scheduler_.Now());
 }
 
 }  // namespace lb::lab
--- a/lab/real/worker_thread.h
+++ b/lab/real/worker_thread.h
@@ -48,7 +48,7 @@
   // Runs `read` on the thread and returns its result. Throws the exception that `read` throws, the exception
   // that ended the thread, or std::runtime_error if `read` has not returned within `timeout`.
   template <typename Read>
-  auto Ask(Read read, std::chrono::microseconds timeout) -> decltype(read()) {
+  auto RunAndWait(Read read, std::chrono::microseconds timeout) -> decltype(read()) {
     auto task = std::make_shared<std::packaged_task<decltype(read())()>>(std::move(read));
     auto result = task->get_future();
     Post([task] { (*task)(); });
--- a/lab/spec/experiment.cpp
+++ b/lab/spec/experiment.cpp
@@ -148,8 +148,8 @@
   table.ReadCount("retries", spec.retries, 0, 20);
   table.ReadNumber("try_share", spec.try_share, {0.01, 1});
   table.ReadTime("backoff_ms", spec.backoff, milliseconds(1), {0, 60'000});
-  table.ReadNumber("heeds_retry_after", spec.heeds_retry_after, kShare);
-  table.ReadTime("listens_on_s", spec.listens_on, seconds(1), {0, 10});
+  table.ReadNumber("heeds_retry_after", spec.honors_retry_after, kShare);
+  table.ReadTime("listens_on_s", spec.late_answer_wait, seconds(1), {0, 10});
   table.Finish();
 }
 
--- a/lab/spec/experiment.h
+++ b/lab/spec/experiment.h
@@ -105,10 +105,10 @@
   int retries = 1;         // maximum further tries of a client after a rejection or a retryable failure
   double try_share = 0.6;  // share of the class's deadline after which a try times out
   Duration backoff = std::chrono::milliseconds(100);  // before the first retry; doubles with each further one
-  double heeds_retry_after = 1;                       // share of clients that honor Retry-After
+  double honors_retry_after = 1;                      // share of clients that honor Retry-After
   // How long a client still waits for the final answer after its deadline; 0: it closes the connection at the
   // deadline.
-  Duration listens_on{};
+  Duration late_answer_wait{};
 };
 
 struct LoadSpec {
--- a/lab/virtual/hollow_fleet.cpp
+++ b/lab/virtual/hollow_fleet.cpp
@@ -111,7 +111,7 @@
   if (member.starts != received.start) return;
   if (received.notice.revision > 0) {
     member.revision = received.notice.revision;
-    propagation_.Told(received.sidecar, received.notice.revision, received.notice.at);
+    propagation_.RecordDelivery(received.sidecar, received.notice.revision, received.notice.at);
   }
   queued_notices_.push_back(std::move(received));
   if (queued_notices_.size() == 1) ApplyQueuedNotices();
@@ -132,7 +132,7 @@
   });
 }
 
-bool HollowFleet::AllHoldLists() const {
+bool HollowFleet::AllReceivedLists() const {
   return std::all_of(members_.begin(), members_.end(),
                      [](const Member& member) { return !member.sidecar || member.revision > 0; });
 }
@@ -164,8 +164,8 @@
   window.load_spread = LoadSpread(last_work_);
   last_work_ = ServedWork();
   for (const auto& model : models_) {
-    window.crowded_upstreams += model->crowded() ? 1 : 0;
-    window.held += model->held();
+    window.overloaded_upstreams += model->overloaded() ? 1 : 0;
+    window.outstanding_requests += model->outstanding_requests();
   }
   if (measuring_) totals_.traffic += window.traffic;
   return window;
--- a/lab/virtual/hollow_fleet.h
+++ b/lab/virtual/hollow_fleet.h
@@ -40,8 +40,8 @@
   double thread_cpu_s = 0;   // of the fleet's thread, which runs modules, models and clients
   double control_cpu_s = 0;  // of the control clients' threads
   double load_spread = 0;    // 95th percentile / mean of the upstreams' served work per capacity
-  std::uint64_t crowded_upstreams = 0;
-  std::uint64_t held = 0;
+  std::uint64_t overloaded_upstreams = 0;
+  std::uint64_t outstanding_requests = 0;
 };
 
 // Measurements of the measured time. A request counts if it arrived within it.
@@ -82,7 +82,7 @@
   std::size_t sidecars() const { return hollow_count_; }
 
   // Whether every hollow sidecar has received its first list.
-  bool AllHoldLists() const;
+  bool AllReceivedLists() const;
   // Processor time of the fleet's thread and the control clients' threads, in seconds.
   double CpuSeconds();
   // Throws the exception that ended a control client thread, if any. Callable from any thread.
--- a/lab/virtual/hollow_sidecar_exchange.cpp
+++ b/lab/virtual/hollow_sidecar_exchange.cpp
@@ -121,7 +121,7 @@
   switch (result) {
     case ServeResult::kServed:
       return EndExchange(id, Outcome::kServed, true, settings_.load_probes_report_load ? load : LoadReport{});
-    case ServeResult::kTurnedAway:
+    case ServeResult::kRejected:
       return EndExchange(id, Outcome::kRejected, true);
     case ServeResult::kReset:
       return EndExchange(id, Outcome::kReset, false);
--- a/lab/virtual/virtual_engine.cpp
+++ b/lab/virtual/virtual_engine.cpp
@@ -202,8 +202,8 @@
   sample.hollow_cpu = Share(module_seconds - sample_.module_seconds_before, seconds_passed * sidecars);
   sample.hollow_memory_mb = Share(fleet_.SidecarMemoryMb(), sidecars);
   sample.load_spread = fleet_.LoadSpread(sample_.work_before);
-  sample.crowded_upstreams = fleet_.CrowdedUpstreams();
-  sample.held = fleet_.RequestsInFlight();
+  sample.overloaded_upstreams = fleet_.CrowdedUpstreams();
+  sample.outstanding_requests = fleet_.RequestsInFlight();
   return sample;
 }
 
--- a/lab/virtual/virtual_fleet.cpp
+++ b/lab/virtual/virtual_fleet.cpp
@@ -64,12 +64,12 @@
 
 void VirtualFleet::RestartUpstream(std::size_t upstream) {
   SetState(upstream, UpstreamState::kDraining);
-  scheduler_.After(kDrainAnnounced, [this, upstream] { upstreams_[upstream]->SetDraining(true); });
-  scheduler_.After(kDrainEnds, [this, upstream] {
+  scheduler_.After(kRestartRejectAfter, [this, upstream] { upstreams_[upstream]->SetDraining(true); });
+  scheduler_.After(kRestartExitAfter, [this, upstream] {
     upstreams_[upstream]->Crash();
     SetState(upstream, UpstreamState::kGone);
   });
-  scheduler_.After(kRestarted, [this, upstream] { StartUpstream(upstream); });
+  scheduler_.After(kRestartStartAfter, [this, upstream] { StartUpstream(upstream); });
 }
 
 // The process ends while the machine is still unreachable, so that no sidecar receives a reset.
@@ -129,14 +129,14 @@
 }
 
 std::uint64_t VirtualFleet::CrowdedUpstreams() const {
-  std::uint64_t crowded = 0;
-  for (const auto& upstream : upstreams_) crowded += upstream->crowded();
-  return crowded;
+  std::uint64_t overloaded = 0;
+  for (const auto& upstream : upstreams_) overloaded += upstream->overloaded();
+  return overloaded;
 }
 
 std::uint64_t VirtualFleet::RequestsInFlight() const {
   std::uint64_t requests = 0;
-  for (const auto& upstream : upstreams_) requests += upstream->held();
+  for (const auto& upstream : upstreams_) requests += upstream->outstanding_requests();
   return requests;
 }
 
--- a/tests/lab_client_faults_test.cpp
+++ b/tests/lab_client_faults_test.cpp
@@ -110,7 +110,7 @@
 
 // Runs a load against a fake sidecar that handles requests with `on_request`, and returns the load's counts.
 LoadWindow RunLoad(const std::function<void(SidecarStandIn&, const SidecarStandIn::Connection&)>& on_request,
-                   Duration listens_on, std::size_t requests = 5) {
+                   Duration late_answer_wait, std::size_t requests = 5) {
   SidecarStandIn* itself = nullptr;
   SidecarStandIn peer([&](const SidecarStandIn::Connection& connection) { on_request(*itself, connection); });
   itself = &peer;
@@ -122,7 +122,7 @@
   ClientSpec clients;
   clients.retries = 0;
   clients.try_share = 1;
-  clients.listens_on = listens_on;
+  clients.late_answer_wait = late_answer_wait;
   const std::vector<ClassSpec> classes = {spec};
   HttpLoad load(peer.io, scheduler, clients, classes, {{peer.endpoint(), 50, 0}}, 1);
   load.Start();
--- a/tests/lab_control_client_test.cpp
+++ b/tests/lab_control_client_test.cpp
@@ -40,7 +40,7 @@
       propagation_.Start(index, std::nullopt);
       clients_.push_back(
           std::make_unique<ControlClient>(io_, client, clock_, [this, index](ControlNotice notice) {
-            propagation_.Told(index, notice.revision, notice.at);
+            propagation_.RecordDelivery(index, notice.revision, notice.at);
             notices_[index].push_back(std::move(notice));
           }));
       clients_.back()->Ask();
@@ -49,7 +49,7 @@
 
   void Change(std::size_t number) {
     const MembershipEntry entry = WithWeight(entries_[number], 2);
-    propagation_.Changed(server_->Change(entry), entry.service, sidecar::Now());
+    propagation_.RecordChange(server_->Change(entry), entry.service, sidecar::Now());
   }
 
   // Runs the clients until all have received `revision`; returns false if some have not within kWaitLimit.
@@ -65,7 +65,7 @@
     return false;
   }
 
-  std::size_t Missing() const { return propagation_.Missing(sidecar::Now()); }
+  std::size_t CountUndelivered() const { return propagation_.CountUndelivered(sidecar::Now()); }
 
   std::vector<MembershipEntry> entries_;
   std::optional<DiscoveryServer> server_;
@@ -80,9 +80,9 @@
   Start({0, 0.2});
   ASSERT_TRUE(AllReach(1));
   for (std::size_t change = 0; change < kChanges; ++change) Change(change);
-  EXPECT_EQ(Missing(), kClients * kChanges);
+  EXPECT_EQ(CountUndelivered(), kClients * kChanges);
   ASSERT_TRUE(AllReach(1 + kChanges));
-  EXPECT_EQ(Missing(), 0u);
+  EXPECT_EQ(CountUndelivered(), 0u);
   EXPECT_EQ(propagation_.delays_ms().count(), kClients * kChanges);
   EXPECT_GT(propagation_.delays_ms().Percentile(0.99), propagation_.delays_ms().Percentile(0.01));
   EXPECT_EQ(propagation_.TakeRecentDelays().count(), kClients * kChanges);
@@ -101,10 +101,10 @@
   server_->SetDown(true);
   for (std::size_t change = 0; change < kChanges; ++change) Change(change);
   io_.run_for(milliseconds(100));
-  EXPECT_EQ(Missing(), kClients * kChanges);
+  EXPECT_EQ(CountUndelivered(), kClients * kChanges);
   server_->SetDown(false);
   ASSERT_TRUE(AllReach(1 + kChanges));
-  EXPECT_EQ(Missing(), 0u);
+  EXPECT_EQ(CountUndelivered(), 0u);
 }
 
 }  // namespace
--- a/tests/lab_discovery_test.cpp
+++ b/tests/lab_discovery_test.cpp
@@ -149,7 +149,7 @@
 
 TEST_F(DiscoveryServerTest, NoticesTakeTheDrawnDelayTimesTheFactor) {
   Start({0.05, 0.05});
-  server_->SetLate(4);
+  server_->SetNoticeDelayFactor(4);
   auto caller = Connect();
   const auto begun = std::chrono::steady_clock::now();
   server_->Change(WithWeight(entries_[0], 2));
@@ -175,7 +175,7 @@
 TEST_F(DiscoveryServerTest, DeliversLostNoticeWithTheNextCall) {
   Start();
   auto caller = Connect();
-  server_->SetLost(1);
+  server_->SetLostNoticeShare(1);
   caller.Send("/discovery/hosts?index=1&wait=150");
   ASSERT_TRUE(Watching(1));
   server_->Change(WithWeight(entries_[0], 2));
--- a/tests/lab_fleet_rules_test.cpp
+++ b/tests/lab_fleet_rules_test.cpp
@@ -55,8 +55,8 @@
 TEST(FleetRules, CountsAttemptsAtADrainingUpstreamOnceTheGraceIsOver) {
   Fleet fleet;
   const Duration allowed = fleet.settings.fleet_limits.drain_grace + kDrainSlack + kArrivalMargin;
-  fleet.rules.Told(0, fleet.Entry(1, UpstreamState::kDraining), fleet.start);
-  fleet.rules.Told(0, fleet.Entry(1, UpstreamState::kGone), fleet.start + seconds(1));
+  fleet.rules.RecordReceivedEntry(0, fleet.Entry(1, UpstreamState::kDraining), fleet.start);
+  fleet.rules.RecordReceivedEntry(0, fleet.Entry(1, UpstreamState::kGone), fleet.start + seconds(1));
   const auto late_after = [&](std::size_t sidecar, std::size_t upstream, Duration after) {
     const auto before = fleet.rules.counters().late_to_draining;
     fleet.rules.Attempted(sidecar, upstream, milliseconds(1), fleet.start + after);
@@ -66,7 +66,7 @@
   EXPECT_EQ(late_after(0, 1, allowed + milliseconds(1)), 1u);
   EXPECT_EQ(late_after(1, 1, seconds(5)), 0u) << "the sidecar was not informed of the drain";
   EXPECT_EQ(late_after(0, 2, seconds(5)), 0u) << "the upstream is not draining";
-  fleet.rules.Told(0, fleet.Entry(1, UpstreamState::kServing, 1), fleet.start + seconds(6));
+  fleet.rules.RecordReceivedEntry(0, fleet.Entry(1, UpstreamState::kServing, 1), fleet.start + seconds(6));
   EXPECT_EQ(late_after(0, 1, seconds(7)), 0u) << "the upstream serves again";
 }
 
@@ -88,7 +88,7 @@
   for (const auto& c : cases) {
     Fleet fleet;
     fleet.rules.Started(2, fleet.start);
-    fleet.rules.Told(0, fleet.Entry(2, UpstreamState::kServing, 1), fleet.start);
+    fleet.rules.RecordReceivedEntry(0, fleet.Entry(2, UpstreamState::kServing, 1), fleet.start);
     const UpstreamInstance& upstream = fleet.deployment.upstreams[2];
     const double allowed = fleet.settings.fleet_limits.overload_multiple * upstream.kind->cores *
                            upstream.speed * 10 * fleet.settings.fleet_limits.slow_start_initial_share;
@@ -144,7 +144,7 @@
   fleet.StartLoad();
   for (MembershipEntry& entry : entries) {
     entry.state = UpstreamState::kDraining;
-    rules.Told(real.index, entry, sidecar::Now());
+    rules.RecordReceivedEntry(real.index, entry, sidecar::Now());
   }
   const auto await = [](const std::function<bool()>& condition) {
     const TimePoint end = sidecar::Now() + kWaitLimit;
@@ -159,7 +159,7 @@
   fleet.PostToUpstreams([&](HttpUpstreams& upstreams) {
     upstreams.Crash(0);
     upstreams.Start(0);
-    rules.Told(real.index, entries[0], sidecar::Now());
+    rules.RecordReceivedEntry(real.index, entries[0], sidecar::Now());
   });
   EXPECT_TRUE(await([&] { return rules.counters().cold_overloads == 1; }));
 }
--- a/tests/lab_http_load_test.cpp
+++ b/tests/lab_http_load_test.cpp
@@ -124,7 +124,7 @@
   Testbed testbed(0);
   testbed.clients.backoff = milliseconds(1);
   for (const bool heeds : {true, false}) {
-    testbed.clients.heeds_retry_after = heeds ? 1 : 0;
+    testbed.clients.honors_retry_after = heeds ? 1 : 0;
     ScriptedSidecar sidecar(testbed,
                             {"HTTP/1.1 503 x\r\nRetry-After: 0.4\r\nContent-Length: 0\r\n\r\n", kServed});
     const auto load = testbed.Load({{sidecar.endpoint(), 1000}});
--- a/tests/lab_http_upstream_test.cpp
+++ b/tests/lab_http_upstream_test.cpp
@@ -146,7 +146,7 @@
   const tcp::endpoint endpoint = testbed.upstreams().endpoint(0);
   Caller held(testbed, endpoint);
   held.Send(GetText("/read/7", "X-Request-ID: 1\r\nX-Work-Us: 60000000\r\n"));
-  ASSERT_TRUE(testbed.RunUntil([&] { return testbed.upstreams().model(0).held() == 1; }));
+  ASSERT_TRUE(testbed.RunUntil([&] { return testbed.upstreams().model(0).outstanding_requests() == 1; }));
   testbed.upstreams().Crash(0);
   EXPECT_TRUE(held.Ends());
   EXPECT_EQ(held.end, boost::asio::error::connection_reset);
--- a/tests/lab_membership_test.cpp
+++ b/tests/lab_membership_test.cpp
@@ -24,13 +24,13 @@
   EXPECT_EQ(registry.Change(WithWeight(registry.Find("u0"), 3)), 4u);
 
   const auto changes = registry.Since(1, std::nullopt);
-  EXPECT_FALSE(changes.whole);
+  EXPECT_FALSE(changes.full_list);
   ASSERT_EQ(changes.entries.size(), 2u);  // each changed entry once, in its latest state
   EXPECT_EQ(changes.entries[0].weight, 3);
   EXPECT_EQ(changes.entries[1].state, UpstreamState::kGone);
   EXPECT_EQ(registry.Since(std::nullopt, std::nullopt).entries.size(), 3u);
   EXPECT_EQ(registry.Since(1, 1).entries.size(), 1u);
-  EXPECT_TRUE(registry.Since(0, std::nullopt).whole);
+  EXPECT_TRUE(registry.Since(0, std::nullopt).full_list);
 
   const auto earlier = registry.SinceAsOf(std::nullopt, 2, std::nullopt);
   EXPECT_EQ(earlier.revision, 2u);
@@ -44,8 +44,8 @@
   for (std::size_t change = 0; change <= MembershipRegistry::kHistory; ++change) {
     registry.Change(WithWeight(registry.Find("u0"), 1 + static_cast<double>(change)));
   }
-  EXPECT_TRUE(registry.Since(1, std::nullopt).whole);
-  EXPECT_FALSE(registry.Since(2, std::nullopt).whole);
+  EXPECT_TRUE(registry.Since(1, std::nullopt).full_list);
+  EXPECT_FALSE(registry.Since(2, std::nullopt).full_list);
   EXPECT_EQ(registry.SinceAsOf(std::nullopt, 1, std::nullopt).revision, 2u);
 }
 
@@ -62,19 +62,19 @@
   PropagationLog log;
   log.Start(0, std::nullopt);
   log.Start(1, 1);
-  log.Changed(2, 0, begun);
-  log.Changed(3, 1, begun + milliseconds(10));
-  EXPECT_THROW(log.Changed(5, 1, begun), std::logic_error);
-  EXPECT_EQ(log.Missing(begun), 1u);
-  EXPECT_EQ(log.Missing(begun + milliseconds(10)), 3u);
-  log.Told(1, 3, begun + milliseconds(40));
-  log.Told(0, 2, begun + milliseconds(50));
+  log.RecordChange(2, 0, begun);
+  log.RecordChange(3, 1, begun + milliseconds(10));
+  EXPECT_THROW(log.RecordChange(5, 1, begun), std::logic_error);
+  EXPECT_EQ(log.CountUndelivered(begun), 1u);
+  EXPECT_EQ(log.CountUndelivered(begun + milliseconds(10)), 3u);
+  log.RecordDelivery(1, 3, begun + milliseconds(40));
+  log.RecordDelivery(0, 2, begun + milliseconds(50));
   EXPECT_EQ(log.delays_ms().SortedValues(), (std::vector<double>{30, 50}));
-  EXPECT_EQ(log.Missing(begun + milliseconds(10)), 1u);
+  EXPECT_EQ(log.CountUndelivered(begun + milliseconds(10)), 1u);
   log.Stop(0);
-  EXPECT_EQ(log.Missing(begun + milliseconds(10)), 0u);
+  EXPECT_EQ(log.CountUndelivered(begun + milliseconds(10)), 0u);
   log.Start(0, std::nullopt);  // earlier changes are part of its first list
-  EXPECT_EQ(log.Missing(begun + milliseconds(10)), 0u);
+  EXPECT_EQ(log.CountUndelivered(begun + milliseconds(10)), 0u);
 }
 
 }  // namespace
--- a/tests/lab_metrics_test.cpp
+++ b/tests/lab_metrics_test.cpp
@@ -86,7 +86,7 @@
   sample.traffic += sample.traffic;
   sample.latency_p99_ms = kNotANumber;
   sample.load_spread = 1.25;
-  sample.held = 4;
+  sample.outstanding_requests = 4;
   std::ostringstream out;
   WriteSample(out, Named(), 100, sample);
   EXPECT_EQ(out.str().find('\n'), out.str().size() - 1);
--- a/tests/lab_real_sidecar_test.cpp
+++ b/tests/lab_real_sidecar_test.cpp
@@ -118,10 +118,12 @@
   testbed_.classes[0].mean_work = milliseconds(5);
   StartSidecar();
   const auto load = testbed_.Load({{sidecar_->listen(), 150}});
-  const auto holds = [&](std::size_t upstream) { return testbed_.upstreams().model(upstream).held() > 0; };
+  const auto holds = [&](std::size_t upstream) {
+    return testbed_.upstreams().model(upstream).outstanding_requests() > 0;
+  };
   load->Start();
   ASSERT_TRUE(testbed_.RunUntil([&] { return load->begun() >= 100 && holds(0); }));
-  const std::size_t held_at_crash = testbed_.upstreams().model(0).held();
+  const std::size_t held_at_crash = testbed_.upstreams().model(0).outstanding_requests();
   testbed_.upstreams().Crash(0);
   EXPECT_EQ(testbed_.upstreams().counters(0).abandoned, held_at_crash);
   ASSERT_TRUE(testbed_.RunUntil([&] { return load->begun() >= 300 && holds(1); }));
--- a/tests/lab_upstream_model_test.cpp
+++ b/tests/lab_upstream_model_test.cpp
@@ -44,7 +44,7 @@
     const double before = Model().served_work();
     const TimePoint until = scheduler_.Now() + time;
     while (scheduler_.Now() < until) {
-      while (Model().held() < count) Serve(milliseconds(10));
+      while (Model().outstanding_requests() < count) Serve(milliseconds(10));
       Run(milliseconds(1));
     }
     return (Model().served_work() - before) / static_cast<double>(time.count());
@@ -78,14 +78,14 @@
 
 TEST_F(UpstreamTest, QueuesBeyondTheSlotsAndRejectsBeyondTheQueue) {
   for (int i = 0; i < 13; ++i) Serve(milliseconds(10));
-  EXPECT_EQ(Model().held(), 10u);
+  EXPECT_EQ(Model().outstanding_requests(), 10u);
   EXPECT_EQ(Model().Report().queued, 6);
   EXPECT_TRUE(results_.empty());
   Run(milliseconds(1));
-  EXPECT_EQ(results_[ServeResult::kTurnedAway], 3);
+  EXPECT_EQ(results_[ServeResult::kRejected], 3);
   Run(seconds(1));
   EXPECT_EQ(results_[ServeResult::kServed], 10);
-  EXPECT_EQ(Model().turned_away(), 3u);
+  EXPECT_EQ(Model().rejected_requests(), 3u);
 }
 
 TEST_F(UpstreamTest, AHandshakeIsQueuedAheadOfRequests) {
@@ -133,19 +133,19 @@
   spec_.recovered_below = 0.3;
   spec_.recovery_time = seconds(2);
   Saturate(4, seconds(3));
-  EXPECT_FALSE(Model().crowded());  // not more than two requests per core
+  EXPECT_FALSE(Model().overloaded());  // not more than two requests per core
   Saturate(10, milliseconds(900));
-  EXPECT_FALSE(Model().crowded());
+  EXPECT_FALSE(Model().overloaded());
   Saturate(10, milliseconds(200));
-  EXPECT_TRUE(Model().crowded());
+  EXPECT_TRUE(Model().overloaded());
   EXPECT_NEAR(Saturate(10, seconds(4)), 0.5, 0.05);
   EXPECT_NEAR(Saturate(1, seconds(5)), 0.25,
               0.05);  // half a request per core is not below the recovery bound
-  EXPECT_TRUE(Model().crowded());
+  EXPECT_TRUE(Model().overloaded());
   Run(milliseconds(1900));
-  EXPECT_TRUE(Model().crowded());
+  EXPECT_TRUE(Model().overloaded());
   Run(milliseconds(200));
-  EXPECT_FALSE(Model().crowded());
+  EXPECT_FALSE(Model().overloaded());
 }
 
 TEST_F(UpstreamTest, ACrashResetsRequestsAndDropsConnections) {
@@ -154,7 +154,7 @@
   Serve(seconds(1));
   Serve(seconds(1));
   Model().Crash();
-  EXPECT_EQ(Model().held(), 0u);
+  EXPECT_EQ(Model().outstanding_requests(), 0u);
   EXPECT_EQ(Model().connections(), 0u);
   Serve(seconds(1));
   bool refused = false;
@@ -174,7 +174,7 @@
   Model().Connect([](ConnectResult) { ADD_FAILURE() << "a hanging upstream answered"; });
   Run(seconds(5));
   EXPECT_TRUE(results_.empty());
-  EXPECT_EQ(Model().held(), 2u);
+  EXPECT_EQ(Model().outstanding_requests(), 2u);
   Model().SetHanging(false);
   Run(seconds(1));
   EXPECT_EQ(results_[ServeResult::kServed], 2);
@@ -191,7 +191,7 @@
   Serve(milliseconds(10));
   Run(seconds(1));
   EXPECT_EQ(results_[ServeResult::kServed], 1);
-  EXPECT_EQ(results_[ServeResult::kTurnedAway], 1);
+  EXPECT_EQ(results_[ServeResult::kRejected], 1);
   Model().SetDraining(false);
   results_.clear();
   Serve(milliseconds(10));
@@ -206,13 +206,13 @@
 
 TEST_F(UpstreamTest, AbandonedWorkContinuesUnlessCancelStopsWork) {
   Model().Abandon(Serve(milliseconds(100)));
-  EXPECT_EQ(Model().held(), 1u);
+  EXPECT_EQ(Model().outstanding_requests(), 1u);
   Run(seconds(1));
   EXPECT_EQ(Model().served(), 1u);
   EXPECT_TRUE(results_.empty());
   spec_.cancel_stops_work = true;
   for (int i = 0; i < 6; ++i) Model().Abandon(Serve(milliseconds(100)));
-  EXPECT_EQ(Model().held(), 0u);
+  EXPECT_EQ(Model().outstanding_requests(), 0u);
   const auto running = Serve(milliseconds(100));
   for (int i = 0; i < 4; ++i) Serve(milliseconds(100));
   const auto waiting = Serve(milliseconds(100));
--- a/tests/lab_virtual_engine_test.cpp
+++ b/tests/lab_virtual_engine_test.cpp
@@ -51,7 +51,7 @@
     EXPECT_EQ(first[i].latency_p99_ms, second[i].latency_p99_ms);
     EXPECT_EQ(first[i].notice_last_ms, second[i].notice_last_ms);
     EXPECT_EQ(first[i].load_spread, second[i].load_spread);
-    EXPECT_EQ(first[i].held, second[i].held);
+    EXPECT_EQ(first[i].outstanding_requests, second[i].outstanding_requests);
   }
   EXPECT_EQ(first_metrics.in_time_share, second_metrics.in_time_share);
   EXPECT_GT(first_metrics.probes_per_request, 0);
@@ -71,7 +71,7 @@
   EXPECT_GT(samples[3].in_time_share, 0.95);
   EXPECT_GT(samples[5].traffic.requests, 2 * samples[3].traffic.requests);
   EXPECT_LT(samples[5].in_time_share, 0.7);
-  EXPECT_GT(samples[5].held, 3 * samples[3].held);
+  EXPECT_GT(samples[5].outstanding_requests, 3 * samples[3].outstanding_requests);
   EXPECT_GT(samples[9].in_time_share, 0.9);
   EXPECT_LE(metrics.worst_second_share, samples[5].in_time_share);
   EXPECT_GT(metrics.last_third_share, metrics.worst_second_share);
