--- a/setup.sh
+++ b/setup.sh
@@ -1,16 +1,16 @@
 #!/bin/sh
-# Installs the Debian packages that the build needs and builds as operators do.
+# Installs the Debian packages that the build needs and builds with the operators' command.
 #
-#   setup.sh                 `packages` of deploy/balancer.toml, then its `build`
-#   setup.sh --development   those packages, and what the tests, the emulator and the linter need; builds nothing
+#   setup.sh                 installs `packages` of deploy/balancer.toml, then runs its `build`
+#   setup.sh --development   installs `packages` and what the tests, the emulator and the linter need; builds nothing
 set -eu
 cd "$(dirname "$0")"
 
-# The value of one line of the deploy file, without brackets, quotes and commas.
+# Both values are read from single lines of the deploy file; brackets, quotes and commas are removed.
 packages=$(sed -n 's/^packages = \[\(.*\)\]$/\1/p' deploy/balancer.toml | tr -d '",')
 build=$(sed -n 's/^build = "\(.*\)"$/\1/p' deploy/balancer.toml)
 [ -n "$packages" ] && [ -n "$build" ] || {
-  echo "setup.sh: no packages or no build in deploy/balancer.toml" >&2
+  echo "setup.sh: packages or build is missing or not on one line in deploy/balancer.toml" >&2
   exit 1
 }
 
@@ -35,7 +35,7 @@
   sudo=
   [ "$(id -u)" -eq 0 ] || sudo=sudo
   $sudo apt-get update
-  # shellcheck disable=SC2086  # a list of words
+  # shellcheck disable=SC2086  # word splitting is intended
   $sudo apt-get install -y --no-install-recommends $missing
 fi
 [ -z "$build" ] || sh -c "$build"
--- a/tests/lint.sh
+++ b/tests/lint.sh
@@ -1,10 +1,12 @@
 #!/bin/bash
-# Lints every source file by .clang-tidy; any finding fails. The compile commands are of a build folder of its
-# own, where only the precompiled headers are built, by the compiler that clang-tidy is part of.
+# Runs clang-tidy with the checks of .clang-tidy on every source file; any finding fails. The compile commands come
+# from a separate build folder. Only the precompiled headers are built there, with Clang, because clang-tidy cannot
+# read those of another compiler.
 #
-# lint-pending.txt lists the files that are not clean yet: they are printed and left out. The list only shrinks.
+# lint-pending.txt lists the files that do not pass yet; their names are printed and the files are skipped. Files may
+# be removed from that list, but not added.
 #
-# A file that was clean is not linted again until something it is made of changes (tests/lint_file.sh).
+# A file without findings is not linted again until one of its inputs changes (tests/lint_file.sh).
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build="build-test/lint"
--- a/tests/lint_file.sh
+++ b/tests/lint_file.sh
@@ -1,18 +1,18 @@
 #!/bin/bash
-# Lints one source file: lint_file.sh BUILD FILE. Called by lint.sh, which sets LINT_CLEAN, the folder that
-# remembers clean files, and LINT_COMMON, a hash of what all files depend on: the linter, the installed packages,
-# and how files are compiled.
+# Runs clang-tidy on one source file: lint_file.sh BUILD FILE. lint.sh calls this script and sets LINT_CLEAN, the cache
+# folder for files without findings, and LINT_COMMON, a hash of the inputs that all files share: the linter, the
+# installed packages, and the compile settings.
 #
-# A clean file leaves a mark named by the hash of all that its result depends on. Findings leave none, so they
-# are printed again until they are mended.
+# For a file without findings, an empty cache entry is created whose name is the hash of all inputs of the result. A
+# file with findings gets no entry, so the findings are printed at each run until they are fixed.
 set -euo pipefail
 build=$1 file=$2
 
-# The file, every header of this repository that it includes, and the precompiled ones.
+# The key covers the file, the headers of this repository that the file includes, and the precompiled headers.
 headers=$(g++ -std=c++20 -I. -MM -MT "" "$file" | tr -d ':\\\n')
 key=$({
   echo "$LINT_COMMON $file"
-  # shellcheck disable=SC2086  # a list of files
+  # shellcheck disable=SC2086  # word splitting is intended
   sha256sum $headers sidecar/precompiled.h tests/precompiled.h
 } | sha256sum | cut -d' ' -f1)
 if [ -e "$LINT_CLEAN/$key" ]; then
--- a/tests/policy_files.sh
+++ b/tests/policy_files.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Fails where `policy` in the deploy file is not exactly the sources of balancer/: policy_files.sh ROOT
+# Fails unless `policy` in deploy/balancer.toml lists exactly the source files of balancer/: policy_files.sh ROOT
 set -eu
 cd "$1"
 listed=$(sed -n 's/^policy = \[\(.*\)\]$/\1/p' deploy/balancer.toml | tr -d '" ' | tr ',' '\n' | sort)
--- a/tests/run_all.sh
+++ b/tests/run_all.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# All tests, warnings as errors: once plain, once under the address and undefined-behaviour sanitizers. Those that
-# KNOWN-RED.txt lists, `test: cause; issue`, are run and printed, but do not fail the run.
+# Builds with warnings as errors and runs all tests twice: without sanitizers, and with the address and
+# undefined-behaviour sanitizers. Tests that KNOWN-RED.txt lists, one a line as `test: cause; issue`, are run and their
+# results printed, but their failures do not fail the run.
 set -eu
 cd "$(dirname "$0")/.."
 red=KNOWN-RED.txt
